--- a/src/forwarding/CallerFront.ts
+++ b/src/forwarding/CallerFront.ts
@@ -1,5 +1,5 @@
 /**
- * The server that callers connect to.
+ * HTTP server for callers: accepts their requests and forwards each admitted one to a runner.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -15,48 +15,51 @@
 import { ForwardedRequest } from './ForwardedRequest.js';
 import type { AdmittedRequest, ForwardingContext } from './forwardingTypes.js';
 
-/** The parser's own limit, in bytes; the configured one is checked once a request has been read. */
+/** Header limit of the HTTP parser, in bytes; the configured limit is checked once the head has been parsed. */
 const PARSER_HEADER_BYTES = 131_072;
 
-/** Answers to what the parser refuses, by its error code. */
+/** Status lines for requests that the HTTP parser rejects, by its error code; all others get 400. */
 const PARSER_ANSWERS: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
   ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout',
 };
 
-/** After a loss of all daemons every caller connects anew within a second; the system caps it at its own limit. */
-const WAITING_CONNECTIONS = 1_024;
+/**
+ * Length of the listen queue, in connections: after an outage of all daemons every caller reconnects within a second.
+ * The operating system caps it at its own limit.
+ */
+const LISTEN_BACKLOG = 1_024;
 
 /**
- * A request that comes while a daemon starts waits this long for the first configuration, in ms: a store that answers
- * gives one within 30 to 60 ms. Where the store is known to be silent, and after this time, the caller is told when to
- * come back instead.
+ * How long a request that arrives while the daemon starts waits for the first configuration, in ms. A responsive store
+ * supplies it within 30 to 60 ms. After this time, or at once if the store is known to be unresponsive, the caller gets
+ * a `Retry-After` instead.
  */
-const STARTING_MILLISECONDS = 200;
+const CONFIGURATION_WAIT_MILLISECONDS = 200;
 
 const BODY_TOO_LARGE: OwnAnswer = { status: 413, reason: 'body_too_large' };
 
 const BAD_REQUEST = '400 Bad Request';
 
-/** Owns the callers' connections. */
+/** HTTP server with all connections from callers. */
 export class CallerFront {
-  /** Requests whose answers are not complete. */
+  /** Number of requests whose answers are not complete. */
   inFlight = 0;
 
   private readonly context: ForwardingContext;
 
   private readonly server: Server;
 
-  /** Requests that wait for the first configuration. */
-  private readonly starting = new Set<() => void>();
+  /** Callbacks of the requests that wait for the first configuration. */
+  private readonly awaitingConfiguration = new Set<() => void>();
 
   /**
-   * @param context - what requests work with.
+   * @param context - dependencies that all requests share.
    */
   constructor(context: ForwardingContext) {
     this.context = context;
     this.server = createServer({ maxHeaderSize: PARSER_HEADER_BYTES, noDelay: true }, (...both) =>
-      this.take(...both),
+      this.handle(...both),
     );
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => {
       const status = PARSER_ANSWERS[error.code ?? ''] ?? BAD_REQUEST;
@@ -66,48 +69,48 @@
   }
 
   /**
-   * @param address - of this daemon for callers.
-   * @param listener - that has opened the port already; it must not be closed by itself.
-   * @returns Once connections are taken.
+   * @param address - host and port on which callers connect.
+   * @param listener - server that has opened the port already and is taken over; must not be closed separately.
+   * @returns Resolves once connections are accepted.
    */
   listen(address: HostAndPort, listener?: PortServer): Promise<unknown> {
     if (listener) return takeOver(this.server, listener);
-    return listen(this.server, { ...address, backlog: WAITING_CONNECTIONS });
+    return listen(this.server, { ...address, backlog: LISTEN_BACKLOG });
   }
 
   /**
-   * @param limits - of the configuration that came into force.
+   * @param limits - limits for callers of the configuration that came into force.
    */
   applyLimits({ headerTimeoutMilliseconds, idleTimeoutMilliseconds }: CallerLimits): void {
     this.server.headersTimeout = headerTimeoutMilliseconds;
     this.server.keepAliveTimeout = idleTimeoutMilliseconds;
   }
 
-  /** Requests can be served from now on; those that wait for it are. */
+  /** The first configuration is in force: serves the requests that wait for it. */
   configured(): void {
-    for (const serve of [...this.starting]) serve();
+    for (const serve of [...this.awaitingConfiguration]) serve();
   }
 
-  /** Takes no more connections and closes idle ones; requests in progress finish. */
+  /** Accepts no more connections and closes idle ones; requests in progress finish. */
   close(): void {
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  private take(request: IncomingMessage, response: ServerResponse): void {
+  private handle(request: IncomingMessage, response: ServerResponse): void {
     const { clock, routes, isStoreSilent } = this.context;
     const arrivedAt = clock.monotonicMilliseconds();
     if (routes() || isStoreSilent()) this.serve(request, response, arrivedAt);
-    else this.holdBack(response, () => this.serve(request, response, arrivedAt));
+    else this.waitForConfiguration(response, () => this.serve(request, response, arrivedAt));
   }
 
-  private holdBack(response: ServerResponse, serve: () => void): void {
-    const once = () => {
-      const isWaiting = this.starting.delete(once);
+  private waitForConfiguration(response: ServerResponse, serve: () => void): void {
+    const resume = () => {
+      const isWaiting = this.awaitingConfiguration.delete(resume);
       if (isWaiting && !response.destroyed) serve();
     };
-    this.starting.add(once);
-    setTimeout(once, STARTING_MILLISECONDS);
+    this.awaitingConfiguration.add(resume);
+    setTimeout(resume, CONFIGURATION_WAIT_MILLISECONDS);
   }
 
   private serve(request: IncomingMessage, response: ServerResponse, arrivedAt: number): void {
@@ -126,7 +129,7 @@
     });
   }
 
-  /** A rejected body is read and dropped, so that the connection can carry the next request. */
+  /** Rejects a request. Its body is read and dropped, so that the connection can carry the next request. */
   private reject(
     request: IncomingMessage,
     response: ServerResponse,
@@ -135,10 +138,10 @@
   ): void {
     if (own.status === 413) response.shouldKeepAlive = false;
     request.resume();
-    this.refuse(request, relay, own);
+    this.answerRejection(request, relay, own);
   }
 
-  private refuse({ headers }: IncomingMessage, relay: AnswerRelay, own: OwnAnswer): void {
+  private answerRejection({ headers }: IncomingMessage, relay: AnswerRelay, own: OwnAnswer): void {
     const { status, reason } = own;
     relay.answerOwn(own);
     const { metrics, log, protocol, routes } = this.context;
@@ -183,7 +186,7 @@
     request.on('data', (chunk: Buffer) => {
       bytes += chunk.length;
       if (bytes <= limit) chunks.push(chunk);
-      else if (!relay.isDone) this.refuse(request, relay, BODY_TOO_LARGE);
+      else if (!relay.isDone) this.answerRejection(request, relay, BODY_TOO_LARGE);
     });
     request.once('end', () => {
       if (!relay.isDone) done(Buffer.concat(chunks, bytes));
--- a/src/forwarding/EventStreamCut.ts
+++ b/src/forwarding/EventStreamCut.ts
@@ -1,59 +1,60 @@
 /**
- * Holds back the tail of an event stream until its event is whole.
+ * Splits a runner's event stream at event boundaries, and holds back the last event until it is complete.
  *
- * What goes wrong without it: a runner stops in the middle of an event, the stream goes on at another runner
- * with the next whole event, and the caller reads the two halves as one. Bytes pass unchanged, since the
- * runner's signature covers them; only the places where events end are looked for.
+ * Without it, a runner may fail in the middle of an event and another one resume the stream with the next complete
+ * event; the caller would then read the fragment and the next event as one. Bytes are forwarded unchanged, since the
+ * runner's signature covers them; only the ends of events are searched for.
  */
 
 const EVENT_END = Buffer.from('\n\n');
 
 const ID_FIELD = /^id: ?(.*)$/gmu;
 
-/** Takes chunks of one runner's stream and gives whole events. */
+/** Accepts chunks of a stream and returns complete events. */
 export class EventStreamCut {
-  private held: Buffer | undefined;
+  private partialEvent: Buffer | undefined;
 
   private lastId: string | undefined;
 
-  /** @returns Id of the last whole event, or `undefined` before the first one. */
+  /** @returns Id of the last complete event, or `undefined` before the first one. */
   get lastEventId(): string | undefined {
     return this.lastId;
   }
 
-  /** @returns Whether bytes of an unfinished event are held. */
+  /** @returns Whether bytes of an incomplete event are held back. */
   get holdsPart(): boolean {
-    return this.held !== undefined && this.held.length > 0;
+    return this.partialEvent !== undefined && this.partialEvent.length > 0;
   }
 
   /**
    * @param chunk - bytes as they arrived.
-   * @returns All whole events that are there now, or `undefined` when there is none.
+   * @returns All events that are complete now, or `undefined` if there is none.
    */
   push(chunk: Buffer): Buffer | undefined {
-    const bytes = this.holdsPart && this.held ? Buffer.concat([this.held, chunk]) : chunk;
+    const bytes =
+      this.holdsPart && this.partialEvent ? Buffer.concat([this.partialEvent, chunk]) : chunk;
     const lastEnd = bytes.lastIndexOf(EVENT_END);
     if (lastEnd === -1) {
-      this.held = bytes;
+      this.partialEvent = bytes;
       return undefined;
     }
     const end = lastEnd + EVENT_END.length;
-    this.held = end < bytes.length ? bytes.subarray(end) : undefined;
+    this.partialEvent = end < bytes.length ? bytes.subarray(end) : undefined;
     const whole = bytes.subarray(0, end);
     this.readLastId(whole);
     return whole;
   }
 
-  /** @returns What is left at the end of a complete stream; it passes as it is. */
+  /** @returns The bytes left at the end of a complete stream, which are forwarded as they are. */
   rest(): Buffer | undefined {
-    const { held } = this;
-    this.held = undefined;
-    return held;
+    const { partialEvent } = this;
+    this.partialEvent = undefined;
+    return partialEvent;
   }
 
-  /** Drops the unfinished event of a runner that broke off. */
+  /** Drops the incomplete event of a runner whose stream broke off. */
   drop(): void {
-    this.held = undefined;
+    this.partialEvent = undefined;
   }
 
   private readLastId(events: Buffer): void {
--- a/src/forwarding/ForwardedRequest.spec.ts
+++ b/src/forwarding/ForwardedRequest.spec.ts
@@ -14,7 +14,7 @@
   streamOf,
 } from './testRequest.js';
 
-/** Longer than every limit of patience together. */
+/** Longer than the sum of all wait limits, in ms. */
 const LONG_MILLISECONDS = 3_000;
 
 describe('ForwardedRequest', () => {
@@ -31,7 +31,7 @@
     for (let index = 2; index <= last; index += 1) test.addHangingRunner(`runner-${index}`);
   }
 
-  it('is not said not to have run where its own crash puts it in quarantine', async () => {
+  it('is not answered as "not run" when its own crash puts it into quarantine', async () => {
     test = await RequestUnderTest.open({ route: { resumable: false } });
     const { quarantine } = test.context;
     let onQuarantined: () => void = () => undefined;
@@ -44,15 +44,14 @@
     expect((await caller).startsWith('HTTP/1.1 502')).toEqual(true);
   });
 
-  describe('behind a full link of the daemon', () => {
-    it('does not cut a stream while no runner at all accepts a connection', async () => {
-      // Symptom: a caller's stream breaks off in the middle although its runner works on. Sequence: a large
-      // configuration fills the daemon's link for a second; what the runner says waits behind it, and so does each
-      // runner's acceptance of a new connection. Cause: the daemon took that for the runner's silence, gave it up,
-      // found six others "not there" within 90 ms each, and ended the request with most of its time left.
-      // Evidence: on a recorded day the runner's connection was closed 431 ms after the request got there (350 + 90
-      // expected) and the caller's 465 ms later (five connections of 90 ms); a trial with configurations as large
-      // showed connections given up after 91 to 93 ms, at all daemons alike.
+  describe('while the network link of the daemon is saturated', () => {
+    it('does not cut a stream while no runner accepts a connection', async () => {
+      // Guards against cutting a stream whose runner is healthy. A large configuration saturates the daemon's link for a
+      // second, which delays the runner's data and the acceptance of new connections by every runner. The daemon took the
+      // runner for unresponsive, gave up six others after 90 ms each, and ended the request with most of its time left.
+      // On a recorded day the runner's connection was closed 431 ms after the request had reached it (350 + 90 expected),
+      // and the caller's 465 ms later (five connections of 90 ms). A trial with configurations of that size showed
+      // connections given up after 91 to 93 ms, at all daemons alike.
       const { runner, caller } = await begin();
       addHangingRunners(9);
       runner.write(streamOf(1));
@@ -63,10 +62,10 @@
       expect(test.log.of(forwardingLogEvents.linkSuspected).length).toEqual(1);
     });
 
-    it('stays with a runner that is heard from while a new connection to it waits', async () => {
-      // Symptom: a prompt is read by a second runner although the first one answers. Sequence: a stream is quiet, the
-      // daemon tries a new connection to its runner; the next event arrives; the new connection is still not accepted
-      // after 90 ms. Cause: the verdict was carried out without a look at what had come meanwhile.
+    it('stays with a runner that sends data while a new connection to it hangs', async () => {
+      // Guards against a second runner reading the prompt although the first one answers. A stream stalls and the daemon
+      // probes its runner; the next event arrives, but the probe is not accepted within 90 ms. The attempt was failed
+      // without checking whether data had arrived in the meantime.
       const { runner, caller } = await begin();
       const asked = await test.addOpenRunner('runner-2');
       runner.write(streamOf(1));
@@ -78,10 +77,10 @@
       expect(eventsIn(await caller)).toEqual(['token 1', 'token 2', 'token 3']);
     });
 
-    it('leaves no runner alone because connections to all of them wait', async () => {
-      // Symptom: after a second with a full link requests go to runners that have to read the prompt again. Sequence:
-      // no connection is accepted within 90 ms, whichever runner is asked. Cause: each of these runners was taken for
-      // dark and left alone for 0.8 s and longer.
+    it('ejects no runner when connections to all of them hang', async () => {
+      // Guards against sending requests to runners that have to read the prompt again, after the link was saturated for a
+      // second. No runner accepted a connection within 90 ms, so each one was taken for unresponsive and ejected for
+      // 0.8 s or longer.
       const { runner } = await begin();
       addHangingRunners(9);
       runner.resetAndDestroy();
@@ -90,10 +89,10 @@
       expect(usable.length).toBeGreaterThanOrEqual(8);
     });
 
-    it('goes on when a runner accepts a connection, however many did not', async () => {
-      // Symptom: a caller's stream is cut half a second after its runner died, though most of its time is left.
-      // Sequence: the runner breaks off while the daemon's link is full; no other one accepts a connection for a
-      // second. Cause: each was asked once and waited for 90 ms, and after the last one, or six, the request was ended.
+    it('resumes a stream when a runner accepts a connection, however many did not', async () => {
+      // Guards against cutting a stream half a second after its runner died, although most of its time is left. The runner
+      // fails while the daemon's link is saturated, and no other one accepts a connection for a second. Each was tried
+      // once with a timeout of 90 ms, and after the last one, or six, the request was ended.
       const { runner, caller } = await begin();
       addHangingRunners(3);
       runner.write(streamOf(1));
@@ -108,10 +107,10 @@
     });
   });
 
-  describe('with a runner that says nothing', () => {
-    it('goes on elsewhere when that runner alone accepts no connection', async () => {
-      // Symptom: a caller waits for a stream that nobody works on. Sequence: a runner's instance is gone without a
-      // reset; other runners accept at once. Cause: nothing but a new connection shows it.
+  describe('with a runner that sends no data', () => {
+    it('resumes at another runner when only the first one accepts no connection', async () => {
+      // Guards against waiting for a stream that no runner is working on. A runner's instance fails without a connection
+      // reset, which only a new connection reveals; other runners accept connections at once.
       const { runner, caller } = await begin();
       const asked = await test.addOpenRunner('runner-2');
       runner.write(streamOf(1));
@@ -122,10 +121,9 @@
       expect(test.isUsable(FIRST_RUNNER)).toEqual(false);
     });
 
-    it('goes on elsewhere when others hear it, it accepts no connection, and this stream has waited too long', async () => {
-      // Symptom: a caller waits until its deadline. Sequence: the runner answers others over open connections, its
-      // queue of new ones is full, and it has forgotten this stream. Cause: that others hear it outweighed its silence
-      // here for ever.
+    it('resumes elsewhere when the runner serves others, accepts no connection, and has kept this stream too long', async () => {
+      // Guards against waiting until the deadline. The runner serves other requests over open connections, its listen queue
+      // is full, and it has lost this stream. Because it sent data for other requests, it was never given up.
       const { runner, caller } = await begin();
       const asked = await test.addOpenRunner('runner-2');
       runner.write(streamOf(1));
@@ -138,13 +136,13 @@
       expect(eventsIn(await caller)).toEqual(['token 1', 'token 2']);
     });
 
-    it('waits for it when the budget is gone by the time its silence is certain', async () => {
-      // Symptom: many streams of one dark runner are cut at once. Sequence: each of them sees room in the budget and
-      // asks after the runner; one takes what is left. Cause: the others were given up all the same.
+    it('waits for the runner when the budget is spent by the time it is found unresponsive', async () => {
+      // Guards against cutting many streams of an unresponsive runner at once. Each of them finds room in the budget and
+      // probes the runner; one takes the last retry, and the others were given up nevertheless.
       const { runner, caller } = await begin({ allowance: 1 });
       await test.addOpenRunner('runner-2');
       runner.write(streamOf(1));
-      // It is asked at 350 ms, the limit for a first event, and certain 90 ms later.
+      // The runner is probed at 350 ms, the limit for a first event, and found unresponsive 90 ms later.
       await test.pass(400);
       test.context.budget.take('chat', test.clock.monotonicMilliseconds());
       await test.pass(LONG_MILLISECONDS);
@@ -152,16 +150,16 @@
       expect(eventsIn(await caller)).toEqual(['token 1', 'token 2']);
     });
 
-    it('ends at its deadline also where no second runner could be asked', async () => {
-      // Symptom: a caller is kept waiting long past its deadline. Sequence: a call that may be repeated is slow; the only
-      // runner of its service has it already. Cause: after the vain search for a second runner no timer was set.
+    it('ends at its deadline even if there is no second runner for a hedged request', async () => {
+      // Guards against a caller that waits long past its deadline. An idempotent call is slow, and the only runner of its
+      // service is already working on it. After the unsuccessful search for a second runner, no timer was set.
       const { caller } = await begin({ route: { kind: 'idempotent', resumable: false } });
       await test.pass(DEADLINE_MILLISECONDS + 100);
       expect(await caller).toInclude('504 Gateway Timeout');
     });
   });
 
-  it('finds a sound runner quickly after a break, however many dark ones it asks before', async () => {
+  it('finds a healthy runner quickly after a broken connection, however many unresponsive ones it tries first', async () => {
     const { runner, caller } = await begin();
     const asked = await test.addOpenRunner('runner-9');
     test.runners.put({ ...test.runners.get('runner-9')!.entry, dataCentre: 'there' });
@@ -169,23 +167,24 @@
     runner.write(streamOf(1));
     await test.pass(50);
     runner.resetAndDestroy();
-    // Five of 90 ms, and the checks beside them.
+    // Five connect timeouts of 90 ms, and the link checks in parallel.
     await test.pass(800);
     expect(asked.length).toEqual(1);
     asked[0]?.end(streamOf(2));
     expect(eventsIn(await caller)).toEqual(['token 1', 'token 2']);
   });
 
-  it('goes on over a new connection where kept ones may be broken too', async () => {
-    // Symptom: streams are cut in the middle though every runner is sound. Sequence: all connections of a daemon to
-    // runners are reset at once; a stream goes on at another runner, on a kept connection whose reset has not been
-    // read yet. Cause: a kept connection that is as old as the broken one was trusted.
+  it('resumes over a new connection when idle ones may be broken as well', async () => {
+    // Guards against cutting streams although all runners are healthy. All connections from a daemon to runners are reset
+    // at once, and a stream was resumed on an idle connection whose reset had not been read yet.
     const { runner, caller } = await begin();
     const asked = await test.addOpenRunner('runner-2');
     const kept = test.context.connections.agentOf(test.runners.get('runner-2')!);
     test.context.connections.agentOf = () => kept;
     kept.createConnection = () => {
-      throw new Error('only kept connections are made here');
+      throw new Error(
+        'expected a new connection without the agent, but the agent was asked to open one',
+      );
     };
     runner.write(streamOf(1));
     await test.pass(50);
@@ -196,9 +195,9 @@
     expect(eventsIn(await caller)).toEqual(['token 1', 'token 2']);
   });
 
-  it('gives a runner’s own error at once where no other runner accepts a connection', async () => {
-    // Symptom: a caller waits seconds for an error that was there after 20 ms. Sequence: a runner fails a call that
-    // may be repeated; the only other one is dark. Cause: it was asked again and again while there was time.
+  it('sends a runner’s server error at once when no other runner accepts a connection', async () => {
+    // Guards against a caller that waits seconds for an error that arrived after 20 ms. A runner fails an idempotent call,
+    // and the only other one is unresponsive; it was tried again and again until the deadline.
     const { runner, caller } = await begin({ route: { kind: 'idempotent', resumable: false } });
     test.addHangingRunner('runner-2');
     runner.end(plainAnswer('500 Internal Server Error'));
@@ -206,9 +205,9 @@
     expect(await caller).toInclude('500 Internal Server Error');
   });
 
-  it('takes an answer that waits in its socket before it looks at the deadline', async () => {
-    // Symptom: a caller gets 504 for an answer that was in time. Sequence: the process stands still for 100 ms; the
-    // answer arrives, and the deadline passes. Cause: timers come before bytes.
+  it('reads an answer that waits in its socket before it checks the deadline', async () => {
+    // Guards against a 504 for an answer that arrived in time. The process is paused for 100 ms, in which the answer arrives
+    // and the deadline passes; after a pause, timers fire before data is read.
     const { runner, caller } = await begin({ route: { kind: 'at_most_once', resumable: false } });
     await test.pass(DEADLINE_MILLISECONDS - 100);
     runner.end(plainAnswer('200 OK'));
--- a/src/forwarding/ForwardedRequest.ts
+++ b/src/forwarding/ForwardedRequest.ts
@@ -1,6 +1,6 @@
 /**
- * Owns one caller's request from its admission to the last byte of its answer: chooses runners, sends
- * attempts, and decides what becomes of the request when they fail.
+ * Forwards one caller's request, from its admission to the last byte of its answer: selects runners, sends attempts, and
+ * retries, hedges or ends the request when attempts fail or stall.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -34,7 +34,7 @@
   context: ForwardingContext;
 }
 
-/** See the module's comment. */
+/** State of one forwarded request; observes the attempts that it sends. */
 export class ForwardedRequest extends AttemptObserver {
   private readonly request: AdmittedRequest;
 
@@ -48,33 +48,33 @@
 
   private readonly tried = new TriedRunners();
 
-  private readonly held: HeldAnswers;
+  private readonly bufferedAnswers: HeldAnswers;
 
   private readonly stream: StreamedAnswer;
 
-  /** A runner's own error, given if no other runner does better. */
+  /** Complete server error of a runner, sent to the caller if no other runner succeeds. */
   private fallback: HeldAnswer | undefined;
 
-  /** Whether the runner of the next attempt is being chosen. */
+  /** Whether the selection of the next runner is in progress. */
   private isSelecting = false;
 
-  /** When anything last came for this request, or was sent; monotonic ms. */
+  /** When data of this request was last received, or an attempt sent; monotonic ms. */
   private lastProgressAt = 0;
 
   private firstAnswerAt: number | undefined;
 
-  private readonly guard: QuarantineGuard;
+  private readonly quarantine: QuarantineGuard;
 
   private readonly retries: RequestRetries;
 
   private readonly report: RequestReport;
 
-  private readonly judge: RunnerJudge;
+  private readonly outcomes: RunnerJudge;
 
   private readonly timer: RequestTimer;
 
   /**
-   * @param options - the request, and where its answer goes.
+   * @param options - the request and the relay that writes its answer.
    */
   constructor({ request, body, relay, context }: ForwardedRequestOptions) {
     super();
@@ -82,19 +82,19 @@
     this.body = body;
     this.relay = relay;
     this.context = context;
-    this.held = new HeldAnswers(relay);
+    this.bufferedAnswers = new HeldAnswers(relay);
     this.stream = new StreamedAnswer(relay);
     this.timer = new RequestTimer({ clock: context.clock, onTime: () => this.check() });
     const digest = requestDigest({ ...request, body });
     this.report = new RequestReport({ request, context, digest });
-    this.guard = new QuarantineGuard({
+    this.quarantine = new QuarantineGuard({
       quarantine: context.quarantine,
       digest,
-      onQuarantined: () => this.quarantined(),
+      onQuarantined: () => this.onQuarantined(),
     });
-    const { tried, guard, report } = this;
-    this.retries = new RequestRetries({ request, context, tried, guard, report });
-    this.judge = new RunnerJudge({ context, report: this.report });
+    const { tried, quarantine, report } = this;
+    this.retries = new RequestRetries({ request, context, tried, quarantine, report });
+    this.outcomes = new RunnerJudge({ context, report: this.report });
   }
 
   /** Sends the first attempt. */
@@ -105,7 +105,7 @@
       this.expire();
       return;
     }
-    const refusal = this.guard.begin();
+    const refusal = this.quarantine.begin();
     if (refusal) {
       this.endWith(refusal);
       return;
@@ -113,7 +113,7 @@
     this.sendNext();
   }
 
-  /** The caller has gone: whatever is under way is of use to nobody. */
+  /** Cancels all attempts because the caller has disconnected. */
   callerLeft(): void {
     if (this.relay.isDone) return;
     this.stopAttempts();
@@ -122,7 +122,7 @@
 
   override answered(attempt: RunnerAttempt, answer: IncomingMessage): void {
     this.lastProgressAt = this.now();
-    this.held.begin(attempt, answer);
+    this.bufferedAnswers.begin(attempt, answer);
     const isStream = this.request.route.kind === 'stream' && isEventStream(answer);
     if (isStream) this.stream.take(attempt, answer);
   }
@@ -134,21 +134,21 @@
       if (this.relay.hasHead) this.firstAnswerAt ??= this.now();
       return;
     }
-    if (!this.held.take(attempt, chunk)) return;
+    if (!this.bufferedAnswers.take(attempt, chunk)) return;
     this.firstAnswerAt ??= this.now();
     for (const other of this.active) if (other !== attempt) other.cancel();
   }
 
   override ended(attempt: RunnerAttempt): void {
     this.active.delete(attempt);
-    const held = this.held.of(attempt);
+    const held = this.bufferedAnswers.of(attempt);
     if (!held || this.relay.isDone) return;
     const { statusCode: status = SERVER_ERROR } = held.answer;
     const failed = status >= SERVER_ERROR;
-    this.guard.answered(status);
-    this.judge.answered(attempt.runner, status);
+    this.quarantine.answered(status);
+    this.outcomes.answered(attempt.runner, status);
     const isStream = this.stream.isFrom(attempt);
-    if (isStream || this.held.isPassing(attempt)) {
+    if (isStream || this.bufferedAnswers.isPassing(attempt)) {
       this.stopAttempts();
       if (isStream) this.stream.end();
       else this.relay.finish();
@@ -156,22 +156,22 @@
       return;
     }
     if (this.relay.hasHead) {
-      // A stream that goes on elsewhere got something that is no stream: the caller must see the break.
+      // A resumed stream got an answer that is not a stream; the caller must notice that its stream broke off.
       this.endWith({ status: 502, reason: 'not_resumed' });
       return;
     }
-    if (failed && this.retryError(attempt, held)) return;
-    this.answerHeld(held);
+    if (failed && this.retryAfterError(attempt, held)) return;
+    this.answerBuffered(held);
   }
 
   override failed(attempt: RunnerAttempt, failure: AttemptFailure): void {
     this.active.delete(attempt);
-    this.held.drop(attempt);
+    this.bufferedAnswers.drop(attempt);
     if (this.relay.isDone) return;
-    this.judge.failed(attempt, failure);
+    this.outcomes.failed(attempt, failure);
     this.tried.failedAt(attempt.runner.entry.life, failure);
-    this.guard.failed(attempt, failure);
-    // The crash may have put the request in quarantine, which ends it.
+    this.quarantine.failed(attempt, failure);
+    // The crash may have put the request into quarantine, which ends it.
     if (this.relay.isDone) return;
     if (this.stream.isFrom(attempt)) this.stream.breakOff();
     const { verdict, reason } = this.verdictOn(attempt, failure);
@@ -184,16 +184,17 @@
   }
 
   private verdictOn(attempt: RunnerAttempt, failure: AttemptFailure): AttemptVerdict {
-    // Its beginning is with the caller; no other runner's answer fits behind it.
-    if (this.held.isPassing(attempt)) return { verdict: 'cut' };
+    // The caller already has the beginning of this answer, and another runner's answer cannot continue it.
+    if (this.bufferedAnswers.isPassing(attempt)) return { verdict: 'cut' };
     if (this.active.size > 0 || this.isSelecting) return { verdict: 'wait' };
     return this.retries.afterFailure(failure, this.fallback !== undefined);
   }
 
   private sendNext(): void {
     const { service, homeRegions, connectionLimit } = this.request;
-    // A crash breaks all that run beside it: a suspect goes to the runner that has the least, warm or not.
-    const sharedParts = this.guard.isRepeatedSuspect ? [] : this.request.sharedParts;
+    // A crash also breaks the other requests of the runner. So a suspect request is sent to the least loaded runner,
+    // whether or not it has cached the prompt.
+    const sharedParts = this.quarantine.isRepeatedSuspect ? [] : this.request.sharedParts;
     const tried = this.tried.excluded;
     const now = this.now();
     const question = { service, sharedParts, tried, homeRegions, connectionLimit, now };
@@ -201,13 +202,13 @@
     this.context.selector.select(question, (chosen) => this.sendTo(chosen));
   }
 
-  /** The caller may have left, or another attempt may have answered, while the runner was chosen. */
+  /** Sends the next attempt, unless the caller has left or another attempt has answered during the selection. */
   private sendTo(chosen: Choice | undefined): void {
     this.isSelecting = false;
     if (this.relay.isDone) return;
     if (chosen) this.send(chosen);
-    else if (this.active.size === 0) this.noRunner();
-    // No second runner could be asked: only the deadline is left to wait for.
+    else if (this.active.size === 0) this.handleNoRunner();
+    // There is no second runner to hedge with, so only the deadline remains to be checked.
     else this.timer.set(this.request.deadlineAt);
   }
 
@@ -222,15 +223,15 @@
     this.active.add(attempt);
     this.lastProgressAt = this.now();
     attempt.start();
-    this.lookAgain();
+    this.scheduleCheck();
   }
 
-  private noRunner(): void {
+  private handleNoRunner(): void {
     if (!this.fallback && this.tried.forgiveUnreached()) this.sendNext();
     else this.giveUp(this.tried.mayHaveRun > 0 ? 'fail' : 'refuse');
   }
 
-  private answerHeld(held: HeldAnswer): void {
+  private answerBuffered(held: HeldAnswer): void {
     this.stopAttempts();
     this.firstAnswerAt ??= this.now();
     this.relay.answerHeld(held);
@@ -238,24 +239,24 @@
   }
 
   /**
-   * A runner's own error may be chance: a request that may be repeated gets a second opinion.
+   * Retries an idempotent request after a server error, since the error may be specific to that runner.
    *
-   * @returns Whether the request is taken care of.
+   * @returns Whether the request goes on; otherwise the error has to be sent to the caller.
    */
-  private retryError(attempt: RunnerAttempt, held: HeldAnswer): boolean {
+  private retryAfterError(attempt: RunnerAttempt, held: HeldAnswer): boolean {
     this.tried.mayHaveRun += 1;
     this.fallback = held;
     if (this.active.size > 0 || this.isSelecting) return true;
-    const may = this.retries.afterError(attempt, held.answer.statusCode ?? SERVER_ERROR);
-    // Where no other runner is left, this answer has been given by now.
-    if (may) this.sendNext();
-    return may;
+    const willRetry = this.retries.afterError(attempt, held.answer.statusCode ?? SERVER_ERROR);
+    // If no other runner is available, `sendNext` has already sent this error to the caller.
+    if (willRetry) this.sendNext();
+    return willRetry;
   }
 
-  /** @returns Whether the caller gets a runner's own error for want of a better answer. */
+  /** @returns Whether a runner's server error was sent to the caller because there is no better answer. */
   private answerFallback(): boolean {
     if (!this.fallback || this.relay.hasHead) return false;
-    this.answerHeld(this.fallback);
+    this.answerBuffered(this.fallback);
     return true;
   }
 
@@ -263,7 +264,7 @@
     if (!this.answerFallback()) this.endWith({ status: 504, reason: 'deadline' });
   }
 
-  /** Gives the reason why there is no runner, unless an attempt's own is known. */
+  /** Ends the request with the failure of its last attempt or, if there is none, the reason why no runner is available. */
   private giveUp(verdict: 'refuse' | 'fail', failure?: AttemptFailure): void {
     if (this.answerFallback()) return;
     const now = this.now();
@@ -282,16 +283,16 @@
     this.timer.clear();
     for (const attempt of this.active) {
       attempt.cancel();
-      this.guard.abandoned(attempt);
+      this.quarantine.abandoned(attempt);
     }
     this.active.clear();
   }
 
-  private lookAgain(): void {
-    this.timer.set(nextCheck(this.patienceView()));
+  private scheduleCheck(): void {
+    this.timer.set(nextCheck(this.progress()));
   }
 
-  private patienceView() {
+  private progress() {
     return {
       request: this.request,
       now: this.now(),
@@ -310,31 +311,31 @@
       this.expire();
       return;
     }
-    const view = this.patienceView();
-    const quiet = quietAttempt(view);
-    if (quiet) {
-      quiet.attempt.probe(() => quietAttempt(this.patienceView())?.ifAccepted ?? 'not_silent');
+    const progress = this.progress();
+    const stalled = quietAttempt(progress);
+    if (stalled) {
+      stalled.attempt.probe(() => quietAttempt(this.progress())?.ifAccepted ?? 'not_silent');
     } else if (
-      shouldHedge(view) &&
-      this.guard.mayHedge &&
-      this.context.budget.take(this.request.service, view.now)
+      shouldHedge(progress) &&
+      this.quarantine.mayHedge &&
+      this.context.budget.take(this.request.service, progress.now)
     ) {
       this.report.hedged();
       this.sendNext();
       return;
     }
-    this.lookAgain();
+    this.scheduleCheck();
   }
 
-  /** Breaking it off may save the runner that has it. */
-  private quarantined(): void {
+  /** Ends a request that was put into quarantine; cancelling it may save the runner that is working on it. */
+  private onQuarantined(): void {
     if (this.relay.isDone) return;
     const mayHaveRun = this.active.size > 0 || this.tried.mayHaveRun > 0;
-    this.endWith(mayHaveRun ? { status: 502, reason: 'quarantined' } : this.guard.refusal);
+    this.endWith(mayHaveRun ? { status: 502, reason: 'quarantined' } : this.quarantine.refusal);
   }
 
   private end(event: EndEvent, outcome: string): void {
-    this.guard.end();
+    this.quarantine.end();
     const { firstAnswerAt, tried, relay } = this;
     this.report.ended({ event, outcome, status: relay.status, firstAnswerAt, tried: tried.count });
   }
--- a/src/forwarding/ForwardingMetrics.ts
+++ b/src/forwarding/ForwardingMetrics.ts
@@ -1,16 +1,16 @@
 /**
- * Counters and latencies of the forwarding path.
+ * Metrics of the forwarding path.
  */
 import type { MetricRegistry } from '../metrics/MetricRegistry.js';
 
-/** Steps of latencies, in seconds. */
+/** Resolution of recorded latencies, in seconds. */
 const LATENCY_RESOLUTION_SECONDS = 0.001;
 
-/** Longest latency that is told apart, in seconds: above the longest timeout of a route. */
+/** Largest latency that is recorded exactly, in seconds; above the longest timeout of a route. */
 const LATENCY_MAXIMUM_SECONDS = 60;
 
 /**
- * @param registry - of the process.
+ * @param registry - metric registry of the process.
  * @returns The metrics of the forwarding path.
  */
 export function createForwardingMetrics(registry: MetricRegistry) {
--- a/src/forwarding/HeldAnswers.ts
+++ b/src/forwarding/HeldAnswers.ts
@@ -1,6 +1,6 @@
 /**
- * The answers to one request that are held until they are complete, so that a broken one can be replaced. One
- * that grows too large passes as it comes instead.
+ * Buffers the answers to one request until they are complete, so that a broken one can be replaced by another runner's.
+ * An answer that grows too large is forwarded as it arrives instead.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -8,41 +8,43 @@
 import type { RunnerAttempt } from './RunnerAttempt.js';
 
 /**
- * Answers up to this size are held, in bytes. Plain calls answer with about 1 kB; a hundred answers of this size
- * at once take 26 MB of the 160 that a daemon may use.
+ * Maximum size of a buffered answer, in bytes. Answers to plain calls have about 1 kB; a hundred answers of the maximum
+ * size at once take 26 MB of the 160 MB that a daemon may use.
  */
-const MAXIMUM_HELD_BYTES = 262_144;
+const MAXIMUM_BUFFERED_BYTES = 262_144;
 
-/** Owns what has come for one request and is not with its caller yet. */
+/** Answers to one request, by attempt, that have not been sent to the caller yet. */
 export class HeldAnswers {
   private readonly relay: AnswerRelay;
 
-  private readonly held = new Map<RunnerAttempt, HeldAnswer>();
+  private readonly answersByAttempt = new Map<RunnerAttempt, HeldAnswer>();
 
-  private passing: RunnerAttempt | undefined;
+  private passingAttempt: RunnerAttempt | undefined;
 
   /**
-   * @param relay - to the caller.
+   * @param relay - writes to the caller.
    */
   constructor(relay: AnswerRelay) {
     this.relay = relay;
   }
 
   /**
-   * @param attempt - whose answer's head is there.
-   * @param answer - the head.
+   * @param attempt - attempt whose answer has begun.
+   * @param answer - head of the answer.
    */
   begin(attempt: RunnerAttempt, answer: IncomingMessage): void {
-    this.held.set(attempt, { answer, chunks: [], bytes: 0 });
+    this.answersByAttempt.set(attempt, { answer, chunks: [], bytes: 0 });
   }
 
   /**
-   * @param attempt - whose answer has begun.
-   * @param chunk - bytes of its body.
-   * @returns Whether this answer passes to the caller; no other can be given any more.
+   * Buffers or forwards bytes of an answer.
+   *
+   * @param attempt - attempt whose answer has begun.
+   * @param chunk - bytes of the body.
+   * @returns Whether this answer is being forwarded to the caller, so that no other one can be sent.
    */
   take(attempt: RunnerAttempt, chunk: Buffer): boolean {
-    const held = this.held.get(attempt);
+    const held = this.answersByAttempt.get(attempt);
     if (!held) return false;
     if (this.isPassing(attempt)) {
       this.pass(held, [chunk]);
@@ -50,37 +52,37 @@
     }
     held.chunks.push(chunk);
     held.bytes += chunk.length;
-    if (held.bytes <= MAXIMUM_HELD_BYTES) return false;
-    this.passing = attempt;
+    if (held.bytes <= MAXIMUM_BUFFERED_BYTES) return false;
+    this.passingAttempt = attempt;
     this.relay.begin(held.answer);
     this.pass(held, held.chunks.splice(0));
     return true;
   }
 
   /**
-   * @param attempt - any of the request's.
-   * @returns Whether its answer passes as it comes.
+   * @param attempt - an attempt of the request.
+   * @returns Whether its answer is forwarded as it arrives.
    */
   isPassing(attempt: RunnerAttempt): boolean {
-    return attempt === this.passing;
+    return attempt === this.passingAttempt;
   }
 
   /**
-   * @param attempt - any of the request's.
-   * @returns Its answer as far as it has come, or `undefined` before its head.
+   * @param attempt - an attempt of the request.
+   * @returns Its answer as far as it has arrived, or `undefined` before its head.
    */
   of(attempt: RunnerAttempt): HeldAnswer | undefined {
-    return this.held.get(attempt);
+    return this.answersByAttempt.get(attempt);
   }
 
   /**
-   * @param attempt - whose answer will not be complete.
+   * @param attempt - attempt that failed, so that its answer will not be complete.
    */
   drop(attempt: RunnerAttempt): void {
-    this.held.delete(attempt);
+    this.answersByAttempt.delete(attempt);
   }
 
-  /** The runner waits while the caller does not keep up, or its whole answer would stand in memory. */
+  /** Pauses the runner while the caller does not keep up; otherwise the whole answer would accumulate in memory. */
   private pass({ answer }: HeldAnswer, chunks: readonly Buffer[]): void {
     const keepsUp = chunks.map((chunk) => this.relay.pass(chunk)).every(Boolean);
     if (keepsUp) return;
--- a/src/forwarding/LinkCheck.spec.ts
+++ b/src/forwarding/LinkCheck.spec.ts
@@ -48,57 +48,58 @@
     return runner;
   }
 
-  function check(suspect: Runner): Promise<boolean> {
+  function askLink(suspect: Runner): Promise<boolean> {
     return new Promise((done) => {
       link.ask(suspect, done);
     });
   }
 
-  it('knows nothing where there is no other runner', async () => {
-    expect(await check(addRunner('alone', hanging.port))).toEqual(false);
+  it('blames no runner if there is no other one to compare with', async () => {
+    expect(await askLink(addRunner('alone', hanging.port))).toEqual(false);
   });
 
-  it('takes the link for sound when one of the runners heard from last accepts', async () => {
+  it('considers the link healthy when one of the runners that sent data last accepts', async () => {
     const suspect = addRunner('suspect', hanging.port);
     addRunner('dark', hanging.port, 3);
     addRunner('there', openPort, 2);
-    expect(await check(suspect)).toEqual(true);
+    expect(await askLink(suspect)).toEqual(true);
     expect(log.lines).toEqual([]);
   });
 
-  it('says once that the link is suspected, and once that it is sound again', async () => {
+  it('logs once that the link is suspected, and once that it has recovered', async () => {
     const suspect = addRunner('suspect', hanging.port);
     addRunner('dark', hanging.port);
-    expect([await check(suspect), await check(suspect)]).toEqual([false, false]);
+    expect([await askLink(suspect), await askLink(suspect)]).toEqual([false, false]);
     expect(log.of(forwardingLogEvents.linkSuspected).length).toEqual(1);
     addRunner('there', openPort, 1);
-    expect([await check(suspect), await check(suspect)]).toEqual([true, true]);
+    expect([await askLink(suspect), await askLink(suspect)]).toEqual([true, true]);
     expect(log.of(forwardingLogEvents.linkSound)).toEqual([{ witness: 'there', milliseconds: 0 }]);
   });
 
-  it('finds a far runner in the end, where those that were heard from last are all dark', async () => {
-    // Symptom: all new requests of a daemon are refused, seconds long, though a data centre away runners are sound.
-    // Sequence: a rack is gone; the runners heard from last are its own. Cause: they were asked about each other again
-    // and again, so that none of them was ever found dark, and the far ones were never heard from.
+  it('eventually probes a distant runner if all that sent data last are unresponsive', async () => {
+    // Guards against refusing all new requests of a daemon for seconds although runners in another data centre are healthy.
+    // A rack fails, and the runners that sent data last are all in it. They were used as references for each other again
+    // and again, so none of them was ever found unresponsive, and distant runners were never probed.
     const suspect = addRunner('suspect', hanging.port, 9);
     for (const id of ['near-1', 'near-2', 'near-3']) addRunner(id, hanging.port, 8);
     addRunner('far', openPort, 1);
-    expect([await check(suspect), await check(suspect)]).toEqual([false, true]);
+    expect([await askLink(suspect), await askLink(suspect)]).toEqual([false, true]);
   });
 
-  it('asks a runner again before it is taken for dark', async () => {
-    // Symptom: sound runners are given up just when a full link is free again. Sequence: a runner is asked while the
-    // link is full, the witness afterwards. Cause: the two were compared although the link was another one by then.
+  it('probes a runner again before it is considered unresponsive', async () => {
+    // Guards against giving up healthy runners just when a saturated link recovers. A runner is probed while the link is
+    // saturated, and the reference runner afterwards, so the two results are not comparable.
     const suspect = addRunner('suspect', openPort);
     addRunner('there', openPort);
-    expect(await check(suspect)).toEqual(false);
+    expect(await askLink(suspect)).toEqual(false);
   });
 
-  it('does not let a runner that accepts bear witness against itself', async () => {
-    // Symptom: a runner that accepts connections is taken for dark. Sequence: its new connection waits 90 ms; a check
-    // that began for another runner asks it too, and it accepts. Cause: its own word counted as that of another one.
+  it('does not use a runner that accepts as a reference against itself', async () => {
+    // Guards against considering a runner unresponsive although it accepts connections. A new connection to it hangs for
+    // 90 ms; a check that began for another runner probes it as a reference, and it accepts. Its own result was counted as
+    // that of another runner.
     const there = addRunner('there', openPort);
     const suspect = addRunner('suspect', hanging.port);
-    expect(await Promise.all([check(suspect), check(there)])).toEqual([true, false]);
+    expect(await Promise.all([askLink(suspect), askLink(there)])).toEqual([true, false]);
   });
 });
--- a/src/forwarding/LinkCheck.ts
+++ b/src/forwarding/LinkCheck.ts
@@ -1,10 +1,11 @@
 /**
- * Tells a dark runner from a full or cut link of this daemon's own, by asking other runners and then the first one again.
+ * Distinguishes an unresponsive runner from a saturated or failed network link of this daemon, by probing other runners
+ * and then the first one again.
  *
- * What goes wrong without it: a large configuration, or a squeeze, fills the daemon's link for a second. Whatever
- * runners say waits behind it, and so does their acceptance of new connections. Each runner then looks dark; the daemon
- * gives up streams that are well served, finds nobody to go on with, and cuts them. One would see connections given up
- * at one daemon for all runners alike.
+ * Without it, a large configuration or a bandwidth bottleneck may saturate the daemon's link for a second. The runners'
+ * data is delayed, and so is their acceptance of new connections, so that each runner looks unresponsive. The daemon
+ * would give up healthy streams, find no runner to resume them, and cut them. The symptom is that one daemon gives up
+ * connections to all runners alike.
  */
 import type { Log } from '../logging/Log.js';
 import type { Runner } from '../runners/Runner.js';
@@ -15,78 +16,85 @@
 
 /** Options of a {@link LinkCheck}. */
 export interface LinkCheckOptions {
-  /** All runners that are listed. */
+  /** Returns all listed runners. */
   runners: () => readonly Runner[];
   clock: Clock;
   log: Log;
   metrics: Pick<ForwardingMetrics, 'linkChecks'>;
 }
 
-/** Told whether the runner alone accepts no connection; `false` also where nothing is known. */
+/** Called with whether the runner is unresponsive while others are not; `false` also if that could not be determined. */
 export type DarkListener = (isDark: boolean) => void;
 
-/** How many runners are asked at once: one that is dark too must not speak for the link. */
-const WITNESSES = 3;
+/** Number of reference runners that are probed at once; with a single one, its own failure would look like a failed link. */
+const REFERENCE_RUNNERS = 3;
 
 interface Check {
+  /** Runners whose state the check has to determine. */
   readonly asked: { readonly suspect: Runner; readonly done: DarkListener }[];
-  /** Witnesses that have not told anything yet. */
+  /** Reference runners whose probe has no result yet. */
   readonly pending: Set<Runner>;
 }
 
-/** Owns the check under way; those who ask meanwhile share it. */
+/** Checks the daemon's network link; questions that arrive during a check share its result. */
 export class LinkCheck {
   private readonly options: LinkCheckOptions;
 
+  /** The check in progress. */
   private underWay: Check | undefined;
 
-  /** When runners last did not accept a connection, monotonic ms. */
+  /** When each runner last failed to accept a connection, monotonic ms. */
   private readonly missedAt = new WeakMap<Runner, number>();
 
-  /** Since when no runner accepts connections, monotonic ms. */
+  /** Since when the link has been suspected, monotonic ms; `undefined` while it is not. */
   private suspectSince: number | undefined;
 
   /**
-   * @param options - whom to ask.
+   * @param options - the runners, clock, log and metrics.
    */
   constructor(options: LinkCheckOptions) {
     this.options = options;
   }
 
-  /** @returns Whether the last runners that were asked, several of them, accepted no connection. */
+  /** @returns Whether the link is suspected, because all runners that were probed last accepted no connection. */
   get isSuspect(): boolean {
     return this.suspectSince !== undefined;
   }
 
   /**
-   * Asks runners that were heard from last, those that have missed a connection since only after all others: where
-   * the near runners are dark, a far one has to be asked in the end, or nobody would ever be found dark.
+   * Determines whether a runner is unresponsive or the link is saturated.
    *
-   * @param suspect - a runner that did not accept a connection.
-   * @param done - called once, later.
+   * Probes the runners that sent data most recently. Those that have failed to accept a connection since then come after
+   * all others: if all near runners are unresponsive, a distant one has to be probed eventually, or no runner would ever
+   * be found unresponsive.
+   *
+   * @param suspect - runner that did not accept a connection.
+   * @param done - called once with the result, possibly at once.
    */
   ask(suspect: Runner, done: DarkListener): void {
-    this.missed(suspect);
+    this.recordMissed(suspect);
     if (this.underWay) {
       this.underWay.asked.push({ suspect, done });
       return;
     }
-    const witnesses = this.witnessesBeside(suspect);
-    const check: Check = { asked: [{ suspect, done }], pending: new Set(witnesses) };
-    if (witnesses.length === 0) {
+    const references = this.referenceRunnersFor(suspect);
+    const check: Check = { asked: [{ suspect, done }], pending: new Set(references) };
+    if (references.length === 0) {
       done(false);
       return;
     }
     this.underWay = check;
-    for (const witness of witnesses) {
-      probeRunner(witness, (result) => this.heard(check, witness, result !== 'no_answer'));
+    for (const reference of references) {
+      probeRunner(reference, (result) =>
+        this.handleReferenceResult(check, reference, result !== 'no_answer'),
+      );
     }
   }
 
   /**
-   * Notes that a runner accepted a connection.
+   * Records that a runner accepted a connection, which shows that the link works.
    *
-   * @param runner - that did.
+   * @param runner - runner that accepted it.
    */
   accepted(runner: Runner): void {
     this.missedAt.delete(runner);
@@ -97,7 +105,7 @@
     log.write(forwardingLogEvents.linkSound, { witness: runner.entry.id, milliseconds });
   }
 
-  private missed(runner: Runner): void {
+  private recordMissed(runner: Runner): void {
     this.missedAt.set(runner, this.options.clock.monotonicMilliseconds());
   }
 
@@ -106,7 +114,7 @@
     return missedAt !== undefined && missedAt >= runner.lastHeardAt;
   }
 
-  private witnessesBeside({ entry }: Runner): Runner[] {
+  private referenceRunnersFor({ entry }: Runner): Runner[] {
     return this.options
       .runners()
       .filter((runner) => runner.entry.life !== entry.life)
@@ -116,26 +124,26 @@
           other.lastHeardAt - one.lastHeardAt ||
           0,
       )
-      .slice(0, WITNESSES);
+      .slice(0, REFERENCE_RUNNERS);
   }
 
-  private heard(check: Check, witness: Runner, isThere: boolean): void {
-    check.pending.delete(witness);
-    if (isThere) this.accepted(witness);
-    else this.missed(witness);
-    // The first witness that is there ends the check; what others say later only counts for themselves.
-    if (this.underWay !== check || (!isThere && check.pending.size > 0)) return;
+  private handleReferenceResult(check: Check, reference: Runner, isAccepting: boolean): void {
+    check.pending.delete(reference);
+    if (isAccepting) this.accepted(reference);
+    else this.recordMissed(reference);
+    // The first reference runner that accepts ends the check; later results only concern the runners themselves.
+    if (this.underWay !== check || (!isAccepting && check.pending.size > 0)) return;
     this.underWay = undefined;
-    this.options.metrics.linkChecks.increment({ result: isThere ? 'sound' : 'suspect' });
-    if (isThere) this.askAgain(check);
-    else this.suspectLink(check);
+    this.options.metrics.linkChecks.increment({ result: isAccepting ? 'sound' : 'suspect' });
+    if (isAccepting) this.probeSuspectsAgain(check);
+    else this.reportLinkSuspected(check);
   }
 
   /**
-   * The link may have become free after the runner was asked and before the witness was; or a single packet was lost.
-   * Only a runner that is still not there, when others are, is dark.
+   * Probes the suspects again. The link may have recovered after the suspect was probed and before the reference runner
+   * was, or a single packet was lost. Only a runner that still accepts no connection while others do is unresponsive.
    */
-  private askAgain({ asked }: Check): void {
+  private probeSuspectsAgain({ asked }: Check): void {
     for (const { suspect, done } of asked) {
       probeRunner(suspect, (result) => {
         if (result === 'accepted') this.accepted(suspect);
@@ -144,7 +152,7 @@
     }
   }
 
-  private suspectLink({ asked }: Check): void {
+  private reportLinkSuspected({ asked }: Check): void {
     const { clock, log } = this.options;
     if (this.suspectSince === undefined) {
       this.suspectSince = clock.monotonicMilliseconds();
--- a/src/forwarding/QuarantineGuard.ts
+++ b/src/forwarding/QuarantineGuard.ts
@@ -1,28 +1,30 @@
 /**
- * One request's dealings with the quarantine: whether it may run, and what its attempts tell of runners that crashed.
+ * Connects one request to the quarantine: checks whether the request may run, and reports the results of its attempts,
+ * from which the quarantine recognises requests that crash runners.
  */
 import type { QuarantineListener, RequestQuarantine } from '../quarantine/RequestQuarantine.js';
 import type { OwnAnswer } from './AnswerRelay.js';
 import type { AttemptFailure, RunnerAttempt } from './RunnerAttempt.js';
 
-/** A suspect that is under way is answered, or has crashed its runner, within about this time; in seconds. */
+/** `Retry-After` while the same suspect request is in progress, in seconds; it is answered, or crashes its runner, within
+ * about this time. */
 const SUSPECT_RETRY_SECONDS = 0.5;
 
-/** A runner's answer to a deadline that has passed: the request may not have come to what crashes the runner. */
+/** A runner's answer after the deadline has passed; the request may not have reached the point that crashes the runner. */
 const GATEWAY_TIMEOUT = 504;
 
 /** Options of a {@link QuarantineGuard}. */
 export interface QuarantineGuardOptions {
   quarantine: RequestQuarantine;
-  /** Of the request. */
+  /** Digest of the request. */
   digest: string;
-  /** Told when the request must reach no more runners. */
+  /** Called when the request has been put into quarantine and must not reach another runner. */
   onQuarantined: QuarantineListener;
 }
 
-/** Kept by one request. */
+/** Quarantine state of one request. */
 export class QuarantineGuard {
-  /** The same for each arrival of the request. */
+  /** Digest of the request; the same each time the caller sends it. */
   readonly digest: string;
 
   private readonly quarantine: RequestQuarantine;
@@ -30,7 +32,7 @@
   private readonly onQuarantined: QuarantineListener;
 
   /**
-   * @param options - the request.
+   * @param options - the quarantine and the digest of the request.
    */
   constructor({ quarantine, digest, onQuarantined }: QuarantineGuardOptions) {
     this.quarantine = quarantine;
@@ -38,20 +40,21 @@
     this.onQuarantined = onQuarantined;
   }
 
-  /** @returns Whether more than one runner has crashed under the request. */
+  /** @returns Whether more than one runner has crashed while it was running the request. */
   get isRepeatedSuspect(): boolean {
     return this.quarantine.isRepeatedSuspect(this.digest);
   }
 
-  /** @returns Whether it may be sent to a second runner beside the first. */
+  /** @returns Whether the request may be hedged, which only requests that are not suspects may. */
   get mayHedge(): boolean {
     return this.quarantine.standingOf(this.digest) === 'sound';
   }
 
   /**
-   * Suspects run one at a time, so that a request that crashes runners does not reach several at once.
+   * Begins the request, unless it is in quarantine or the same suspect request is in progress. Suspects run one at a
+   * time, so that a request that crashes runners does not reach several of them at once.
    *
-   * @returns The answer to a request that may not run now, or `undefined` where it has begun.
+   * @returns The refusal of a request that may not run now, or `undefined` if it has begun.
    */
   begin(): OwnAnswer | undefined {
     const { quarantine, digest } = this;
@@ -65,34 +68,40 @@
     return undefined;
   }
 
-  /** @returns The answer to a request in quarantine that no runner has. */
+  /** @returns The refusal of a request in quarantine that no runner has received. */
   get refusal(): OwnAnswer {
     const retryAfterSeconds = this.quarantine.retryAfterSeconds(this.digest);
     return { status: 503, reason: 'quarantined', retryAfterSeconds };
   }
 
-  /** The request is over. */
+  /** Records the end of the request. */
   end(): void {
     this.quarantine.end(this.digest, this.onQuarantined);
   }
 
   /**
-   * @param status - of a runner's whole answer.
+   * Records a complete answer, which shows that the request did not crash the runner.
+   *
+   * @param status - status code of the answer.
    */
   answered(status: number): void {
     if (status !== GATEWAY_TIMEOUT) this.quarantine.answered(this.digest);
   }
 
   /**
-   * @param attempt - that is broken off here.
+   * Records an attempt that this daemon cancelled.
+   *
+   * @param attempt - cancelled attempt.
    */
   abandoned({ runner, startedAt }: RunnerAttempt): void {
     this.quarantine.abandoned(runner, { digest: this.digest, startedAt });
   }
 
   /**
-   * @param attempt - that got no answer.
-   * @param failure - how it failed.
+   * Records a failed attempt; a broken connection may be due to a crash of the runner.
+   *
+   * @param attempt - attempt that failed.
+   * @param failure - kind of failure.
    */
   failed({ runner, startedAt }: RunnerAttempt, failure: AttemptFailure): void {
     const { quarantine, digest } = this;
--- a/src/forwarding/RequestReport.ts
+++ b/src/forwarding/RequestReport.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the log and the metrics what became of one request: a line for each decision, with the request's id
- * and what decided it.
+ * Reports the decisions about one request and its result to the log and the metrics. Each log line has the request's id
+ * and the values on which the decision was based.
  */
 import type { LogEvent } from '../logging/logEvent.js';
 import type { Runner } from '../runners/Runner.js';
@@ -13,24 +13,24 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Decimals of the mean load that a reader needs. */
-const LOAD_STEPS = 100;
+/** Rounds the mean load to two decimals, which is as much as a reader needs. */
+const LOAD_ROUNDING = 100;
 
-/** Decimals of the room in the retry budget that a reader needs. */
-const BUDGET_STEPS = 10;
+/** Rounds the room in the retry budget to one decimal, which is as much as a reader needs. */
+const BUDGET_ROUNDING = 10;
 
-/** The events that end a request. */
+/** Log events that end a request. */
 export type EndEvent = 'answered' | 'notServed' | 'callerLeft';
 
 /** How a request ended. */
 export interface RequestEnd {
   readonly event: EndEvent;
   readonly outcome: string;
-  /** The status that the caller got, or 0. */
+  /** Status code that the caller got, or 0 if it got none. */
   readonly status: number;
-  /** When its first event or its answer was there, monotonic ms. */
+  /** When the first event or the complete answer arrived, monotonic ms. */
   readonly firstAnswerAt: number | undefined;
-  /** Runners that were tried. */
+  /** Number of attempts. */
   readonly tried: number;
 }
 
@@ -38,11 +38,11 @@
 export interface RequestReportOptions {
   request: AdmittedRequest;
   context: ForwardingContext;
-  /** Of the request: the same for each of its arrivals. */
+  /** Digest of the request; the same each time the caller sends it. */
   digest: string;
 }
 
-/** One request's lines. */
+/** Reporter of one request. */
 export class RequestReport {
   private readonly request: AdmittedRequest;
 
@@ -53,7 +53,7 @@
   private choice: Choice | undefined;
 
   /**
-   * @param options - the request.
+   * @param options - the request, its digest, and the log and metrics.
    */
   constructor({ request, context, digest }: RequestReportOptions) {
     this.request = request;
@@ -62,38 +62,45 @@
   }
 
   /**
-   * @param choice - the runner that the next attempt goes to; told with the request's end.
+   * Remembers the choice; it is logged when the request ends.
+   *
+   * @param choice - runner of the next attempt, with the reason for it.
    */
   chosen(choice: Choice): void {
     this.choice = choice;
   }
 
-  /** A second runner is asked beside the first. */
+  /** Logs that the request is hedged: sent to a second runner while the first is still working on it. */
   hedged(): void {
     const { choice } = this;
-    this.write(forwardingLogEvents.hedged, { runner: choice?.runner.entry.id, ...this.budget() });
+    this.write(forwardingLogEvents.hedged, {
+      runner: choice?.runner.entry.id,
+      ...this.budgetFields(),
+    });
   }
 
   /**
-   * A runner has answered with an error of its own.
+   * Logs that a runner answered with a server error.
    *
-   * @param attempt - that has ended so.
-   * @param status - of the answer.
-   * @param decided - whether another runner is asked, and why not.
+   * @param attempt - attempt that got the error.
+   * @param status - status code of the answer.
+   * @param decided - whether the request is retried, and if not, why.
    */
   runnersError(attempt: RunnerAttempt, status: number, decided: RetryDecision): void {
     this.write(forwardingLogEvents.runnersError, {
       runner: attempt.runner.entry.id,
       status,
       ...decided,
-      ...this.budget(),
+      ...this.budgetFields(),
     });
   }
 
   /**
-   * @param attempt - that failed.
-   * @param failure - how.
-   * @param decided - what was decided, why no other runner is asked, and the stream's last event.
+   * Logs and counts a failed attempt.
+   *
+   * @param attempt - attempt that failed.
+   * @param failure - kind of failure.
+   * @param decided - the verdict, why the request is not retried, and the last event of the stream.
    */
   attemptFailed(
     attempt: RunnerAttempt,
@@ -108,16 +115,18 @@
       digest: this.digest,
       failure,
       attemptMilliseconds: Math.round(now - attempt.startedAt),
-      // Since the runner said anything to anybody: a runner that others hear is not dark.
+      // Time since the runner sent data for any request; a runner that still serves others is not unresponsive.
       heardMilliseconds: Number.isFinite(heardAt) ? Math.round(now - heardAt) : undefined,
       ...decided,
-      ...this.budget(),
+      ...this.budgetFields(),
     });
   }
 
   /**
-   * @param runner - that is left alone from now on.
-   * @param outcome - what was the last straw.
+   * Logs that a runner is ejected for a while because of its failures.
+   *
+   * @param runner - runner that gets no requests for now.
+   * @param outcome - the outcome that led to the ejection.
    */
   runnerPaused({ entry }: Runner, outcome: RunnerOutcome): void {
     const { id, service } = entry;
@@ -125,6 +134,8 @@
   }
 
   /**
+   * Logs the end of the request, and records its outcome and latency.
+   *
    * @param end - how the request ended.
    */
   ended({ event, outcome, status, firstAnswerAt, tried }: RequestEnd): void {
@@ -147,19 +158,19 @@
       parts: this.request.sharedParts.join() || undefined,
       cacheSource: this.choice?.cacheSource?.entry.id,
       load: this.choice?.load,
-      meanLoad: this.choice && Math.round(this.choice.meanLoad * LOAD_STEPS) / LOAD_STEPS,
+      meanLoad: this.choice && Math.round(this.choice.meanLoad * LOAD_ROUNDING) / LOAD_ROUNDING,
       tried,
       firstMilliseconds: firstAnswerAt && Math.round(firstAnswerAt - arrivedAt),
       milliseconds: Math.round(clock.monotonicMilliseconds() - arrivedAt),
     });
   }
 
-  /** What decides whether a request may be sent once more. */
-  private budget(): Record<string, number> {
+  /** State of the retry budget, which determines whether the request may be retried. */
+  private budgetFields(): Record<string, number> {
     const { budget, clock } = this.context;
     const view = budget.viewOf(this.request.service, clock.monotonicMilliseconds());
     return {
-      budgetRoom: Math.round(view.room * BUDGET_STEPS) / BUDGET_STEPS,
+      budgetRoom: Math.round(view.room * BUDGET_ROUNDING) / BUDGET_ROUNDING,
       budgetSpent: view.spent,
       budgetRequests: view.requests,
       budgetAgeMilliseconds: Math.round(view.ageMilliseconds),
--- a/src/forwarding/RequestRetries.ts
+++ b/src/forwarding/RequestRetries.ts
@@ -1,5 +1,5 @@
 /**
- * Whether one request may be sent to another runner.
+ * Decides whether one request may be retried at another runner.
  */
 import type { AdmittedRequest, ForwardingContext } from './forwardingTypes.js';
 import type { QuarantineGuard } from './QuarantineGuard.js';
@@ -14,28 +14,28 @@
   request: AdmittedRequest;
   context: Pick<ForwardingContext, 'clock' | 'budget'>;
   tried: TriedRunners;
-  guard: QuarantineGuard;
+  quarantine: QuarantineGuard;
   report: Pick<RequestReport, 'runnersError'>;
 }
 
-/** Kept by one request. */
+/** Retry decisions of one request, based on its attempts, its deadline and the retry budget. */
 export class RequestRetries {
   private readonly options: RequestRetriesOptions;
 
   /**
-   * @param options - the request.
+   * @param options - the request, its attempts and the retry budget.
    */
   constructor(options: RequestRetriesOptions) {
     this.options = options;
   }
 
   /**
-   * @param failure - of the last attempt under way.
-   * @param hasFallback - whether the caller can be given a runner's own error instead.
-   * @returns What to do now.
+   * @param failure - failure of the last attempt in progress.
+   * @param hasFallback - whether a runner's server error can be sent to the caller instead.
+   * @returns Whether to retry, and if not, why.
    */
   afterFailure(failure: AttemptFailure, hasFallback: boolean): RetryDecision {
-    const { request, tried, guard } = this.options;
+    const { request, tried, quarantine } = this.options;
     const { route, deadlineAt } = request;
     return decideRetry({
       kind: route.kind,
@@ -45,16 +45,16 @@
       notRun: tried.notRun,
       maximumAttempts: route.maximumAttempts,
       hasFallback,
-      isSuspect: guard.isRepeatedSuspect,
+      isSuspect: quarantine.isRepeatedSuspect,
       remainingMilliseconds: deadlineAt - this.now,
       takeBudget: () => this.takeBudget(),
     });
   }
 
   /**
-   * @param attempt - that its runner has answered with an error of its own.
-   * @param status - of that answer.
-   * @returns Whether another runner is asked for a second opinion.
+   * @param attempt - attempt that its runner answered with a server error.
+   * @param status - status code of that answer.
+   * @returns Whether the request is retried at another runner.
    */
   afterError(attempt: RunnerAttempt, status: number): boolean {
     const { request, tried, report } = this.options;
--- a/src/forwarding/RequestTimer.ts
+++ b/src/forwarding/RequestTimer.ts
@@ -1,33 +1,33 @@
 /**
- * The one timer of a request: when to look at it again.
+ * The single timer of a request, which determines when its state is checked next.
  */
 import type { Clock } from '../time/Clock.js';
 
 /** Options of a {@link RequestTimer}. */
 export interface RequestTimerOptions {
   clock: Clock;
-  /** Called at the time that was set last. */
+  /** Called at the time that was set last, after pending data has been read. */
   onTime: () => void;
 }
 
-/** Owns the timer. */
+/** One-shot timer that reads pending data before it fires. */
 export class RequestTimer {
   private readonly options: RequestTimerOptions;
 
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param options - clock, and who is called.
+   * @param options - clock and callback.
    */
   constructor(options: RequestTimerOptions) {
     this.options = options;
   }
 
   /**
-   * After a pause of the whole process timers come before the bytes that wait in its sockets: a whole answer would be
-   * thrown away for a deadline that it met. So the bytes are read first.
+   * Sets the timer. The callback runs only after the data that waits in the sockets has been read: after a pause of the
+   * whole process, timers fire first, and a complete answer that arrived in time would be discarded for its deadline.
    *
-   * @param time - monotonic ms; the time that was set before is dropped.
+   * @param time - monotonic ms; replaces the time that was set before.
    */
   set(time: number): void {
     const { clock, onTime } = this.options;
@@ -36,7 +36,7 @@
     this.timer = setTimeout(() => setImmediate(onTime), wait);
   }
 
-  /** Nobody is called any more, but for a time that has come. */
+  /** Cancels the timer; a callback whose time has already come may still run. */
   clear(): void {
     clearTimeout(this.timer);
   }
--- a/src/forwarding/RunnerAgent.ts
+++ b/src/forwarding/RunnerAgent.ts
@@ -1,49 +1,52 @@
 /**
- * Kept connections to one runner.
+ * Pool of keep-alive connections to one runner.
  *
- * What goes wrong with the library's defaults: a request is sent on a connection that the runner is closing
- * for idleness, and nobody knows whether it has run; or bytes that a runner sends after a complete answer are
- * taken for the answer to the next request. One would see resets on reused connections, and answers with the
- * id of another request. A connection is kept only well below the runner's own limit, and one that says
- * anything while idle is closed.
+ * The HTTP library's default pool fails in two ways. A request may be sent on a connection that the runner is closing
+ * because it was idle; it is then unknown whether the request has run. And bytes that a runner sends after a complete
+ * answer may be read as the answer to the next request. The symptoms are connection resets on reused connections, and
+ * answers with the id of another request. Therefore an idle connection is closed well before the runner's own idle
+ * limit, and also as soon as any data arrives on it.
  */
 import { Agent } from 'node:http';
 import type { ClientRequest } from 'node:http';
 import type { Socket } from 'node:net';
 
-/** Where a runner states no limit it is below one second, the smallest that its header can state. */
+/**
+ * Idle limit for a runner that sends no `Keep-Alive` timeout, in ms. Its limit may be below one second, the smallest
+ * value that the header can express.
+ */
 const UNSTATED_IDLE_MILLISECONDS = 400;
 
-/** A request is on its way for some ms, and timers of busy processes are late by more. */
+/** Margin before the runner's idle limit, in ms: a request takes a few ms to arrive, and timers of busy processes fire later still. */
 const IDLE_MARGIN_MILLISECONDS = 800;
 
-/** Longer than this a quiet connection may have gone dead without a sign. */
+/** Maximum idle time, in ms. A connection that was idle for longer may be dead without a reset having arrived. */
 const MAXIMUM_IDLE_MILLISECONDS = 6_000;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Idle connections beyond this are closed; a burst leaves no more behind. */
+/** Maximum number of idle connections; limits how many remain open after a burst. */
 const MAXIMUM_IDLE_CONNECTIONS = 16;
 
 interface IdleSocket extends Socket {
   _httpMessage?: { res?: { headers: Record<string, string | undefined> } };
 }
 
-interface IdleGuard {
+interface IdleWatch {
   readonly timer: NodeJS.Timeout;
   readonly onData: () => void;
 }
 
-function idleMilliseconds(hint: string | undefined): number {
-  const seconds = /timeout=(\d+)/u.exec(hint ?? '')?.[1];
+function idleLimitMilliseconds(keepAliveHeader: string | undefined): number {
+  const seconds = /timeout=(\d+)/u.exec(keepAliveHeader ?? '')?.[1];
   if (seconds === undefined) return UNSTATED_IDLE_MILLISECONDS;
   const limit = Number(seconds) * MILLISECONDS_PER_SECOND - IDLE_MARGIN_MILLISECONDS;
   return Math.min(MAXIMUM_IDLE_MILLISECONDS, limit);
 }
 
-/** The library's pool with guards on what is idle. */
+/** HTTP agent that closes idle connections early, and when data arrives on them. */
 export class RunnerAgent extends Agent {
-  private readonly guards = new WeakMap<Socket, IdleGuard>();
+  private readonly idleWatches = new WeakMap<Socket, IdleWatch>();
 
   private isReleased = false;
 
@@ -52,39 +55,39 @@
   }
 
   /**
-   * Called by the library when an answer is complete.
+   * Called by the HTTP library when an answer is complete.
    *
-   * @param socket - the connection.
-   * @returns Whether to keep it.
+   * @param socket - connection that has become idle.
+   * @returns Whether to keep the connection.
    */
   override keepSocketAlive(socket: IdleSocket): boolean {
     if (this.isReleased) return false;
-    const idle = idleMilliseconds(socket._httpMessage?.res?.headers['keep-alive']);
-    if (idle <= 0) return false;
+    const idleLimit = idleLimitMilliseconds(socket._httpMessage?.res?.headers['keep-alive']);
+    if (idleLimit <= 0) return false;
     const onData = () => socket.destroy();
     socket.on('data', onData);
-    const timer = setTimeout(onData, idle).unref();
-    this.guards.set(socket, { timer, onData });
+    const timer = setTimeout(onData, idleLimit).unref();
+    this.idleWatches.set(socket, { timer, onData });
     socket.unref();
     return true;
   }
 
   /**
-   * Called by the library before a kept connection gets the next request.
+   * Called by the HTTP library before an idle connection carries the next request.
    *
-   * @param socket - the connection.
-   * @param request - what it will carry.
+   * @param socket - idle connection.
+   * @param request - request that will be sent on it.
    */
   override reuseSocket(socket: Socket, request: ClientRequest): void {
-    const guard = this.guards.get(socket);
-    if (guard) {
-      clearTimeout(guard.timer);
-      socket.off('data', guard.onData);
+    const watch = this.idleWatches.get(socket);
+    if (watch) {
+      clearTimeout(watch.timer);
+      socket.off('data', watch.onData);
     }
     super.reuseSocket(socket, request);
   }
 
-  /** Closes what is idle, and keeps no more connections; requests in progress go on. */
+  /** Closes idle connections and keeps no others from now on; requests in progress continue. */
   release(): void {
     this.isReleased = true;
     for (const sockets of Object.values(this.freeSockets)) {
--- a/src/forwarding/RunnerAttempt.spec.ts
+++ b/src/forwarding/RunnerAttempt.spec.ts
@@ -10,10 +10,13 @@
 
 const HEAD = 'HTTP/1.1 200 OK\r\nSignature: s\r\nRequest-Id: r-1\r\n';
 
-/** How long this thread is kept from reading, so that bytes and reset wait together; in ms. */
+/** How long this thread is kept from reading, so that data and reset arrive together; in ms. */
 const BUSY_MILLISECONDS = 100;
 
-/** A runner in a thread of its own: it sends half an answer and resets the connection at once. */
+/**
+ * Runner in its own thread: sends part of an answer and then, depending on the path, resets the connection or closes it
+ * in order.
+ */
 const RESETTING_RUNNER = `
   const { createServer } = require('node:net');
   const { parentPort } = require('node:worker_threads');
@@ -61,17 +64,17 @@
     while (performance.now() < end);
   }
 
-  it('does not take a reset that comes with bytes for the end of an answer without a length', async () => {
-    // Symptom: a caller gets half an answer under success. Sequence: a runner answers without a length,
-    // dies in the middle, and its bytes and the reset wait together when this daemon reads. Cause: the event
-    // loop then reports an ordinary end, and the HTTP library takes that for the end of the answer.
+  it('detects a reset that arrives together with data of an answer without a length', async () => {
+    // Guards against a truncated answer with a success status. A runner answers without a length and dies in the middle,
+    // and its data and the reset are both waiting when this daemon reads. The event loop then reports an ordinary end,
+    // which the HTTP library treats as the end of the answer.
     const port = await startResettingRunner();
     const result = attemptAt({ port, target: '/reset' });
     setImmediate(() => setImmediate(() => setImmediate(keepThreadBusy)));
     expect((await result).outcome).toEqual('broken');
   });
 
-  it('takes the end of the connection for the end of an answer without a length', async () => {
+  it('treats an orderly close of the connection as the end of an answer without a length', async () => {
     const port = await startResettingRunner();
     expect(await attemptAt({ port, target: '/whole' })).toEqual({
       outcome: 'ended',
@@ -80,16 +83,16 @@
     });
   });
 
-  it('does not hand out the answer to another request', async () => {
-    // Symptom: a caller gets what belongs to another one. Sequence: a runner sends a second, late answer to
-    // the request before; it is there when this request's answer is expected. Cause: only the id tells.
+  it('rejects the answer to another request', async () => {
+    // Guards against sending one caller's answer to another. A runner sends a late second answer to the previous request,
+    // which arrives when the answer to this request is expected; only the id differs.
     const port = await listen((socket) => {
       socket.once('data', () => socket.write(`${HEAD}Content-Length: 2\r\n\r\nno`));
     });
     expect((await attemptAt({ port, requestId: 'r-2' })).outcome).toEqual('stray_answer');
   });
 
-  it('does not pass a success without the runner’s signature', async () => {
+  it('rejects a success without the runner’s signature', async () => {
     const port = await listen((socket) => {
       socket.once('data', () =>
         socket.write('HTTP/1.1 200 OK\r\nRequest-Id: r-1\r\nContent-Length: 2\r\n\r\nno'),
@@ -98,16 +101,15 @@
     expect((await attemptAt({ port })).outcome).toEqual('stray_answer');
   });
 
-  it('knows that nothing was sent where no connection could be made', async () => {
+  it('reports that nothing was sent if the connection was refused', async () => {
     const port = await listen(() => undefined);
     servers.splice(0).forEach((server) => server.close());
     expect((await attemptAt({ port })).outcome).toEqual('not_connected');
   });
 
-  it('does not blame the runner for an error of its own instance', async () => {
-    // Symptom: a daemon leaves sound runners alone, one after the other. Sequence: its instance has no descriptor or no
-    // route left for a moment, so that each new connection fails at once. Cause: such an error was taken for the
-    // refusal of the runner's instance.
+  it('does not blame the runner for a local error of this instance', async () => {
+    // Guards against ejecting healthy runners one after the other. The daemon's instance has no free file descriptor or no
+    // route for a moment, so each new connection fails at once; this was taken for a refusal by the runner's instance.
     const agent = new RunnerAgent();
     agent.createConnection = () => {
       const socket = new Socket();
@@ -119,10 +121,9 @@
     expect((await attemptAt({ port: 1, agent })).outcome).toEqual('connect_timeout');
   });
 
-  it('closes an idle connection on which something arrives', async () => {
-    // Symptom: answers belong to other requests. Sequence: a runner sends bytes after a complete answer,
-    // while the connection is idle; the next request is sent on it. Cause: the bytes wait where the next
-    // answer is expected.
+  it('closes an idle connection on which data arrives', async () => {
+    // Guards against answers that belong to other requests. A runner sends data after a complete answer, while the
+    // connection is idle; if the next request is sent on it, that data is read as its answer.
     const sockets: Socket[] = [];
     const answer = `${HEAD}Keep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok`;
     const port = await listen((socket) => {
--- a/src/forwarding/RunnerAttempt.ts
+++ b/src/forwarding/RunnerAttempt.ts
@@ -1,5 +1,5 @@
 /**
- * One request sent to one runner, from the connection to the last byte of the answer.
+ * One attempt: a request sent to one runner, from the connection to the last byte of the answer.
  */
 import { request as sendRequest } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
@@ -15,55 +15,60 @@
 import type { RunnerStatements } from './RunnerStatements.js';
 
 /**
- * How an attempt failed. It did not run after `not_connected` (the runner's instance refused the connection),
- * `connect_timeout` (it was not accepted in time, or this instance could open none) and `refused`; after `broken`,
- * `silent` and `stray_answer` (another request's answer, or one without a signature) the runner may have run it.
+ * How an attempt failed.
+ *
+ * The runner has not run the request after `not_connected` (the runner's instance refused the connection),
+ * `connect_timeout` (the connection was not accepted in time, or this instance could not open one) and `refused` (the
+ * runner declared that it did not run the request). It may have run the request after `broken` (the connection failed
+ * before the answer was complete), `silent` (the runner was unresponsive) and `stray_answer` (the answer belongs to
+ * another request or has no signature).
  */
 export type AttemptFailure =
   'not_connected' | 'connect_timeout' | 'refused' | 'broken' | 'silent' | 'stray_answer';
 
 /**
- * How a request that its runner says nothing for stands now. `not_silent`: something has come since, or there is no
- * other runner that may go on; `give_up`: the runner has kept it too long, even if it accepts connections.
+ * Re-evaluates a request whose runner has sent nothing for a while. `not_silent`: data has arrived since, or no other
+ * runner may take over; `wait`: give up only if the runner accepts no connection; `give_up`: the request has waited too
+ * long, even if the runner accepts connections.
  */
 export type SilenceQuestion = () => 'not_silent' | 'wait' | 'give_up';
 
-/** Hears what comes of an attempt; after `ended` or `failed` nothing more. */
+/** Receives the events of an attempt. `ended` or `failed` is the last one. */
 export abstract class AttemptObserver {
-  /** The answer's head is there. */
+  /** The head of the answer has arrived. */
   abstract answered(attempt: RunnerAttempt, answer: IncomingMessage): void;
 
-  /** Bytes of the body are there. */
+  /** Bytes of the body have arrived. */
   abstract received(attempt: RunnerAttempt, chunk: Buffer): void;
 
   /** The answer is complete. */
   abstract ended(attempt: RunnerAttempt): void;
 
-  /** There will be no complete answer. */
+  /** The attempt failed; there will be no complete answer. */
   abstract failed(attempt: RunnerAttempt, failure: AttemptFailure): void;
 }
 
 /** Options of a {@link RunnerAttempt}. */
 export interface RunnerAttemptOptions {
   runner: Runner;
-  /** Kept connections; `false` for a new one that is not kept. */
+  /** Pool of keep-alive connections; `false` for a new connection that is closed after the answer. */
   agent: RunnerAgent | false;
   protocol: RunnerProtocol;
   clock: Clock;
-  /** Hears what the runner says of itself. */
+  /** Receives the head of each answer, which may contain the runner's shutdown notice or `Retry-After`. */
   statements: Pick<RunnerStatements, 'take'>;
-  /** Tells a dark runner from a full link of this daemon's own. */
+  /** Distinguishes an unresponsive runner from a saturated network link of this daemon. */
   link: Pick<LinkCheck, 'ask' | 'accepted'>;
-  /** How long a new connection may take, in ms. */
+  /** Timeout for opening a new connection, in ms. */
   connectMilliseconds: number;
   observer: AttemptObserver;
   method: string;
-  /** Path with the query. */
+  /** Path and query. */
   target: string;
-  /** Flat, with everything that the runner gets. */
+  /** Flat list of alternating names and values; the complete headers that are sent to the runner. */
   headers: readonly string[];
   body: Buffer | undefined;
-  /** The id that the answer has to echo; none where the caller sent none. */
+  /** Id that the answer has to echo; `undefined` if the caller sent none. */
   requestId: string | undefined;
 }
 
@@ -71,11 +76,11 @@
 const SUCCESS = 200;
 const REDIRECT = 300;
 
-/** Owns the sending of one request. */
+/** Sends a request to one runner and reports the result to its observer. */
 export class RunnerAttempt {
   readonly runner: Runner;
 
-  /** When it was given to the runner's connection, monotonic ms. */
+  /** When the attempt was created, immediately before it is sent; monotonic ms. */
   readonly startedAt: number;
 
   private readonly options: RunnerAttemptOptions;
@@ -93,7 +98,7 @@
   private probing = false;
 
   /**
-   * @param options - what is sent where, and who hears of it.
+   * @param options - the request, its runner and the observer.
    */
   constructor(options: RunnerAttemptOptions) {
     this.options = options;
@@ -117,46 +122,49 @@
     });
     this.request = request;
     request.once('socket', (socket) => this.watchSocket(socket));
-    request.once('response', (answer) => this.takeAnswer(answer));
+    request.once('response', (answer) => this.handleAnswer(answer));
     request.on('error', (error: NodeJS.ErrnoException) => this.fail(this.failureOf(error)));
     request.end(body);
   }
 
-  /** Breaks the request off; nothing more is heard of it. */
+  /** Aborts the request; its observer gets no more events. */
   cancel(): void {
     if (this.settled) return;
-    this.settle();
+    this.markSettled();
     this.runner.health.abandoned();
     this.request?.destroy();
   }
 
   /**
-   * Gives the attempt up if its runner, which says nothing, accepts no connection although others do.
+   * Probes the runner with a new connection because it has sent nothing for a while. Fails the attempt if the runner
+   * accepts none although other runners do, or if it has kept the request too long.
    *
-   * @param silence - asks again how the request stands, each time something is known.
+   * @param checkStall - re-evaluates the request when the result of a probe is known, since data may have arrived.
    */
-  probe(silence: SilenceQuestion): void {
-    // Before there is a connection its own timeout decides, and the request has not run.
+  probe(checkStall: SilenceQuestion): void {
+    // Until the attempt is connected, the connect timeout applies and the request has not run.
     if (this.probing || !this.connected) return;
     this.probing = true;
-    probeRunner(this.runner, (result) => this.judge(result, silence));
+    probeRunner(this.runner, (result) => this.handleProbeResult(result, checkStall));
   }
 
-  private judge(result: ProbeResult, silence: SilenceQuestion): void {
+  private handleProbeResult(result: ProbeResult, checkStall: SilenceQuestion): void {
     const { link, clock } = this.options;
     if (result === 'no_answer') {
-      link.ask(this.runner, (isDark) => this.judgeDark(isDark, silence));
+      link.ask(this.runner, (isUnresponsive) =>
+        this.handleLinkCheckResult(isUnresponsive, checkStall),
+      );
       return;
     }
     this.probing = false;
-    const isOver = result === 'refused' || silence() === 'give_up';
-    if (isOver && silence() !== 'not_silent') this.fail('silent');
+    const shouldFail = result === 'refused' || checkStall() === 'give_up';
+    if (shouldFail && checkStall() !== 'not_silent') this.fail('silent');
     else this.runner.lastHeardAt = clock.monotonicMilliseconds();
   }
 
-  private judgeDark(isDark: boolean, silence: SilenceQuestion): void {
+  private handleLinkCheckResult(isUnresponsive: boolean, checkStall: SilenceQuestion): void {
     this.probing = false;
-    if (isDark && silence() !== 'not_silent') this.fail('silent');
+    if (isUnresponsive && checkStall() !== 'not_silent') this.fail('silent');
   }
 
   private watchSocket(socket: Socket): void {
@@ -164,19 +172,19 @@
       this.connected = true;
     } else {
       const { connectMilliseconds } = this.options;
-      this.connectTimer = setTimeout(() => this.giveUpConnecting(), connectMilliseconds);
+      this.connectTimer = setTimeout(() => this.onConnectTimeout(), connectMilliseconds);
       socket.once('connect', () => this.onConnect());
     }
     this.watchReset(socket);
   }
 
   /**
-   * An answer without a length ends with its connection, and half of one must not look whole.
+   * Detects connection resets, so that a truncated answer is not taken for a complete one.
    *
-   * What goes wrong: the runner resets the connection. The HTTP library takes that for the answer's end too;
-   * and where the reset arrives together with bytes, the event loop reports an ordinary end and no error at
-   * all. One would see short bodies under success. A connection that has been reset has no peer any more,
-   * one that was closed in order still has; these listeners stand before the library's own.
+   * An answer without a length ends when its connection is closed. The HTTP library treats a reset by the runner as the
+   * end of the answer, too; and if the reset arrives together with data, the event loop reports an ordinary end without
+   * an error. The symptom is a truncated body with a success status. A connection that was reset no longer has a peer
+   * address, while one that was closed in order still has it. These listeners have to run before the library's own.
    */
   private watchReset(socket: Socket): void {
     const onError = () => {
@@ -193,7 +201,7 @@
     });
   }
 
-  /** An error of this instance's own must not count against the runner, or each runner looks dark in turn. */
+  /** A local error of this instance must not count against the runner, or every runner would look unresponsive in turn. */
   private failureOf({ code }: NodeJS.ErrnoException): AttemptFailure {
     if (this.connected) return 'broken';
     return isRunnersError(code) ? 'not_connected' : 'connect_timeout';
@@ -205,14 +213,14 @@
     this.options.link.accepted(this.runner);
   }
 
-  /** After a pause of the whole process the timer comes first although the connection has been accepted. */
-  private giveUpConnecting(): void {
+  /** After a pause of the whole process, the timer fires before the event of an accepted connection; so events go first. */
+  private onConnectTimeout(): void {
     setImmediate(() => {
       if (!this.connected) this.fail('connect_timeout');
     });
   }
 
-  private takeAnswer(answer: IncomingMessage): void {
+  private handleAnswer(answer: IncomingMessage): void {
     if (this.settled) return;
     const { protocol, observer, statements } = this.options;
     this.runner.lastHeardAt = this.options.clock.monotonicMilliseconds();
@@ -223,13 +231,13 @@
     }
     statements.take(this.runner, answer);
     if (status === MISDIRECTED || protocol.didNotRun(status, answer.headers)) {
-      // The refusal is whole: its connection can carry the next request.
+      // The refusal is a complete answer, so its connection can carry the next request.
       answer.resume();
       this.fail('refused', false);
       return;
     }
-    answer.on('data', (chunk: Buffer) => this.takeChunk(chunk));
-    answer.once('end', () => this.end(answer));
+    answer.on('data', (chunk: Buffer) => this.handleChunk(chunk));
+    answer.once('end', () => this.handleEnd(answer));
     answer.once('error', () => this.fail('broken'));
     answer.once('close', () => this.fail('broken'));
     observer.answered(this, answer);
@@ -243,30 +251,30 @@
     return isSuccess && headers[protocol.names.signature] === undefined;
   }
 
-  private takeChunk(chunk: Buffer): void {
+  private handleChunk(chunk: Buffer): void {
     if (this.settled) return;
     this.runner.lastHeardAt = this.options.clock.monotonicMilliseconds();
     this.options.observer.received(this, chunk);
   }
 
-  private end(answer: IncomingMessage): void {
+  private handleEnd(answer: IncomingMessage): void {
     if (this.settled) return;
     if (!answer.complete || this.wasReset) {
       this.fail('broken');
       return;
     }
-    this.settle();
+    this.markSettled();
     this.options.observer.ended(this);
   }
 
   private fail(failure: AttemptFailure, destroys = true): void {
     if (this.settled) return;
-    this.settle();
+    this.markSettled();
     if (destroys) this.request?.destroy();
     this.options.observer.failed(this, failure);
   }
 
-  private settle(): void {
+  private markSettled(): void {
     this.settled = true;
     this.runner.inFlight -= 1;
     clearTimeout(this.connectTimer);
--- a/src/forwarding/RunnerJudge.ts
+++ b/src/forwarding/RunnerJudge.ts
@@ -1,5 +1,5 @@
 /**
- * What one request's attempts say for or against their runners.
+ * Records the outcomes of attempts in the health of their runners.
  */
 import type { Runner } from '../runners/Runner.js';
 import type { RunnerOutcome } from '../runners/RunnerHealth.js';
@@ -7,8 +7,13 @@
 import type { RequestReport } from './RequestReport.js';
 import type { AttemptFailure, RunnerAttempt } from './RunnerAttempt.js';
 
-/** A connection that was not accepted in time says nothing by itself: `LinkCheck` finds out whose fault it is. */
-const OUTCOMES: Readonly<Record<Exclude<AttemptFailure, 'connect_timeout'>, RunnerOutcome>> = {
+/**
+ * Outcome for the runner's health by kind of failure. `connect_timeout` is missing: by itself it does not show whether
+ * the runner or the daemon's link is at fault, so {@link LinkCheck} determines that.
+ */
+const OUTCOME_BY_FAILURE: Readonly<
+  Record<Exclude<AttemptFailure, 'connect_timeout'>, RunnerOutcome>
+> = {
   not_connected: 'unreachable',
   silent: 'unreachable',
   broken: 'failed',
@@ -18,7 +23,7 @@
 
 const SERVER_ERROR = 500;
 
-/** A runner's answer to a deadline that has passed; it says nothing against the runner. */
+/** A runner's answer after the deadline has passed; it does not count as a failure of the runner. */
 const GATEWAY_TIMEOUT = 504;
 
 /** Options of a {@link RunnerJudge}. */
@@ -27,39 +32,43 @@
   report: Pick<RequestReport, 'runnerPaused'>;
 }
 
-/** Records outcomes, and reports runners that are left alone from then on. */
+/** Records the outcomes of one request, and reports the runners that are ejected as a result. */
 export class RunnerJudge {
   private readonly options: RunnerJudgeOptions;
 
   /**
-   * @param options - the daemon's link, and where reports go.
+   * @param options - clock, the check of the daemon's network link, and the report of the request.
    */
   constructor(options: RunnerJudgeOptions) {
     this.options = options;
   }
 
   /**
-   * @param attempt - that gave no answer.
-   * @param failure - how.
+   * Records a failed attempt. After a connect timeout, the runner is blamed only if others accept connections.
+   *
+   * @param attempt - attempt that failed.
+   * @param failure - kind of failure.
    */
   failed({ runner, startedAt }: RunnerAttempt, failure: AttemptFailure): void {
     if (failure !== 'connect_timeout') {
-      this.record(runner, OUTCOMES[failure]);
+      this.record(runner, OUTCOME_BY_FAILURE[failure]);
       return;
     }
     runner.health.abandoned();
-    this.options.context.link.ask(runner, (isDark) => {
-      if (isDark && runner.lastHeardAt < startedAt) this.record(runner, 'unreachable');
+    this.options.context.link.ask(runner, (isUnresponsive) => {
+      if (isUnresponsive && runner.lastHeardAt < startedAt) this.record(runner, 'unreachable');
     });
   }
 
   /**
-   * @param runner - that has answered.
-   * @param status - of its whole answer.
+   * Records a complete answer; server errors count as failures.
+   *
+   * @param runner - runner that has answered.
+   * @param status - status code of the answer.
    */
   answered(runner: Runner, status: number): void {
-    const isItsFault = status >= SERVER_ERROR && status !== GATEWAY_TIMEOUT;
-    this.record(runner, isItsFault ? 'failed' : 'answered');
+    const isRunnerFault = status >= SERVER_ERROR && status !== GATEWAY_TIMEOUT;
+    this.record(runner, isRunnerFault ? 'failed' : 'answered');
   }
 
   private record(runner: Runner, outcome: RunnerOutcome): void {
--- a/src/forwarding/RunnerProtocol.ts
+++ b/src/forwarding/RunnerProtocol.ts
@@ -1,54 +1,54 @@
 /**
- * What the forwarding path has to know of the headers between callers, daemons and runners. The names and
- * their coding belong to whoever runs the fleet; an adapter supplies them.
+ * The headers between callers, daemons and runners that the forwarding path reads and writes. Their names and
+ * encoding depend on the deployment, so an adapter supplies them.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 
-/** Names of headers, in lower case, by what they hold. */
+/** Header names in lower case, by purpose. */
 export interface HeaderNames {
-  /** Id of one attempt of a caller; runners echo it. */
+  /** Id of one attempt by a caller; runners echo it. */
   readonly requestId: string;
-  /** Milliseconds that the sender will wait. */
+  /** How long the sender will wait, in ms. */
   readonly deadline: string;
-  /** A caller's key; never passed on. */
+  /** API key of the caller; never forwarded. */
   readonly key: string;
-  /** Name of the client account, for the runner. */
+  /** Name of the client account, sent to the runner. */
   readonly clientAccount: string;
   /** Id of the only runner that may run the request. */
   readonly expectedRunner: string;
-  /** Rank at the runner, 0 to 9, 0 first. */
+  /** Priority in the runner's queue, from 0 (served first) to 9. */
   readonly urgency: string;
-  /** Address of a runner from which the cached part of the prompt is to be copied. */
+  /** Address of the runner from which the cached part of the prompt should be copied. */
   readonly cacheSource: string;
-  /** Id of the runner that answers, where it says so. */
+  /** Id of the answering runner; optional. */
   readonly speaker: string;
-  /** A runner's proof that an answer is its own; every success has it. */
+  /** Signature with which a runner proves that it sent the answer; every successful answer has one. */
   readonly signature: string;
-  /** The last event that a caller has of its stream. */
+  /** Id of the last event of a stream that the caller has received. */
   readonly lastEventId: string;
-  /** What only the system may set; dropped where callers send it. */
+  /** Headers that only the fleet may set; removed from callers' requests. */
   readonly systemOnly: readonly string[];
 }
 
-/** Reads what runners and callers say in headers. */
+/** Interprets the headers of runners and callers. */
 export abstract class RunnerProtocol {
   abstract readonly names: HeaderNames;
 
   /**
-   * @param status - of a runner's answer.
-   * @param headers - of a runner's answer.
-   * @returns Whether the runner states that it has not run the request.
+   * @param status - status code of a runner's answer.
+   * @param headers - headers of a runner's answer.
+   * @returns Whether the runner declares that it has not run the request.
    */
   abstract didNotRun(status: number, headers: IncomingHttpHeaders): boolean;
 
   /**
-   * @param headers - of a runner's answer.
-   * @returns Whether the runner says that it leaves.
+   * @param headers - headers of a runner's answer.
+   * @returns Whether the runner announces that it is shutting down.
    */
   abstract isLeaving(headers: IncomingHttpHeaders): boolean;
 
   /**
-   * @param headers - of a caller's request.
+   * @param headers - headers of a caller's request.
    * @returns Ids of the parts of its prompt that other requests share, the outermost first.
    */
   abstract sharedPartsOf(headers: IncomingHttpHeaders): readonly string[];
--- a/src/forwarding/RunnerStatements.spec.ts
+++ b/src/forwarding/RunnerStatements.spec.ts
@@ -14,31 +14,31 @@
 const LEAVING = { leaving: '1' };
 const SIGNED = { signature: 's' };
 
-function isBelieved(statusCode: number, headers: Record<string, string>): boolean {
-  let leaves = false;
+function reportsLeaving(statusCode: number, headers: Record<string, string>): boolean {
+  let isLeaving = false;
   const statements = new RunnerStatements({
     protocol: new TestProtocol(),
     clock: new ManualClock(),
     log: new SilentLog(),
     onLeaving: () => {
-      leaves = true;
+      isLeaving = true;
     },
   });
   statements.take(RUNNER, { statusCode, headers });
-  return leaves;
+  return isLeaving;
 }
 
 describe(RunnerStatements.name, () => {
-  it('believes a runner that leaves in an answer of any status that is its own', () => {
+  it('accepts a shutdown notice in an answer of any status that the runner itself sent', () => {
     for (const status of [200, 206, 400, 404, 429, 500, 503, 504]) {
-      expect(isBelieved(status, { ...LEAVING, ...SIGNED })).toEqual(true);
-      expect(isBelieved(status, SIGNED)).toEqual(false);
+      expect(reportsLeaving(status, { ...LEAVING, ...SIGNED })).toEqual(true);
+      expect(reportsLeaving(status, SIGNED)).toEqual(false);
     }
-    expect(isBelieved(503, { ...LEAVING, 'not-run': '1' })).toEqual(true);
-    expect(isBelieved(421, { ...LEAVING, speaker: 'runner-1' })).toEqual(true);
+    expect(reportsLeaving(503, { ...LEAVING, 'not-run': '1' })).toEqual(true);
+    expect(reportsLeaving(421, { ...LEAVING, speaker: 'runner-1' })).toEqual(true);
   });
 
-  it('pauses a runner that asks for time where it refuses, not where it answers', () => {
+  it('applies Retry-After from a refusal of the runner, but not from other answers', () => {
     const clock = new ManualClock();
     const pausedUntil = (statusCode: number, headers: Record<string, string>) => {
       const runner = new Runner(RUNNER.entry);
@@ -55,11 +55,11 @@
     expect(pausedUntil(500, { ...asks, ...SIGNED })).toEqual(-Infinity);
   });
 
-  it('does not take the word of another runner, or of nobody, for it', () => {
-    expect(isBelieved(200, LEAVING)).toEqual(false);
-    expect(isBelieved(503, LEAVING)).toEqual(false);
-    expect(isBelieved(421, { ...LEAVING, ...SIGNED })).toEqual(false);
-    expect(isBelieved(421, { ...LEAVING, speaker: 'runner-2' })).toEqual(false);
-    expect(isBelieved(200, { ...LEAVING, ...SIGNED, speaker: 'runner-2' })).toEqual(false);
+  it('ignores a shutdown notice of another runner or of an unknown sender', () => {
+    expect(reportsLeaving(200, LEAVING)).toEqual(false);
+    expect(reportsLeaving(503, LEAVING)).toEqual(false);
+    expect(reportsLeaving(421, { ...LEAVING, ...SIGNED })).toEqual(false);
+    expect(reportsLeaving(421, { ...LEAVING, speaker: 'runner-2' })).toEqual(false);
+    expect(reportsLeaving(200, { ...LEAVING, ...SIGNED, speaker: 'runner-2' })).toEqual(false);
   });
 });
--- a/src/forwarding/RunnerStatements.ts
+++ b/src/forwarding/RunnerStatements.ts
@@ -1,6 +1,6 @@
 /**
- * What a runner says of itself in the head of an answer. Only its own word counts: an answer may come from another
- * runner at its address, or be nobody's.
+ * Applies what a runner announces in the head of an answer: that it is shutting down, or a `Retry-After`. The sender is
+ * verified first, because the answer may come from another runner at the same address, or its sender may be unknown.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -11,64 +11,71 @@
 import { forwardingLogEvents } from './forwardingFeature.js';
 import type { RunnerProtocol } from './RunnerProtocol.js';
 
-/** Another runner than the expected one has answered, or this one with other weights. */
+/** Status with which a runner refuses a request meant for another runner, or for other model weights. */
 const MISDIRECTED = 421;
 
-/** The request was not run, and the runner may want no others for a while. */
+/** Status with which a runner refuses a request, possibly with a `Retry-After`. */
 const UNAVAILABLE = 503;
 
-/** Characters of a header in a line of the log. */
-const MAXIMUM_LOGGED = 40;
+/** Maximum number of characters of a header value in a log line. */
+const MAXIMUM_LOGGED_CHARACTERS = 40;
 
 /** The head of an answer. */
-type StatedAnswer = Pick<IncomingMessage, 'statusCode' | 'headers'>;
+type AnswerHead = Pick<IncomingMessage, 'statusCode' | 'headers'>;
 
 /** Options of {@link RunnerStatements}. */
 export interface RunnerStatementsOptions {
   protocol: RunnerProtocol;
   clock: Clock;
   log: Log;
-  /** Told of a runner that leaves. */
+  /** Called with a runner that announces its shutdown. */
   onLeaving: (runner: Runner) => void;
 }
 
-/** Takes statements as soon as an answer's head is there. */
+/** Processes the head of each answer as soon as it has arrived. */
 export class RunnerStatements {
   private readonly options: RunnerStatementsOptions;
 
   /**
-   * @param options - who is told.
+   * @param options - protocol, clock, log and callback.
    */
   constructor(options: RunnerStatementsOptions) {
     this.options = options;
   }
 
   /**
-   * @param runner - that the request went to.
-   * @param answer - to this request.
+   * Applies the announcements in the head of an answer.
+   *
+   * @param runner - runner that the request was sent to.
+   * @param answer - head of its answer.
    */
-  take(runner: Runner, answer: StatedAnswer): void {
+  take(runner: Runner, answer: AnswerHead): void {
     const { protocol, onLeaving } = this.options;
     const { statusCode, headers } = answer;
-    const named = headers[protocol.names.speaker];
-    if (named !== undefined && named !== runner.entry.id) return;
-    if (protocol.isLeaving(headers) && this.isOwnWord(answer)) onLeaving(runner);
-    const asked = statusCode === UNAVAILABLE ? headers['retry-after'] : undefined;
-    if (asked !== undefined) this.pause(runner, asked);
+    const speakerId = headers[protocol.names.speaker];
+    if (speakerId !== undefined && speakerId !== runner.entry.id) return;
+    if (protocol.isLeaving(headers) && this.isFromRunner(answer)) onLeaving(runner);
+    const retryAfter = statusCode === UNAVAILABLE ? headers['retry-after'] : undefined;
+    if (retryAfter !== undefined) this.applyPause(runner, retryAfter);
   }
 
-  private pause(runner: Runner, asked: string): void {
+  private applyPause(runner: Runner, retryAfter: string): void {
     const { clock, log } = this.options;
-    const { milliseconds, isCorrected } = askedPause(asked);
+    const { milliseconds, isCorrected } = askedPause(retryAfter);
     const until = clock.monotonicMilliseconds() + milliseconds;
     runner.pauseUntil(until);
     const { id, service } = runner.entry;
     const event = isCorrected ? 'askedPauseCorrected' : 'pauseAsked';
-    const fields = { runner: id, service, asked: asked.slice(0, MAXIMUM_LOGGED), milliseconds };
+    const fields = {
+      runner: id,
+      service,
+      asked: retryAfter.slice(0, MAXIMUM_LOGGED_CHARACTERS),
+      milliseconds,
+    };
     log.write(forwardingLogEvents[event], fields);
   }
 
-  private isOwnWord({ statusCode = 0, headers }: StatedAnswer): boolean {
+  private isFromRunner({ statusCode = 0, headers }: AnswerHead): boolean {
     const { protocol } = this.options;
     const { speaker, signature } = protocol.names;
     if (statusCode === MISDIRECTED) return headers[speaker] !== undefined;
--- a/src/forwarding/SharedRetryBudget.spec.ts
+++ b/src/forwarding/SharedRetryBudget.spec.ts
@@ -17,9 +17,9 @@
 const FAILURES: readonly ServiceFailure[] = ['some', 'most', 'bursts'];
 
 const CASES: readonly { name: string; troubles: readonly FleetTrouble[] }[] = [
-  { name: 'while daemons stay', troubles: ['none', 'paused'] },
+  { name: 'while all daemons keep running', troubles: ['none', 'paused'] },
   {
-    name: 'while daemons end and start again',
+    name: 'while daemons are restarted',
     troubles: ['killed_together', 'killed_in_turn', 'rolled'],
   },
   { name: 'however the list of daemons changes', troubles: ['lists_short', 'added', 'gone'] },
@@ -31,7 +31,7 @@
 
 describe(SharedRetryBudget.name, () => {
   for (const { name, troubles } of CASES) {
-    // Guards against repeats beyond the fleet's limit, summed over the lives of all daemons.
+    // Guards against more retries than the fleet's limit allows, summed over the incarnations of all daemons.
     it(`keeps the fleet within its limit ${name}`, () => {
       const plays = RETRY_FLEETS.flatMap((fleet) =>
         troubles.flatMap((trouble) =>
@@ -46,7 +46,7 @@
     });
   }
 
-  /** With requests of some windows, all answered; then the most that can be sent once more at one moment. */
+  /** Counts requests that need no retry, waits, and returns how many retries are then possible at one moment. */
   function spendAfter(requests: number, idleMilliseconds: number): number {
     const budget = createAccount(LIMITS);
     for (let count = 0; count < requests; count += 1) budget.recordRequest('plain', count * 10);
@@ -56,7 +56,7 @@
     return spent;
   }
 
-  it('holds no more than the allowance and a part of what the latest requests may have', () => {
+  it('limits the bucket to the allowance and a share of what the latest requests earn', () => {
     expect(spendAfter(0, 0)).toEqual(0);
     expect(spendAfter(1_000, 0)).toEqual(50);
     expect(spendAfter(4_000, 0)).toEqual(50);
@@ -64,7 +64,7 @@
     expect(spendAfter(4_000, RETRY_WINDOW_MILLISECONDS + 1)).toEqual(10);
   });
 
-  it('earns again what it has spent, with the requests that come', () => {
+  it('refills a spent bucket with new requests', () => {
     const budget = createAccount(LIMITS);
     const after: number[] = [];
     for (let request = 1; request <= 40; request += 1) {
@@ -74,7 +74,7 @@
     expect(after).toEqual([7, 14, 20, 27, 34, 40]);
   });
 
-  it('retries nearly all that fail where one in ten does, in a fleet of any size', () => {
+  it('allows nearly all retries if one request in ten fails, in a fleet of any size', () => {
     const plays = RETRY_FLEETS.map((fleet) =>
       playRetries({ ...fleet, trouble: 'none', failure: 'some', createAccount }),
     );
--- a/src/forwarding/SharedRetryBudget.ts
+++ b/src/forwarding/SharedRetryBudget.ts
@@ -1,69 +1,70 @@
 /**
- * This daemon's part of a retry budget that all daemons draw on, kept without asking anybody.
+ * Retry budget of the fleet, of which each daemon enforces its own share without communication.
  *
- * What goes wrong without it: when a service fails, every daemon sends each request several times just when the service
- * can serve none, and the operators' limit for the whole fleet is passed although each daemon keeps it by itself.
+ * Without it, when a service fails, every daemon would send each request several times just when the service can serve
+ * none. And if each daemon enforced the operators' limit for the whole fleet by itself, their sum would exceed it.
  *
- * One token bucket for each service. It starts empty, each request earns a part of a token, and it holds no more than
- * this daemon's part of the allowance and a share of what the latest requests may have. Whatever the fleet sends once
- * more in a window was earned within that window, or lay in buckets at its start: a process that starts again brings
- * nothing along, so that the sum stays below the limit over any number of starts.
+ * There is one token bucket for each service. It starts empty, and each request adds a fraction of a token. Its capacity
+ * is this daemon's share of the allowance plus a share of the retries that the requests of the latest window allow. So
+ * every retry of the fleet in a window was earned within that window, or was in a bucket at its start. A restarted
+ * process begins with an empty bucket, so the sum stays below the limit over any number of restarts.
  */
 import { dropBefore } from '../time/dropBefore.js';
 
 /** Options of a {@link SharedRetryBudget}. */
 export interface SharedRetryBudgetOptions {
-  /** Retries for each request, from 0. */
+  /** Retries allowed per request, at least 0. */
   ratio: number;
-  /** Retries in a window that all daemons together have besides. */
+  /** Additional retries per window, shared by all daemons. */
   allowance: number;
   /** Length of the sliding window, in ms. */
   windowMilliseconds: number;
-  /** How many daemons share the allowance: the most of the latest window. */
+  /** Number of daemons that share the allowance: the maximum within the latest window. */
   daemons: () => number;
-  /** Part of the ratio that requests earn as they come; decides how much of a long failure is retried. */
+  /** Share of the ratio that each request adds to the bucket; determines how many retries a long failure gets. */
   earnedShare?: number;
   /**
-   * Part of the ratio that a bucket may hold for the requests of the latest window; decides how many requests that fail
-   * at one moment are retried. Both together stay below 1: what was sent before a window may arrive in it.
+   * Share of the ratio that a bucket may hold for the requests of the latest window; determines how many requests that
+   * fail at the same moment are retried. The sum of both shares has to stay below 1, because retries that were sent
+   * before a window may arrive in it.
    */
   heldShare?: number;
-  /** When counting begins, monotonic ms. */
+  /** When the daemon begins to count, monotonic ms. */
   startedAt?: number;
-  /** Hears of each service before its first request is counted, and what reads its room. */
+  /** Called for each service before its first request is counted, with a function that returns the room in its budget. */
   onService?: (service: string, roomAt: (now: number) => number) => void;
 }
 
-/** What the budget of one service holds, and what that is reckoned from. */
+/** State of the budget of one service. */
 export interface RetryBudgetView {
-  /** Retries within the window. */
+  /** Number of retries within the window. */
   readonly spent: number;
-  /** Requests within the window. */
+  /** Number of requests within the window. */
   readonly requests: number;
-  /** Retries that may follow now. */
+  /** Tokens in the bucket: the number of retries that are possible now. */
   readonly room: number;
-  /** How long retries have been counted, in ms. */
+  /** Time since the daemon began to count, in ms. */
   readonly ageMilliseconds: number;
-  /** Daemons that share the allowance. */
+  /** Number of daemons that share the allowance. */
   readonly daemons: number;
 }
 
 interface Bucket {
   tokens: number;
-  /** When the latest requests came, monotonic ms. */
+  /** When the requests of the latest window arrived, monotonic ms. */
   readonly requests: number[];
-  /** When the latest retries were sent, monotonic ms. */
+  /** When the retries of the latest window were sent, monotonic ms. */
   readonly retries: number[];
 }
 
-/** Buckets by service. */
+/** Token buckets of one daemon, by service. */
 export class SharedRetryBudget {
   private readonly options: Required<SharedRetryBudgetOptions>;
 
   private readonly services = new Map<string, Bucket>();
 
   /**
-   * @param options - the operators' limits.
+   * @param options - the operators' limits and the size of the fleet.
    */
   constructor({
     earnedShare = 0.75,
@@ -76,8 +77,10 @@
   }
 
   /**
-   * @param service - where a request goes.
-   * @param now - monotonic milliseconds.
+   * Counts a request, which adds a fraction of a token to the bucket.
+   *
+   * @param service - service of the request.
+   * @param now - monotonic ms.
    */
   recordRequest(service: string, now: number): void {
     const bucket = this.bucketOf(service, now);
@@ -86,9 +89,11 @@
   }
 
   /**
-   * @param service - where a request would be sent once more.
-   * @param now - monotonic milliseconds.
-   * @returns Whether it may; if so it is counted.
+   * Takes a token for a retry, if there is one.
+   *
+   * @param service - service of the request to retry.
+   * @param now - monotonic ms.
+   * @returns Whether the retry is allowed; if so, it has been counted.
    */
   take(service: string, now: number): boolean {
     if (!this.hasRoom(service, now)) return false;
@@ -99,18 +104,18 @@
   }
 
   /**
-   * @param service - where a request may have to be sent once more.
-   * @param now - monotonic milliseconds.
-   * @returns Whether it could; nothing is counted.
+   * @param service - service of a request that may need a retry.
+   * @param now - monotonic ms.
+   * @returns Whether a retry would be allowed; nothing is counted.
    */
   hasRoom(service: string, now: number): boolean {
     return this.bucketOf(service, now).tokens >= 1;
   }
 
   /**
-   * @param service - that requests go to.
-   * @param now - monotonic milliseconds.
-   * @returns What its budget holds.
+   * @param service - name of the service.
+   * @param now - monotonic ms.
+   * @returns State of its budget.
    */
   viewOf(service: string, now: number): RetryBudgetView {
     const { tokens, requests, retries } = this.bucketOf(service, now);
@@ -124,7 +129,7 @@
   }
 
   private bucketOf(service: string, now: number): Bucket {
-    const bucket = this.services.get(service) ?? this.begin(service);
+    const bucket = this.services.get(service) ?? this.createBucket(service);
     const start = now - this.options.windowMilliseconds;
     dropBefore(bucket.requests, start);
     dropBefore(bucket.retries, start);
@@ -137,7 +142,7 @@
     return allowance / daemons() + heldShare * ratio * requests.length;
   }
 
-  private begin(service: string): Bucket {
+  private createBucket(service: string): Bucket {
     const bucket: Bucket = { tokens: 0, requests: [], retries: [] };
     this.services.set(service, bucket);
     this.options.onService(service, (now) => this.viewOf(service, now).room);
--- a/src/forwarding/StreamedAnswer.ts
+++ b/src/forwarding/StreamedAnswer.ts
@@ -1,5 +1,6 @@
 /**
- * The event stream that passes to the caller, from one runner after the other: whole events only, one head.
+ * Forwards an event stream to the caller. When a runner fails, another one may resume the stream, so the caller gets a
+ * single response head and only complete events.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -12,14 +13,14 @@
 const EVENT_STREAM = 'text/event-stream';
 
 /**
- * @param answer - a runner's.
- * @returns Whether its body is a stream of events.
+ * @param answer - answer of a runner.
+ * @returns Whether its body is an event stream.
  */
 export function isEventStream({ statusCode, headers }: IncomingMessage): boolean {
   return statusCode === SUCCESS && (headers['content-type'] ?? '').startsWith(EVENT_STREAM);
 }
 
-/** Owns the place where the caller's stream stands. */
+/** Event stream of one request; tracks which attempt supplies it and which event the caller received last. */
 export class StreamedAnswer {
   private readonly relay: AnswerRelay;
 
@@ -30,30 +31,30 @@
   private answer: IncomingMessage | undefined;
 
   /**
-   * @param relay - to the caller.
+   * @param relay - writes to the caller.
    */
   constructor(relay: AnswerRelay) {
     this.relay = relay;
   }
 
-  /** @returns The last event that the caller has, or `undefined` before the first one. */
+  /** @returns Id of the last event that the caller has received, or `undefined` before the first one. */
   get lastEventId(): string | undefined {
     return this.relay.hasHead ? this.cut.lastEventId : undefined;
   }
 
   /**
-   * @param attempt - any of the request's.
-   * @returns Whether its events pass to the caller.
+   * @param attempt - an attempt of the request.
+   * @returns Whether the stream is supplied by this attempt.
    */
   isFrom(attempt: RunnerAttempt): boolean {
     return attempt === this.attempt;
   }
 
   /**
-   * Takes events from an attempt from now on.
+   * Forwards the events of this attempt from now on.
    *
-   * @param attempt - whose answer is a stream.
-   * @param answer - its head; the caller gets the first one only.
+   * @param attempt - attempt whose answer is a stream.
+   * @param answer - head of its answer; only the first head is sent to the caller.
    */
   take(attempt: RunnerAttempt, answer: IncomingMessage): void {
     this.attempt = attempt;
@@ -61,7 +62,9 @@
   }
 
   /**
-   * @param chunk - bytes as they arrived; an unfinished event waits for its rest.
+   * Forwards the complete events; an incomplete one is buffered until its end arrives.
+   *
+   * @param chunk - bytes as they arrived.
    */
   pass(chunk: Buffer): void {
     const events = this.cut.push(chunk);
@@ -70,7 +73,7 @@
     this.relay.pass(events);
   }
 
-  /** The runner's stream is complete, and with it the caller's. */
+  /** Ends the caller's stream because the runner's stream is complete. */
   end(): void {
     const rest = this.cut.rest();
     this.begin();
@@ -78,7 +81,7 @@
     this.relay.finish();
   }
 
-  /** The runner broke off: half an event is dropped, another runner may go on. */
+  /** Drops the incomplete event of a runner whose stream broke off; another runner may resume the stream. */
   breakOff(): void {
     this.attempt = undefined;
     this.cut.drop();
--- a/src/forwarding/TriedRunners.ts
+++ b/src/forwarding/TriedRunners.ts
@@ -1,5 +1,5 @@
 /**
- * The runners that one request was sent to, and what is known of it there.
+ * Records the runners that one request was sent to, and which of them may have run it.
  */
 import { CONNECT_TIMEOUT_MILLISECONDS } from './probeRunner.js';
 import type { AttemptFailure } from './RunnerAttempt.js';
@@ -11,59 +11,62 @@
   'refused',
 ]);
 
-/** Longest wait for one connection, in ms: a link that is free again is noticed within this time. */
-const LONGEST_CONNECT_MILLISECONDS = 720;
+/** Maximum connect timeout, in ms; also the longest time until a recovered network link is noticed. */
+const MAXIMUM_CONNECT_MILLISECONDS = 720;
 
-/** Kept by one request. */
+/** Attempts of one request, by the incarnations of the runners. */
 export class TriedRunners {
-  /** Attempts that have failed and may have run. */
+  /** Number of failed attempts that may have run. */
   mayHaveRun = 0;
 
-  /** Attempts that reached no runner or were refused. */
+  /** Number of attempts that reached no runner or were refused. */
   notRun = 0;
 
   /**
-   * Whether the next attempt should not use a kept connection.
+   * Whether the next attempt has to use a new connection instead of an idle one from the pool.
    *
-   * What goes wrong otherwise: all connections of this daemon are reset at the same moment; the request is sent once
-   * more on a kept one of which the reset has not been read yet, breaks again, and has no attempt left. One would see
-   * streams cut in the middle though every runner is sound. A new connection costs a round trip.
+   * All connections of this daemon may be reset at the same moment. A retry on an idle connection whose reset has not
+   * been read yet fails again and uses up the last attempt; the symptom is streams that are cut in the middle although
+   * all runners are healthy. A new connection costs a round trip.
    */
   needsNewConnection = false;
 
-  /** Runners that were tried, each as often as it was. */
+  /** Number of attempts, including repeated ones at the same runner. */
   count = 0;
 
-  /** Lives that are not asked again. */
+  /** Incarnations that do not get the request again. */
   private readonly asked = new Set<string>();
 
-  /** Lives that did not accept a connection in time; asked again where nobody else is left. */
+  /** Incarnations that did not accept a connection in time; they are tried again if no other runner is left. */
   private readonly unreached = new Set<string>();
 
-  /** Connections that were not accepted in time since it may have run. */
+  /** Number of connect timeouts since the request may have run. */
   private timeoutsAfterRun = 0;
 
-  /** @returns Lives of runners that the next attempt should not go to. */
+  /** @returns Incarnations of runners that the next attempt must not use. */
   get excluded(): ReadonlySet<string> {
     return new Set([...this.asked, ...this.unreached]);
   }
 
   /**
-   * A request that may have run cannot be refused any more, and it has to get through however long connections take:
-   * while the daemon's link is suspected each one is waited for twice as long as the one before. With 90 ms for each,
-   * six attempts were over after half a second, while links were full for one to two.
+   * Returns the timeout of the next connection. It doubles with each connect timeout of a request that may have run,
+   * while the daemon's network link is suspected: such a request cannot be refused any more and has to reach a runner,
+   * however long connections take. With 90 ms each, six attempts were over after half a second, while links were
+   * saturated for one to two seconds.
    *
-   * @param isLinkSuspect - whether several runners accepted no connection.
-   * @returns How long the next connection is waited for, in ms.
+   * @param isLinkSuspect - whether the network link is suspected because several runners accepted no connection.
+   * @returns Connect timeout, in ms.
    */
   connectMilliseconds(isLinkSuspect: boolean): number {
     if (!isLinkSuspect) return CONNECT_TIMEOUT_MILLISECONDS;
-    const patience = CONNECT_TIMEOUT_MILLISECONDS * 2 ** this.timeoutsAfterRun;
-    return Math.min(LONGEST_CONNECT_MILLISECONDS, patience);
+    const timeout = CONNECT_TIMEOUT_MILLISECONDS * 2 ** this.timeoutsAfterRun;
+    return Math.min(MAXIMUM_CONNECT_MILLISECONDS, timeout);
   }
 
   /**
-   * @param life - of a runner that gets the request now.
+   * Records an attempt.
+   *
+   * @param life - incarnation of the runner that gets the request.
    */
   sentTo(life: string): void {
     this.count += 1;
@@ -71,8 +74,10 @@
   }
 
   /**
-   * @param life - of a runner that gave no answer.
-   * @param failure - how.
+   * Records a failed attempt.
+   *
+   * @param life - incarnation of the runner.
+   * @param failure - kind of failure.
    */
   failedAt(life: string, failure: AttemptFailure): void {
     if (failure === 'broken') this.needsNewConnection = true;
@@ -85,9 +90,9 @@
   }
 
   /**
-   * Lets runners that did not accept a connection be asked again.
+   * Allows another attempt at the runners that did not accept a connection in time, if the request may have run.
    *
-   * @returns Whether there are any, and the request needs one of them.
+   * @returns Whether there are such runners and the request may have run.
    */
   forgiveUnreached(): boolean {
     const needsOne = this.mayHaveRun > 0 && this.unreached.size > 0;
--- a/src/forwarding/admitRequest.ts
+++ b/src/forwarding/admitRequest.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a request's head against the configuration in force.
+ * Admission of requests: checks a request's head against the configuration in force.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -10,44 +10,47 @@
 import { passingHeaders } from './forwardedHeaders.js';
 import type { AdmittedRequest, ForwardingContext } from './forwardingTypes.js';
 
-/** A request that goes on, or the answer that ends it. */
+/** The admitted request, or the error answer to a rejected one. */
 export type Admission =
   | { readonly kind: 'admitted'; readonly request: AdmittedRequest }
   | { readonly kind: 'rejected'; readonly own: OwnAnswer };
 
-/** Part of a runner's connections that is used; other daemons may be thought fewer than they are. */
+/** Share of a runner's connections that the daemons use; the rest is a margin, as a daemon may know of too few others. */
 const CONNECTION_SHARE = 0.8;
 
-/** A daemon of a large fleet still needs a few at once. */
+/** Minimum number of connections to one runner; in a large fleet, each daemon still needs a few at a time. */
 const MINIMUM_CONNECTIONS = 4;
 
-/** Without a word of the service any number would do. */
+/** Number of connections to one runner of a service that configures no limit. */
 const DEFAULT_CONNECTIONS = 64;
 
-/** A first configuration takes a few ms where the store answers; in seconds. */
+/** `Retry-After` before the first configuration, in seconds; a responsive store supplies it within a few ms. */
 const CONFIGURATION_RETRY_SECONDS = 0.1;
 
 /**
- * Outages of the store last seconds. Callers come back once, at most after a third of the time they have; the
- * later they do, the likelier they are served.
+ * `Retry-After` during an outage of the store, in seconds. Such outages last seconds, and callers retry once, at most
+ * after a third of their time; the later they retry, the more likely they are served.
  */
 const OUTAGE_RETRY_SECONDS = 1.5;
 
-/** Another daemon can take the request at once. */
+/** `Retry-After` while this daemon stops, in seconds; another daemon can take the request at once. */
 const STOPPING_RETRY_SECONDS = 0.02;
 
-/** No region is a home of both the route and the client account, until operators change the configuration. */
-const HOMELESS_RETRY_SECONDS = 1.5;
+/**
+ * `Retry-After` when no region is a home region of both the route and the client account, in seconds. That stays so
+ * until operators change the configuration.
+ */
+const NO_COMMON_HOME_RETRY_SECONDS = 1.5;
 
 const HIGHEST_URGENCY_RANK = 9;
 
-let unnamedRequests = 0;
+let requestsWithoutId = 0;
 
 function rejected(status: number, reason: string, retryAfterSeconds?: number): Admission {
   return { kind: 'rejected', own: { status, reason, retryAfterSeconds } };
 }
 
-function headOf(value: string | string[] | undefined): string | undefined {
+function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
@@ -60,7 +63,7 @@
   return Math.max(MINIMUM_CONNECTIONS, Math.floor((maximum * CONNECTION_SHARE) / daemons));
 }
 
-/** Headers that do not pass, and those that pass whatever `Connection` says; made once a protocol. */
+/** Headers that are not forwarded, and those that are forwarded even if `Connection` lists them; created once for each protocol. */
 function headerSets({ protocol }: ForwardingContext) {
   const { names } = protocol;
   const dropped = new Set([
@@ -76,13 +79,13 @@
   return { dropped, essential: new Set([names.requestId, names.lastEventId]) };
 }
 
-const setsOf = new WeakMap<object, ReturnType<typeof headerSets>>();
+const headerSetsByProtocol = new WeakMap<object, ReturnType<typeof headerSets>>();
 
-function keptHeaderSets(context: ForwardingContext) {
-  const known = setsOf.get(context.protocol);
+function cachedHeaderSets(context: ForwardingContext) {
+  const known = headerSetsByProtocol.get(context.protocol);
   if (known) return known;
   const made = headerSets(context);
-  setsOf.set(context.protocol, made);
+  headerSetsByProtocol.set(context.protocol, made);
   return made;
 }
 
@@ -93,7 +96,7 @@
   account: ClientAccount | undefined,
 ): string[] {
   const { names } = context.protocol;
-  const { dropped, essential } = keptHeaderSets(context);
+  const { dropped, essential } = cachedHeaderSets(context);
   const headers = ['Host', request.headers.host ?? ''];
   headers.push(...passingHeaders(request.rawHeaders, dropped, essential));
   if (account) headers.push(names.clientAccount, account.name);
@@ -105,10 +108,10 @@
 }
 
 /**
- * @param request - a request whose head has been read.
- * @param context - of the daemon.
- * @param arrivedAt - when it came, monotonic ms.
- * @returns The request with all that its way needs, or the answer that ends it.
+ * @param request - request whose head has been read.
+ * @param context - dependencies that all requests share.
+ * @param arrivedAt - when the request arrived, monotonic ms.
+ * @returns The admitted request with all data for forwarding it, or the error answer.
  */
 export function admitRequest(
   request: IncomingMessage,
@@ -118,8 +121,8 @@
   const table = context.routes();
   if (!table) {
     const isOutage = context.isStoreSilent();
-    const wait = isOutage ? OUTAGE_RETRY_SECONDS : CONFIGURATION_RETRY_SECONDS;
-    return rejected(503, 'no_configuration', wait);
+    const retryAfterSeconds = isOutage ? OUTAGE_RETRY_SECONDS : CONFIGURATION_RETRY_SECONDS;
+    return rejected(503, 'no_configuration', retryAfterSeconds);
   }
   if (context.stopPhase() === 'closing') return rejected(503, 'stopping', STOPPING_RETRY_SECONDS);
   const { names } = context.protocol;
@@ -135,15 +138,16 @@
   const [host = ''] = (headers.host ?? '').split(':', 1);
   const route = table.routeOf(host.toLowerCase(), path);
   if (!route) return rejected(404, 'no_route');
-  const account = table.accountOf(headOf(headers[names.key]) ?? '');
+  const account = table.accountOf(firstValue(headers[names.key]) ?? '');
   if (table.requiresKeys && !route.anonymous && !account) return rejected(401, 'unknown_key');
   const homeRegions = homesOf(route, account);
-  if (homeRegions?.length === 0) return rejected(503, 'no_common_home', HOMELESS_RETRY_SECONDS);
-  const deadline = Number.parseFloat(headOf(headers[names.deadline]) ?? '');
-  const patience = deadline > 0 ? deadline : Number.POSITIVE_INFINITY;
-  const ownId = headOf(headers[names.requestId]);
-  unnamedRequests += ownId === undefined ? 1 : 0;
-  const id = ownId ?? `unnamed-${unnamedRequests}`;
+  if (homeRegions?.length === 0)
+    return rejected(503, 'no_common_home', NO_COMMON_HOME_RETRY_SECONDS);
+  const deadline = Number.parseFloat(firstValue(headers[names.deadline]) ?? '');
+  const callerMilliseconds = deadline > 0 ? deadline : Number.POSITIVE_INFINITY;
+  const ownId = firstValue(headers[names.requestId]);
+  requestsWithoutId += ownId === undefined ? 1 : 0;
+  const id = ownId ?? `unnamed-${requestsWithoutId}`;
   const service = RouteTable.targetOf(route, id);
   return {
     kind: 'admitted',
@@ -160,7 +164,7 @@
       headers: runnerHeaders(request, context, route, account),
       sharedParts: route.cachesPrompts ? context.protocol.sharedPartsOf(headers) : [],
       arrivedAt,
-      deadlineAt: arrivedAt + Math.min(patience, route.timeoutMilliseconds),
+      deadlineAt: arrivedAt + Math.min(callerMilliseconds, route.timeoutMilliseconds),
       connectionLimit: connectionLimit(table, service, Math.max(1, context.daemons())),
     },
   };
--- a/src/forwarding/askedPause.spec.ts
+++ b/src/forwarding/askedPause.spec.ts
@@ -5,14 +5,14 @@
 import { askedPause } from './askedPause.js';
 
 describe(askedPause.name, () => {
-  it('takes whole and fractional seconds', () => {
+  it('accepts whole and fractional seconds', () => {
     const texts = ['0', '4', ' 2 ', '0.25', '60'];
     const pauses = texts.map((text) => askedPause(text));
     expect(pauses.map(({ milliseconds }) => milliseconds)).toEqual([0, 4_000, 2_000, 250, 60_000]);
     expect(pauses.some(({ isCorrected }) => isCorrected)).toEqual(false);
   });
 
-  it('bounds what no runner can mean, and says so', () => {
+  it('replaces malformed or excessive values, and reports them as corrected', () => {
     const unreadable = [
       '-4',
       'soon',
--- a/src/forwarding/askedPause.ts
+++ b/src/forwarding/askedPause.ts
@@ -1,31 +1,32 @@
 /**
- * How long a runner that refuses a request wants none, from its `Retry-After`.
+ * Parses the `Retry-After` header of a runner that refuses a request.
  */
 
-/** A pause, and whether it is another one than what was asked for. */
+/** How long to send the runner no requests, and whether this differs from the value of the header. */
 export interface AskedPause {
   readonly milliseconds: number;
   readonly isCorrected: boolean;
 }
 
-/** Outages of single runners that can be foreseen are shorter; in ms. */
-const LONGEST_MILLISECONDS = 60_000;
+/** Maximum pause, in ms; predictable outages of single runners are shorter. */
+const MAXIMUM_PAUSE_MILLISECONDS = 60_000;
 
-/** For what is no number of seconds, a date for example: it asks for some time, and clocks differ; in ms. */
-const UNREADABLE_MILLISECONDS = 1_000;
+/** Pause for a value that is not a number of seconds, in ms. Dates are not evaluated, because clocks differ. */
+const UNREADABLE_PAUSE_MILLISECONDS = 1_000;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-const SECONDS = /^\d+(?:\.\d+)?$/u;
+const SECONDS_PATTERN = /^\d+(?:\.\d+)?$/u;
 
 /**
- * @param text - of the header.
- * @returns The pause, never negative and never longer than a reasonable outage.
+ * @param value - value of the header.
+ * @returns The pause, from 0 to the maximum.
  */
-export function askedPause(text: string): AskedPause {
-  const trimmed = text.trim();
-  if (!SECONDS.test(trimmed)) return { milliseconds: UNREADABLE_MILLISECONDS, isCorrected: true };
+export function askedPause(value: string): AskedPause {
+  const trimmed = value.trim();
+  if (!SECONDS_PATTERN.test(trimmed))
+    return { milliseconds: UNREADABLE_PAUSE_MILLISECONDS, isCorrected: true };
   const milliseconds = Number(trimmed) * MILLISECONDS_PER_SECOND;
-  const isCorrected = milliseconds > LONGEST_MILLISECONDS;
-  return { milliseconds: Math.min(milliseconds, LONGEST_MILLISECONDS), isCorrected };
+  const isCorrected = milliseconds > MAXIMUM_PAUSE_MILLISECONDS;
+  return { milliseconds: Math.min(milliseconds, MAXIMUM_PAUSE_MILLISECONDS), isCorrected };
 }
--- a/src/forwarding/attemptHeaders.ts
+++ b/src/forwarding/attemptHeaders.ts
@@ -1,22 +1,22 @@
 /**
- * The headers of one attempt: what passes from the caller, with what is new for each runner.
+ * Builds the headers of one attempt: the forwarded headers of the request and those that differ for each runner.
  */
 import type { Runner } from '../runners/Runner.js';
 import type { AdmittedRequest } from './forwardingTypes.js';
 import type { HeaderNames } from './RunnerProtocol.js';
 
-/** What differs between attempts. */
+/** Options of {@link attemptHeaders}. */
 export interface AttemptHeadersQuestion {
   readonly request: AdmittedRequest;
   readonly names: HeaderNames;
   readonly runnerId: string;
-  /** A runner that has cached more of the prompt, if there is one. */
+  /** Runner that has cached more of the prompt than the target, if there is one. */
   readonly cacheSource: Runner | undefined;
-  /** What is left until the caller's deadline, in ms. */
+  /** Time left until the caller's deadline, in ms. */
   readonly remainingMilliseconds: number;
-  /** As the caller sent it, or `undefined` where there was none. */
+  /** Body as the caller sent it, or `undefined` if there was none. */
   readonly body: Buffer | undefined;
-  /** The last event that the caller has of a stream that goes on, or `undefined`. */
+  /** Id of the last event that the caller has received of a stream that is being resumed; otherwise `undefined`. */
   readonly resumesAfter: string | undefined;
 }
 
@@ -34,19 +34,24 @@
 }
 
 /**
- * @param question - the request and its runner.
- * @returns Flat, name and value in turn.
+ * @param options - the request and its runner.
+ * @returns Flat list of alternating names and values.
  */
-export function attemptHeaders(question: AttemptHeadersQuestion): string[] {
-  const { request, names, runnerId, cacheSource, remainingMilliseconds } = question;
-  const { body, resumesAfter } = question;
+export function attemptHeaders(options: AttemptHeadersQuestion): string[] {
+  const { request, names, runnerId, cacheSource, remainingMilliseconds } = options;
+  const { body, resumesAfter } = options;
   const deadline = Math.max(1, Math.floor(remainingMilliseconds));
-  const own = [names.deadline, String(deadline), names.expectedRunner, runnerId];
+  const added = [names.deadline, String(deadline), names.expectedRunner, runnerId];
   if (cacheSource) {
     const { host, port } = cacheSource.entry;
-    own.push(names.cacheSource, `${host}:${port}`);
+    added.push(names.cacheSource, `${host}:${port}`);
   }
-  if (hasBody(question)) own.push('Content-Length', String(body?.length ?? 0));
-  if (resumesAfter === undefined) return [...request.headers, ...own];
-  return [...without(request.headers, names.lastEventId), ...own, names.lastEventId, resumesAfter];
+  if (hasBody(options)) added.push('Content-Length', String(body?.length ?? 0));
+  if (resumesAfter === undefined) return [...request.headers, ...added];
+  return [
+    ...without(request.headers, names.lastEventId),
+    ...added,
+    names.lastEventId,
+    resumesAfter,
+  ];
 }
--- a/src/forwarding/createAttempt.ts
+++ b/src/forwarding/createAttempt.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the next attempt of a request from what was chosen for it.
+ * Creates the next attempt of a request at the runner that was chosen for it.
  */
 import type { Choice } from '../runners/RunnerChoice.js';
 import { attemptHeaders } from './attemptHeaders.js';
@@ -16,13 +16,13 @@
   context: ForwardingContext;
   tried: TriedRunners;
   observer: AttemptObserver;
-  /** The last event that the caller has of a stream that goes on, or `undefined`. */
+  /** Id of the last event that the caller has received of a stream that is being resumed; otherwise `undefined`. */
   resumesAfter: string | undefined;
 }
 
 /**
- * @param options - the request and its runner.
- * @returns The attempt, not yet sent.
+ * @param options - the request, the chosen runner, and the observer of the attempt.
+ * @returns The attempt; nothing has been sent yet.
  */
 export function createAttempt(options: CreateAttemptOptions): RunnerAttempt {
   const { chosen, request, body, context, tried, observer, resumesAfter } = options;
--- a/src/forwarding/decisions.spec.ts
+++ b/src/forwarding/decisions.spec.ts
@@ -21,15 +21,15 @@
   };
 
   const cases: readonly [string, Partial<RetryQuestion>, RetryVerdict, NoRetryReason?][] = [
-    ['an idempotent request whose answer broke', {}, 'retry'],
-    ['one that may run no more', { mayHaveRun: 2 }, 'fail', 'attempts_used_up'],
+    ['an idempotent request whose connection broke', {}, 'retry'],
+    ['one whose attempts are used up', { mayHaveRun: 2 }, 'fail', 'attempts_used_up'],
     ['one without budget', { takeBudget: () => false }, 'fail', 'budget_empty'],
     ['one whose deadline is near', { remainingMilliseconds: 5 }, 'fail', 'no_time'],
-    ['one that may run once and may have run', { kind: 'at_most_once' }, 'fail', 'not_repeatable'],
-    ['a stream that may not be resumed', { kind: 'stream' }, 'fail', 'not_repeatable'],
-    ['a stream that may', { kind: 'stream', resumable: true }, 'retry'],
+    ['a non-idempotent one that may have run', { kind: 'at_most_once' }, 'fail', 'not_repeatable'],
+    ['a stream that is not resumable', { kind: 'stream' }, 'fail', 'not_repeatable'],
+    ['a resumable stream', { kind: 'stream', resumable: true }, 'retry'],
     [
-      'one that may run once, refused by a runner',
+      'a non-idempotent one that a runner refused',
       { kind: 'at_most_once', failure: 'refused', mayHaveRun: 0, notRun: 1 },
       'retry',
     ],
@@ -45,30 +45,30 @@
       'retry',
     ],
     [
-      'one that may have run, behind a full link: it can be neither refused nor answered',
+      'one that may have run, behind a saturated link: it can be neither refused nor answered',
       { failure: 'connect_timeout', mayHaveRun: 1, notRun: 6, takeBudget: () => false },
       'retry',
     ],
     [
-      'the same, where a runner’s own error can be given',
+      'the same, if a runner’s server error can be sent instead',
       { failure: 'connect_timeout', mayHaveRun: 1, notRun: 6, hasFallback: true },
       'fail',
       'too_many_not_run',
     ],
     [
-      'one that has not run, behind a full link',
+      'one that has not run, behind a saturated link',
       { failure: 'connect_timeout', mayHaveRun: 0, notRun: 6 },
       'refuse',
       'too_many_not_run',
     ],
     [
-      'one that no runner takes',
+      'one that every runner refuses',
       { failure: 'refused', mayHaveRun: 0, notRun: 6 },
       'refuse',
       'too_many_not_run',
     ],
     [
-      'one refused after a run: "not run" would be a lie',
+      'one refused after an attempt that may have run, so "not run" would be wrong',
       { failure: 'refused', mayHaveRun: 1, notRun: 6 },
       'fail',
       'too_many_not_run',
@@ -85,8 +85,8 @@
 
 describe('SharedRetryBudget', () => {
   it('keeps the sum of all daemons within the limit of the fleet', () => {
-    // Symptom: a failing service gets more repeats than the operators allow. Sequence: every daemon spends the
-    // whole allowance. Cause: each kept the fleet's limit by itself.
+    // Guards against more retries to a failing service than the operators allow: each daemon enforced the limit of the
+    // fleet by itself, so that every one of them spent the whole allowance.
     const daemons = 6;
     const options = { ratio: 0.2, allowance: 52, windowMilliseconds: 10_000 };
     let retries = 0;
@@ -106,7 +106,7 @@
 describe('EventStreamCut', () => {
   const events = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n';
 
-  it('gives the same bytes however they are cut, and only whole events', () => {
+  it('returns the same bytes however they are split, and only complete events', () => {
     for (let cut = 1; cut < events.length; cut += 1) {
       const stream = new EventStreamCut();
       const parts = [events.slice(0, cut), events.slice(cut)].map((part) =>
@@ -119,7 +119,7 @@
     }
   });
 
-  it('forgets half an event of a runner that broke off', () => {
+  it('drops the incomplete event of a runner whose stream broke off', () => {
     const stream = new EventStreamCut();
     stream.push(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: ha'));
     stream.drop();
@@ -131,14 +131,14 @@
 });
 
 describe('passingHeaders', () => {
-  it('stops what concerns one connection, what is named there, and what is dropped', () => {
+  it('removes hop-by-hop headers, those listed in Connection, and those to be dropped', () => {
     const raw = ['Connection', 'close, X-Hop', 'X-Hop', '1', 'X-Own', '2', 'Key', 'k', 'TE', 'x'];
     expect(passingHeaders(raw, new Set(['key']))).toEqual(['X-Own', '2']);
   });
 
-  it('keeps what the system needs even where a sender names it in Connection', () => {
-    // Symptom: a retry cannot be told from its first attempt. Sequence: a caller names the id's header as one
-    // of its connection. Cause: the id was dropped on the way.
+  it('keeps essential headers even if a sender lists them in Connection', () => {
+    // Guards against losing the request id, without which a retry cannot be recognised. A caller lists the header of the id
+    // in Connection, and the id was removed as hop-by-hop.
     const raw = ['Connection', 'Request-Id', 'Request-Id', 'r'];
     expect(passingHeaders(raw, new Set(), new Set(['request-id']))).toEqual(['Request-Id', 'r']);
   });
--- a/src/forwarding/forwardedHeaders.ts
+++ b/src/forwarding/forwardedHeaders.ts
@@ -1,9 +1,9 @@
 /**
- * Which headers pass the daemon. Lists are flat, name and value in turn, as Node.js reads and takes them:
- * objects would cost a copy for each header of each request.
+ * Selects the headers that the daemon forwards. Lists are flat, with alternating names and values, as Node.js reads and
+ * accepts them; objects would need a copy of each header of each request.
  */
 
-/** Headers of one connection (RFC 9110, section 7.6.1), and those that the daemon's own framing replaces. */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), and those that the daemon sets for its own message framing. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -16,7 +16,7 @@
   'expect',
 ]);
 
-/** The headers that a sender names in `Connection` concern that connection only. */
+/** Returns the headers that the sender lists in `Connection`, which are hop-by-hop, too. */
 function namedInConnection(rawHeaders: readonly string[]): string[] {
   const named: string[] = [];
   for (let index = 0; index < rawHeaders.length; index += 2) {
@@ -28,10 +28,10 @@
 }
 
 /**
- * @param rawHeaders - as received.
- * @param dropped - names in lower case that do not pass either.
- * @param essential - names in lower case that pass even where `Connection` names them.
- * @returns What passes, in the same order and spelling.
+ * @param rawHeaders - headers as received.
+ * @param dropped - further headers that are not forwarded, in lower case.
+ * @param essential - headers that are forwarded even if `Connection` lists them, in lower case.
+ * @returns The forwarded headers, in the same order and spelling.
  */
 export function passingHeaders(
   rawHeaders: readonly string[],
@@ -43,8 +43,9 @@
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const name = rawHeaders[index] ?? '';
     const lower = name.toLowerCase();
-    const stops = CONNECTION_HEADERS.has(lower) || dropped.has(lower) || hopByHop.includes(lower);
-    if (!stops) passing.push(name, rawHeaders[index + 1] ?? '');
+    const isDropped =
+      CONNECTION_HEADERS.has(lower) || dropped.has(lower) || hopByHop.includes(lower);
+    if (!isDropped) passing.push(name, rawHeaders[index + 1] ?? '');
   }
   return passing;
 }
--- a/src/forwarding/forwardingTypes.ts
+++ b/src/forwarding/forwardingTypes.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of the forwarding path share.
+ * Types that the modules of the forwarding path share.
  */
 import type { Log } from '../logging/Log.js';
 import type { RequestQuarantine } from '../quarantine/RequestQuarantine.js';
@@ -16,7 +16,7 @@
 import type { RunnerStatements } from './RunnerStatements.js';
 import type { SharedRetryBudget } from './SharedRetryBudget.js';
 
-/** What every request of a daemon works with. */
+/** Dependencies and state that all requests of a daemon share. */
 export interface ForwardingContext {
   readonly clock: Clock;
   readonly log: Log;
@@ -28,46 +28,50 @@
   readonly link: LinkCheck;
   readonly quarantine: RequestQuarantine;
   readonly statements: RunnerStatements;
-  /** Why no runner takes a request. */
+  /** Determines why no runner can take a request. `now` is in monotonic ms. */
   readonly unavailabilityOf: (
     request: Pick<AdmittedRequest, 'service' | 'homeRegions'>,
     now: number,
   ) => Unavailability;
-  /** The configuration in force, or `undefined` before the first one is known. */
+  /** Route table of the configuration in force, or `undefined` until the first one is known. */
   readonly routes: () => RouteTable | undefined;
-  /** Daemons that share the runners' connections, this one too. */
+  /** Number of daemons that share the runners' connections, including this one. */
   readonly daemons: () => number;
-  /** Whether the store does not answer, so that a first configuration may take a while. */
+  /** Whether the store is unresponsive, so that the first configuration may be delayed. */
   readonly isStoreSilent: () => boolean;
-  /** How far a planned stop has come. */
+  /** Current phase of a planned stop. */
   readonly stopPhase: () => StopPhase;
 }
 
-/** `serving`; `leaving`: answers end their connections; `closing`: new requests are refused as well. */
+/**
+ * Phase of a planned stop. `serving`: normal operation; `leaving`: each answer closes its connection; `closing`: new
+ * requests are refused as well.
+ */
 export type StopPhase = 'serving' | 'leaving' | 'closing';
 
-/** A request that the configuration allows, read whole. */
+/** A request that the configuration allows, with everything that forwarding needs to know of its head. */
 export interface AdmittedRequest {
-  /** The caller's id of this attempt, or one of ours where it sent none. */
+  /** Id that the caller sent for this attempt, or a generated one if it sent none. */
   readonly id: string;
-  /** Whether runners have to echo the id. */
+  /** Whether the caller sent the id itself, in which case runners have to echo it. */
   readonly hasOwnId: boolean;
   readonly route: Route;
   readonly service: string;
   readonly clientAccount: string | undefined;
-  /** Regions whose runners may run it; `undefined` where all may. */
+  /** Regions whose runners may run the request; `undefined` if all may. */
   readonly homeRegions: HomeRegions;
   readonly configurationVersion: number;
   readonly method: string;
-  /** Path with the query, unchanged. */
+  /** Path and query, as received. */
   readonly target: string;
-  /** Flat; what passes from the caller, with what does not change between attempts. */
+  /** Flat list of names and values: the caller's forwarded headers and those that are the same for each attempt. */
   readonly headers: readonly string[];
+  /** Ids of the parts of the prompt that other requests share, the outermost first. */
   readonly sharedParts: readonly string[];
-  /** Monotonic ms. */
+  /** When the request arrived, monotonic ms. */
   readonly arrivedAt: number;
-  /** Monotonic ms: the caller's deadline or the route's timeout, whichever is first. */
+  /** The caller's deadline or the route's timeout, whichever is earlier; monotonic ms. */
   readonly deadlineAt: number;
-  /** Connections that this daemon may have to one runner of the service. */
+  /** Maximum number of connections from this daemon to one runner of the service. */
   readonly connectionLimit: number;
 }
--- a/src/forwarding/patience.spec.ts
+++ b/src/forwarding/patience.spec.ts
@@ -7,16 +7,16 @@
 import { nextCheck, quietAttempt, shouldHedge } from './patience.js';
 import type { RunnerAttempt } from './RunnerAttempt.js';
 
-/** When the last event came. */
-const LAST = 1_000;
+/** When the last event arrived, monotonic ms. */
+const LAST_EVENT_AT = 1_000;
 
-interface ViewChanges extends Partial<Omit<PatienceView, 'request' | 'attempts'>> {
+interface ProgressChanges extends Partial<Omit<PatienceView, 'request' | 'attempts'>> {
   route?: object;
-  /** When the runner last said anything to anybody. */
+  /** When the runner last sent data for any request, monotonic ms. */
   heardAt?: number;
 }
 
-function viewOf({ route = {}, heardAt = 0, ...changes }: ViewChanges = {}): PatienceView {
+function progressOf({ route = {}, heardAt = 0, ...changes }: ProgressChanges = {}): PatienceView {
   const common = { kind: 'stream', resumable: true, maximumAttempts: 2 };
   const request = {
     route: { ...common, targetLatencyMilliseconds: 1_000, ...route },
@@ -26,9 +26,9 @@
   return {
     request,
     attempts: new Set([attempt]),
-    now: LAST,
+    now: LAST_EVENT_AT,
     mayHaveRun: 0,
-    lastProgressAt: LAST,
+    lastProgressAt: LAST_EVENT_AT,
     hasEvents: true,
     hasBudget: () => true,
     isLinkSuspect: false,
@@ -36,12 +36,12 @@
   };
 }
 
-function actionAt(quiet: number, changes: ViewChanges = {}): string | undefined {
-  return quietAttempt(viewOf({ now: LAST + quiet, ...changes }))?.ifAccepted;
+function actionAt(quiet: number, changes: ProgressChanges = {}): string | undefined {
+  return quietAttempt(progressOf({ now: LAST_EVENT_AT + quiet, ...changes }))?.ifAccepted;
 }
 
-describe('patience with a quiet stream', () => {
-  it('asks after the runner once it says nothing to anybody, and gives it up after four times as long', () => {
+describe('wait limits of a stalled stream', () => {
+  it('probes the runner once it sends nothing for any request, and gives it up after four times as long', () => {
     expect([299, 300, 1_199, 1_200].map((quiet) => actionAt(quiet))).toEqual([
       undefined,
       'wait',
@@ -50,55 +50,57 @@
     ]);
   });
 
-  it('leaves a runner alone that is heard from by others', () => {
-    expect(actionAt(400, { heardAt: LAST + 300 })).toEqual(undefined);
+  it('does not probe a runner that sends data for other requests', () => {
+    expect(actionAt(400, { heardAt: LAST_EVENT_AT + 300 })).toEqual(undefined);
   });
 
-  it('waits for the first event by the target of the route', () => {
+  it('derives the limit for the first event from the target latency of the route', () => {
     const before = { hasEvents: false };
     expect([349, 350].map((quiet) => actionAt(quiet, before))).toEqual([undefined, 'wait']);
     const short = { hasEvents: false, route: { targetLatencyMilliseconds: 100 } };
     expect([249, 250].map((quiet) => actionAt(quiet, short))).toEqual([undefined, 'wait']);
   });
 
-  it('never ends an attempt for silence where no other runner may go on', () => {
-    // Symptom: callers get streams that break off, though the runner works on. Sequence: a stream goes on at a
-    // second runner, which is slow under a burst; the route allows two. Cause: the second is given up as well.
+  it('never ends a stalled attempt if no other runner may take over', () => {
+    // Guards against streams that break off although the runner is working on them. A stream is resumed at a second runner,
+    // which is slow under a burst; the route allows two attempts, and the second one was given up as well.
     expect(actionAt(5_000, { mayHaveRun: 1 })).toEqual(undefined);
     expect(actionAt(5_000, { hasBudget: () => false })).toEqual(undefined);
     expect(actionAt(5_000, { route: { maximumAttempts: 1 } })).toEqual(undefined);
     expect(actionAt(5_000, { route: { resumable: false } })).toEqual(undefined);
-    const { now, ...view } = viewOf({ now: LAST + 5_000, mayHaveRun: 1 });
+    const { now, ...view } = progressOf({ now: LAST_EVENT_AT + 5_000, mayHaveRun: 1 });
     expect(nextCheck({ now, ...view })).toEqual(now + 150);
   });
 });
 
-describe('patience with a call that may be repeated', () => {
+describe('wait limits of an idempotent call', () => {
   const route = { kind: 'idempotent', resumable: false };
 
-  it('asks a second runner at half of the target, while attempts are left', () => {
+  it('is hedged at half of the target latency, while attempts are left', () => {
     const at = (quiet: number, mayHaveRun = 0) =>
-      shouldHedge(viewOf({ route, now: LAST + quiet, mayHaveRun }));
+      shouldHedge(progressOf({ route, now: LAST_EVENT_AT + quiet, mayHaveRun }));
     expect([at(499), at(500), at(500, 1)]).toEqual([false, true, false]);
-    expect(nextCheck(viewOf({ route }))).toEqual(LAST + 500);
+    expect(nextCheck(progressOf({ route }))).toEqual(LAST_EVENT_AT + 500);
   });
 
-  it('asks nobody else while no runner can be reached from here', () => {
-    // What goes wrong: a large configuration fills the daemon's link; each call that waits behind it is sent to a
-    // second runner over the same link, and the budget is gone when a runner really fails.
-    expect(shouldHedge(viewOf({ route, now: LAST + 500, isLinkSuspect: true }))).toEqual(false);
+  it('is not hedged while the link of the daemon is suspected', () => {
+    // Guards against wasting the budget. A large configuration saturates the daemon's link; each delayed call would be sent
+    // to a second runner over the same link, and the budget would be spent when a runner really fails.
+    expect(
+      shouldHedge(progressOf({ route, now: LAST_EVENT_AT + 500, isLinkSuspect: true })),
+    ).toEqual(false);
   });
 
-  it('looks again a while later where a second runner could not be asked', () => {
-    // Symptom: a daemon's processor is busy while its runners fail. Sequence: the budget is spent; calls that wait
-    // for their only runner come to the time at which they would ask a second one. Cause: the time to look again had
-    // passed, so that each of them looked again at every turn of the event loop, until its deadline.
-    const now = LAST + 700;
-    expect(nextCheck(viewOf({ route, now, hasBudget: () => false }))).toEqual(now + 150);
+  it('is checked again after an interval if it could not be hedged', () => {
+    // Guards against a busy processor while runners fail. The budget is spent, and calls that wait for their only runner
+    // reach the time at which they would be hedged. The time of their next check had then passed, so each of them was
+    // checked at every turn of the event loop until its deadline.
+    const now = LAST_EVENT_AT + 700;
+    expect(nextCheck(progressOf({ route, now, hasBudget: () => false }))).toEqual(now + 150);
   });
 
-  it('looks again at the deadline only, where nothing may be repeated', () => {
+  it('is checked again only at the deadline if it is not idempotent', () => {
     const once = { kind: 'non_idempotent', resumable: false };
-    expect(nextCheck(viewOf({ route: once }))).toEqual(60_000);
+    expect(nextCheck(progressOf({ route: once }))).toEqual(60_000);
   });
 });
--- a/src/forwarding/probeRunner.spec.ts
+++ b/src/forwarding/probeRunner.spec.ts
@@ -13,24 +13,24 @@
 const QUIET_STREAMS = 20;
 
 describe(probeRunner.name, () => {
-  const open: { destroy?: () => unknown; close?: () => unknown }[] = [];
+  const resources: { destroy?: () => unknown; close?: () => unknown }[] = [];
 
   afterEach(() => {
-    for (const one of open.splice(0)) {
+    for (const one of resources.splice(0)) {
       one.destroy?.();
       one.close?.();
     }
   });
 
-  it('opens one connection for all who ask at the same moment, and a new one later', async () => {
-    // Symptom: 160 connections to one runner in two seconds. Sequence: a daemon's link is full; twenty streams of the
-    // runner are quiet, and each asks after it. Cause: nobody looked whether the question was under way.
+  it('shares one connection among simultaneous probes, and opens a new one for a later probe', async () => {
+    // Guards against 160 connections to one runner in two seconds. A daemon's link is saturated, so twenty streams of the
+    // runner stall, and each probed it although a probe was already in progress.
     const ports: (number | undefined)[] = [];
     const server = createServer((socket) => {
       ports.push(socket.remotePort);
       socket.on('error', () => undefined);
     });
-    open.push({ close: () => server.close() });
+    resources.push({ close: () => server.close() });
     await new Promise<void>((done) => {
       server.listen(0, '127.0.0.1', done);
     });
@@ -50,9 +50,9 @@
     const results = await Promise.all(Array.from({ length: QUIET_STREAMS }, ask));
     expect([...new Set(results)]).toEqual(['accepted']);
     expect(await ask()).toEqual('accepted');
-    // Connections are accepted in their order: once this one is there, all others are.
+    // Connections are accepted in order: once this one has been accepted, all earlier ones have been.
     const last = connect(port, '127.0.0.1');
-    open.push(last);
+    resources.push(last);
     await once(last, 'connect');
     while (!ports.includes(last.localPort)) await nextTurn();
     expect(ports.length).toEqual(3);
--- a/src/forwarding/probeRunner.ts
+++ b/src/forwarding/probeRunner.ts
@@ -1,42 +1,46 @@
 /**
- * Opens a connection to a runner only to see whether it is accepted: a dark runner does not accept one, a busy one
- * does. Giving up a busy one would have another runner read the same prompt: on a calm day with cold caches
- * 1,160 k tokens of shared prompts were read again without this question, 670 k with it.
+ * Health check of a runner: opens a connection to see whether it is accepted. A busy runner accepts connections, an
+ * unresponsive one does not. If a busy runner were given up, another one would have to read the same prompt: on a calm
+ * day with cold caches 1,160 k tokens of shared prompts were read again without this check, and 670 k with it.
  */
 import { connect } from 'node:net';
 
 import type { Runner } from '../runners/Runner.js';
 
-/** A runner that is up accepts within a round trip, at most 3 ms between data centres of one region; in ms. */
+/**
+ * Connect timeout, in ms. A runner that is up accepts within a round trip, which takes at most 3 ms between data centres
+ * of one region.
+ */
 export const CONNECT_TIMEOUT_MILLISECONDS = 90;
 
 /**
- * `accepted`, also where the runner ends the connection at once; `refused`: its instance says that nobody listens;
- * `no_answer`: nothing came, for which the runner's silence, a full link or an error of this instance may be the cause.
+ * Result of a probe. `accepted`: the connection was accepted, even if the runner closed it at once; `refused`: no process
+ * listens on the port; `no_answer`: timeout or local error, because the runner is unresponsive, the network link is
+ * saturated, or this instance could not open a connection.
  */
 export type ProbeResult = 'accepted' | 'refused' | 'no_answer';
 
 /**
- * What the runner's instance says, by the system's error code. All other errors are this instance's own, for example
- * that it has no descriptor or no route left, and say nothing of the runner.
+ * Results by the error codes that the runner's instance causes. All other errors are local to this instance, for example
+ * because it has no free file descriptor or no route, and do not show the state of the runner.
  */
-const RESULTS: Readonly<Record<string, ProbeResult>> = {
+const RESULT_BY_ERROR_CODE: Readonly<Record<string, ProbeResult>> = {
   ECONNREFUSED: 'refused',
   ECONNRESET: 'accepted',
 };
 
 /**
- * @param code - of an error of a connection to a runner.
- * @returns Whether the runner's instance has sent it.
+ * @param code - error code of a connection to a runner.
+ * @returns Whether the runner's instance caused the error, rather than this one.
  */
 export function isRunnersError(code: string | undefined): boolean {
-  return code !== undefined && code in RESULTS;
+  return code !== undefined && code in RESULT_BY_ERROR_CODE;
 }
 
 type ProbeListener = (result: ProbeResult) => void;
 
-/** Those who wait for the probe of a runner that is under way. */
-const underWay = new WeakMap<Runner, ProbeListener[]>();
+/** Listeners that wait for the probe in progress, by runner. */
+const pendingProbes = new WeakMap<Runner, ProbeListener[]>();
 
 function openConnection({ entry }: Runner, done: ProbeListener): void {
   const { host, port } = entry;
@@ -50,32 +54,32 @@
     socket.destroy();
     done(result);
   };
-  // After a pause of the whole process the timer comes first although the connection has been accepted.
+  // After a pause of the whole process, the timer fires before the event of an accepted connection; so events go first.
   const giveUp = () => setImmediate(() => finish(socket.connecting ? 'no_answer' : 'accepted'));
   timer = setTimeout(giveUp, CONNECT_TIMEOUT_MILLISECONDS);
   socket.once('connect', () => finish('accepted'));
   socket.on('error', ({ code }: NodeJS.ErrnoException) => {
-    finish(RESULTS[code ?? ''] ?? 'no_answer');
+    finish(RESULT_BY_ERROR_CODE[code ?? ''] ?? 'no_answer');
   });
 }
 
 /**
- * Those who ask while a probe is under way share it: each quiet stream asks after its runner by itself, and a full link
- * makes all of them quiet at once.
+ * Probes a runner. Calls during a probe of the same runner share its result: each stalled stream probes its runner
+ * independently, and a saturated network link stalls all of them at once.
  *
- * @param runner - that is asked.
- * @param done - told once, later, what came of it.
+ * @param runner - runner to probe.
+ * @param done - called once with the result, after this call has returned.
  */
 export function probeRunner(runner: Runner, done: ProbeListener): void {
-  const listeners = underWay.get(runner);
+  const listeners = pendingProbes.get(runner);
   if (listeners) {
     listeners.push(done);
     return;
   }
   const waiting = [done];
-  underWay.set(runner, waiting);
+  pendingProbes.set(runner, waiting);
   openConnection(runner, (result) => {
-    underWay.delete(runner);
+    pendingProbes.delete(runner);
     for (const listener of waiting) listener(result);
   });
 }
--- a/src/forwarding/retryDecision.ts
+++ b/src/forwarding/retryDecision.ts
@@ -1,13 +1,13 @@
 /**
- * What becomes of a request whose attempt has failed.
+ * Decides whether a request is retried after a failed attempt.
  */
 import type { CallKind } from '../routes/routeTypes.js';
 import type { AttemptFailure } from './RunnerAttempt.js';
 
-/** Retry at another runner, refuse with "not run", or fail with an outcome that is not known. */
+/** `retry` at another runner; `refuse`: the request has not run; `fail`: it is not known whether it has run. */
 export type RetryVerdict = 'retry' | 'refuse' | 'fail';
 
-/** Why a request is not sent once more. */
+/** Why a request is not retried. */
 export type NoRetryReason =
   | 'no_time'
   | 'too_many_not_run'
@@ -16,68 +16,74 @@
   | 'attempts_used_up'
   | 'budget_empty';
 
-/** The verdict, and why not `retry` where it is another one. */
+/** The verdict and, unless it is `retry`, the reason. */
 export interface RetryDecision {
   readonly verdict: RetryVerdict;
   readonly reason?: NoRetryReason;
 }
 
-/** `wait`: another attempt is under way; `cut`: part of this answer is with the caller already. */
+/** `wait`: another attempt is in progress; `cut`: part of this answer has already been sent to the caller. */
 export interface AttemptVerdict {
   readonly verdict: RetryVerdict | 'wait' | 'cut';
   readonly reason?: NoRetryReason;
 }
 
-/** What the verdict depends on. */
+/** Input of {@link decideRetry}. */
 export interface RetryQuestion {
   readonly kind: CallKind;
   readonly resumable: boolean;
   readonly failure: AttemptFailure;
-  /** Attempts that may have run, with this one. */
+  /** Number of failed attempts that may have run, including this one. */
   readonly mayHaveRun: number;
-  /** Attempts that reached no runner or were refused, with this one. */
+  /** Number of attempts that reached no runner or were refused, including this one. */
   readonly notRun: number;
-  /** Runners that may run the request. */
+  /** Maximum number of runners that may run the request. */
   readonly maximumAttempts: number;
-  /** Whether the caller can be given a runner's own error instead. */
+  /** Whether a runner's server error can be sent to the caller instead. */
   readonly hasFallback?: boolean;
-  /** Whether runners have crashed under the request before. */
+  /** Whether more than one runner has crashed while it was running the request. */
   readonly isSuspect?: boolean;
-  /** Until the caller's deadline, in ms. */
+  /** Time left until the caller's deadline, in ms. */
   readonly remainingMilliseconds: number;
-  /** Whether the fleet's retry budget has room; asked only where it matters. */
+  /** Takes a retry from the fleet's budget and returns whether there was one; called only if nothing else prevents the retry. */
   readonly takeBudget: () => boolean;
 }
 
-/** Less than this is not enough for any runner to answer, in ms. */
+/** Minimum time left for a retry, in ms; no runner answers faster. */
 const MINIMUM_REMAINING_MILLISECONDS = 12;
 
-/** A request that this many runners did not take finds no other that does, and is refused while its caller has time. */
+/**
+ * Number of attempts that reached no runner or were refused after which a request is ended. Another attempt is unlikely
+ * to succeed, and the caller still has time to retry.
+ */
 const MAXIMUM_NOT_RUN = 6;
 
 /**
- * What goes wrong otherwise: a stream that may have run is ended without an answer after half a second, because no
- * runner accepts a connection while this daemon's link is full. It cannot be refused, so it goes on while it has time.
+ * Returns whether too many runners were unreachable or refused the request.
+ *
+ * A request that may have run and reached no runner is exempt, unless it has a fallback: it cannot be refused any more,
+ * so it is retried until its deadline. Otherwise a stream that may have run would end without an answer after half a
+ * second, because no runner accepts a connection while this daemon's network link is saturated.
  */
-function hasTriedEnough(question: RetryQuestion): boolean {
+function hasExhaustedRunners(question: RetryQuestion): boolean {
   const { failure, mayHaveRun, notRun, hasFallback = false } = question;
   if (notRun < MAXIMUM_NOT_RUN) return false;
   return failure === 'refused' || mayHaveRun === 0 || hasFallback;
 }
 
 /**
- * @param kind - what may be repeated.
- * @param resumable - whether a stream may go on elsewhere.
+ * @param kind - kind of the call.
+ * @param resumable - whether another runner may resume the stream.
  * @returns Whether a request that may have run may run again.
  */
 export function isRepeatable(kind: CallKind, resumable: boolean): boolean {
   return kind === 'idempotent' || (kind === 'stream' && resumable);
 }
 
-function reasonAgainst(question: RetryQuestion): NoRetryReason | undefined {
+function noRetryReason(question: RetryQuestion): NoRetryReason | undefined {
   const { kind, resumable, failure, mayHaveRun, maximumAttempts } = question;
   if (question.remainingMilliseconds < MINIMUM_REMAINING_MILLISECONDS) return 'no_time';
-  if (hasTriedEnough(question)) return 'too_many_not_run';
+  if (hasExhaustedRunners(question)) return 'too_many_not_run';
   if (failure === 'not_connected' || failure === 'connect_timeout') return undefined;
   if (failure !== 'refused') {
     if (!isRepeatable(kind, resumable)) return 'not_repeatable';
@@ -87,13 +93,13 @@
   return question.takeBudget() ? undefined : 'budget_empty';
 }
 
-/** What the verdict on a runner's own error depends on. */
+/** Input of {@link decideSecondOpinion}. */
 export type ErrorQuestion = Pick<
   RetryQuestion,
   'kind' | 'resumable' | 'mayHaveRun' | 'maximumAttempts' | 'remainingMilliseconds' | 'takeBudget'
 >;
 
-function reasonAgainstSecondOpinion(question: ErrorQuestion): NoRetryReason | undefined {
+function noErrorRetryReason(question: ErrorQuestion): NoRetryReason | undefined {
   if (!isRepeatable(question.kind, question.resumable)) return 'not_repeatable';
   if (question.mayHaveRun >= question.maximumAttempts) return 'attempts_used_up';
   if (question.remainingMilliseconds <= 0) return 'no_time';
@@ -101,20 +107,20 @@
 }
 
 /**
- * @param question - a request that a runner has answered with an error of its own.
- * @returns Whether another runner is asked.
+ * @param question - request that a runner has answered with a server error.
+ * @returns Whether to retry the request at another runner, and if not, why.
  */
 export function decideSecondOpinion(question: ErrorQuestion): RetryDecision {
-  const reason = reasonAgainstSecondOpinion(question);
+  const reason = noErrorRetryReason(question);
   return reason === undefined ? { verdict: 'retry' } : { verdict: 'fail', reason };
 }
 
 /**
- * @param question - the request and its failure.
- * @returns What to do now.
+ * @param question - request and the failure of its last attempt.
+ * @returns Whether to retry the request, and if not, why.
  */
 export function decideRetry(question: RetryQuestion): RetryDecision {
-  const reason = reasonAgainst(question);
+  const reason = noRetryReason(question);
   if (reason === undefined) return { verdict: 'retry' };
   return { verdict: question.mayHaveRun > 0 ? 'fail' : 'refuse', reason };
 }
--- a/src/forwarding/testAttempt.ts
+++ b/src/forwarding/testAttempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt against a runner that a test plays.
+ * Test helper: sends one attempt to a server in the test that acts as the runner.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -11,7 +11,7 @@
 import { AttemptObserver, RunnerAttempt } from './RunnerAttempt.js';
 import { TestProtocol } from './testProtocol.js';
 
-/** What came of an attempt. */
+/** Result of an attempt. */
 export interface AttemptResult {
   readonly outcome: 'ended' | AttemptFailure;
   readonly status: number;
@@ -60,8 +60,8 @@
 }
 
 /**
- * @param options - where the runner is, and the request.
- * @returns What came of it.
+ * @param options - port of the runner, and the request.
+ * @returns Result of the attempt.
  */
 export function attemptAt({
   port,
--- a/src/forwarding/testHangingPort.ts
+++ b/src/forwarding/testHangingPort.ts
@@ -1,5 +1,5 @@
 /**
- * A port on which new connections wait: its queue is full, and nobody accepts from it until a test says so.
+ * Test helper: a port on which new connections hang, because its listen queue is full and no connection is accepted.
  */
 import { once } from 'node:events';
 import { connect } from 'node:net';
@@ -8,8 +8,8 @@
 import { Worker } from 'node:worker_threads';
 
 /**
- * Listens with the smallest queue and blocks its thread, so that the system drops the opening packet of whoever comes
- * once the queue is full.
+ * Worker that listens with the smallest queue and blocks its thread. Once the queue is full, the operating system drops
+ * the SYN packet of each new connection.
  */
 const LISTENER = `
   const { createServer } = require('node:net');
@@ -21,13 +21,13 @@
   });
 `;
 
-/** The system accepts this many on behalf of a queue of one, and one more may be on its way. */
+/** Number of connections that fill a queue with a backlog of one, including one that may still be in transit. */
 const QUEUED = 3;
 
-/** How many turns of the event loop a connection over loopback gets to be accepted in. */
+/** Maximum number of event loop turns to wait for a connection over loopback to be accepted. */
 const TURNS = 50;
 
-/** Owns the thread and the connections that fill its queue. */
+/** The worker thread and the connections that fill its listen queue. */
 export class HangingPort {
   readonly port: number;
 
@@ -43,7 +43,7 @@
     this.gate = gate;
   }
 
-  /** @returns A port that accepts no more connections. */
+  /** @returns A port on which new connections hang. */
   static async open(): Promise<HangingPort> {
     const buffer = new SharedArrayBuffer(Int32Array.BYTES_PER_ELEMENT);
     const worker = new Worker(LISTENER, { eval: true, workerData: buffer });
@@ -53,7 +53,7 @@
     return hanging;
   }
 
-  /** Lets the thread end. */
+  /** Closes the connections and ends the thread. */
   async close(): Promise<void> {
     for (const socket of this.fillers) socket.destroy();
     Atomics.store(this.gate, 0, 1);
--- a/src/forwarding/testProtocol.ts
+++ b/src/forwarding/testProtocol.ts
@@ -1,11 +1,11 @@
 /**
- * A protocol for tests, with names of its own.
+ * Protocol adapter for tests, with its own header names.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 
 import { RunnerProtocol } from './RunnerProtocol.js';
 
-/** See the module's comment. */
+/** Protocol adapter with short header names. */
 export class TestProtocol extends RunnerProtocol {
   override readonly names = {
     requestId: 'request-id',
--- a/src/forwarding/testRequest.ts
+++ b/src/forwarding/testRequest.ts
@@ -1,6 +1,7 @@
 /**
- * One caller's request with the runners that a test plays, in virtual time. The first runner is reached over a connection
- * that was open before; new connections to it and to others are accepted or wait, as the test says.
+ * Test helper: forwards one caller's request, in virtual time, to runners whose answers the test writes. The first runner
+ * is reached over a connection that is already open; whether new connections to it and to other runners are accepted or
+ * hang is up to the test.
  */
 import { createServer } from 'node:http';
 import type { ServerResponse } from 'node:http';
@@ -36,7 +37,7 @@
 
 const HEAD = 'HTTP/1.1 200 OK\r\nSignature: s\r\nRequest-Id: r-1\r\nConnection: close\r\n';
 
-/** A resumable stream's route. */
+/** Route of a resumable stream. */
 const ROUTE = {
   name: 'chat',
   kind: 'stream',
@@ -45,18 +46,18 @@
   maximumAttempts: 2,
 } as Route;
 
-/** Until the caller's deadline, in ms of the virtual clock. */
+/** Time until the caller's deadline, in ms of the virtual clock. */
 export const DEADLINE_MILLISECONDS = 6_000;
 
 const STEP_MILLISECONDS = 10;
 
-/** Turns of the event loop in which what is on its way over loopback arrives. */
+/** Number of turns of the event loop in which data that was sent over loopback arrives. */
 const TURNS = 12;
 
-/** Of the runner that the request goes to first. */
+/** Id of the runner that the request is sent to first. */
 export const FIRST_RUNNER = 'runner-1';
 
-/** Sends requests for the first runner over the connection that is open to it. */
+/** Sends requests for the first runner over the connection that is already open. */
 class OpenConnections extends RunnerConnections {
   private readonly openPort: () => number;
 
@@ -74,7 +75,7 @@
 }
 
 /**
- * @param id - of the event.
+ * @param id - id of the event.
  * @returns One event of a stream.
  */
 export function eventOf(id: number): string {
@@ -82,30 +83,30 @@
 }
 
 /**
- * @param events - that come at once.
- * @returns The beginning of a stream's answer.
+ * @param events - ids of the events that follow the head immediately.
+ * @returns Head and first events of a streamed answer.
  */
 export function streamOf(...events: number[]): string {
   return `${HEAD}Content-Type: text/event-stream\r\n\r\n${events.map(eventOf).join('')}`;
 }
 
 /**
- * @param status - as in the first line.
- * @returns A whole answer that is no stream.
+ * @param status - status code and reason, as in the status line.
+ * @returns A complete answer that is not a stream.
  */
 export function plainAnswer(status: string): string {
   return `${HEAD.replace('200 OK', status)}Content-Length: 2\r\n\r\nok`;
 }
 
 /**
- * @param answer - what the caller got.
+ * @param answer - answer that the caller received.
  * @returns The data of its events.
  */
 export function eventsIn(answer: string): string[] {
   return answer.match(/token \d+/gu) ?? [];
 }
 
-/** A budget that requests before have filled. */
+/** Creates a budget that earlier requests have filled. */
 function earnedBudget(allowance: number, now: number): SharedRetryBudget {
   const limits = { ratio: 0.05, windowMilliseconds: 10_000, daemons: () => 1 };
   const budget = new SharedRetryBudget({ ...limits, allowance });
@@ -115,13 +116,13 @@
 
 /** Options of a {@link RequestUnderTest}. */
 export interface RequestUnderTestOptions {
-  /** What differs from a resumable stream. */
+  /** Differences from the route of a resumable stream. */
   route?: Partial<Route>;
-  /** Retries that the budget allows besides one for each request. */
+  /** Retries that the budget allows at the start of the test. */
   allowance?: number;
 }
 
-/** Owns sockets, clock and timers of one test. */
+/** One request with the sockets, the clock and the timers of its test. */
 export class RequestUnderTest {
   readonly clock = new ManualClock();
 
@@ -129,7 +130,7 @@
 
   readonly runners = new RunnerTable();
 
-  /** Where new connections wait. */
+  /** Port on which new connections hang. */
   readonly hanging: HangingPort;
 
   readonly context: ForwardingContext;
@@ -183,19 +184,19 @@
   }
 
   /**
-   * @param options - of the route and the budget.
-   * @returns With no runner listed yet.
+   * @param options - route and budget.
+   * @returns The test setup; no runner is listed yet.
    */
   static async open(options: RequestUnderTestOptions = {}): Promise<RequestUnderTest> {
     return new RequestUnderTest(await HangingPort.open(), options);
   }
 
   /**
-   * Ends what the test has left.
+   * Closes all sockets and lets all timers expire.
    *
-   * A virtual timer that is cleared after the virtual clock has been reset takes a timer of the next test with it,
-   * which then waits for ever. It happened on a busy machine, where sockets of a test fail after its end. So every
-   * timer runs out first.
+   * If a virtual timer is cleared after the virtual clock has been reset, a timer of the next test is removed as well,
+   * and that test waits forever. This happened on a busy machine, where sockets of a test fail after its end. So all
+   * timers expire before the reset.
    */
   async close(): Promise<void> {
     for (const socket of this.sockets) socket.destroy();
@@ -209,15 +210,15 @@
   }
 
   /**
-   * @param id - of a runner that accepts no new connections.
+   * @param id - id of a runner that accepts no new connections.
    */
   addHangingRunner(id: string): void {
     this.addRunner(id, this.hanging.port);
   }
 
   /**
-   * @param id - of a runner that accepts connections.
-   * @returns The connections on which it has got a request; a test answers on them.
+   * @param id - id of a runner that accepts connections.
+   * @returns Connections on which the runner has received a request; the test writes the answers to them.
    */
   async addOpenRunner(id: string): Promise<Socket[]> {
     const asked: Socket[] = [];
@@ -228,7 +229,7 @@
   /**
    * Sends the request while only the first runner is listed.
    *
-   * @returns Where that runner answers, and what the caller gets in the end.
+   * @returns Connection on which the test writes the answer of that runner, and everything that the caller receives.
    */
   async begin(): Promise<{ runner: Socket; caller: Promise<string> }> {
     const asked: Socket[] = [];
@@ -241,7 +242,9 @@
   }
 
   /**
-   * @param milliseconds - of virtual time.
+   * Advances virtual time in steps and lets data arrive after each.
+   *
+   * @param milliseconds - virtual time.
    */
   async pass(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
@@ -251,9 +254,9 @@
   }
 
   /**
-   * Moves time without letting bytes arrive, like a pause of the whole process.
+   * Advances virtual time without letting data arrive, like a pause of the whole process.
    *
-   * @param milliseconds - of virtual time.
+   * @param milliseconds - virtual time.
    */
   jump(milliseconds: number): void {
     this.clock.advance(milliseconds);
@@ -261,8 +264,8 @@
   }
 
   /**
-   * @param id - of a runner.
-   * @returns Whether it may get requests.
+   * @param id - id of a runner.
+   * @returns Whether the runner may get requests.
    */
   isUsable(id: string): boolean | undefined {
     return this.runners.get(id)?.health.isUsable(this.clock.monotonicMilliseconds());
