--- a/src/forwarding/testRetryFleet.ts
+++ b/src/forwarding/testRetryFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Plays a fleet whose service fails in virtual time: daemons that are killed, rolled, paused or added, each with the
- * retry budget of its process. Counts what the fleet sends once more in any window against the operators' limit.
+ * Simulates, in virtual time, a fleet whose service fails while daemons are killed, restarted, paused or added. Each
+ * daemon process has its own retry budget. Compares the retries of the fleet in each window with the operators' limit.
  */
 import { match } from 'ts-pattern';
 
@@ -8,31 +8,31 @@
 import { seededRandom } from '../random/seededRandom.js';
 import type { SharedRetryBudget, SharedRetryBudgetOptions } from './SharedRetryBudget.js';
 
-/** What a daemon asks of its budget. */
+/** Retry budget of one daemon process, as the simulation uses it. */
 export interface RetryAccount extends Pick<SharedRetryBudget, 'recordRequest' | 'take'> {
-  /** The process ends; what it knew is gone. */
+  /** Called when the process ends and its state is lost. */
   end?(): void;
 }
 
-/** What happens to daemons. */
+/** Disruption of the daemons. */
 export type FleetTrouble =
   | 'none'
-  /** All are killed at the same moment, several times. */
+  /** All daemons are killed at the same moment, several times. */
   | 'killed_together'
-  /** One after the other is killed, again and again. */
+  /** Single daemons are killed one after the other, repeatedly. */
   | 'killed_in_turn'
-  /** A planned stop and start of all, a few at a time: each leaves the list while it is away. */
+  /** Rolling restart of all daemons, a few at a time; each is not listed while it is stopped. */
   | 'rolled'
-  /** Lists become as short as one, while the store forgets entries, and long again. */
+  /** The store loses entries, so that each daemon lists only itself for a while. */
   | 'lists_short'
-  /** A third are paused, and get their callers' requests at once when they go on. */
+  /** A third of the daemons are paused, and receive the requests that have accumulated when they continue. */
   | 'paused'
-  /** As many again are added. */
+  /** The number of daemons doubles. */
   | 'added'
-  /** Half of them are gone for good, and the others learn it. */
+  /** Half of the daemons fail permanently, and the others notice it later. */
   | 'gone';
 
-/** How requests fail: one in ten, nearly all, or all that were under way at one moment, again and again. */
+/** How requests fail. `some`: one in ten; `most`: nearly all; `bursts`: repeatedly, all that are in progress at one moment. */
 export type ServiceFailure = 'some' | 'most' | 'bursts';
 
 /** Options of {@link playRetries}. */
@@ -40,25 +40,25 @@
   daemons: number;
   trouble: FleetTrouble;
   failure: ServiceFailure;
-  /** Of one life of a daemon; the second argument tells daemons apart. */
+  /** Creates the budget of one incarnation of a daemon; `daemon` is the index of the daemon. */
   createAccount: (options: SharedRetryBudgetOptions, daemon: number) => RetryAccount;
   seed?: number;
-  /** Of one daemon. */
+  /** Request rate of one daemon. */
   requestsPerSecond?: number;
   ratio?: number;
-  /** Of the whole fleet. */
+  /** Allowance of the whole fleet, in retries per window. */
   allowance?: number;
 }
 
-/** What came of it. */
+/** Result of a simulation. */
 export interface RetryFleetResult {
-  /** By how much the worst window passes the limit of the fleet; negative where none does. */
+  /** Retries by which the worst window exceeds the fleet's limit; negative if none does. */
   readonly excess: number;
   readonly wanted: number;
   readonly granted: number;
 }
 
-/** Fleets as large as deployments, with what their operators allow. */
+/** Fleets of the sizes of real deployments, with the allowances of their operators. */
 export const RETRY_FLEETS = [
   { daemons: 6, allowance: 52 },
   { daemons: 9, allowance: 58 },
@@ -67,40 +67,40 @@
   { daemons: 390, allowance: 430 },
 ];
 
-/** Length of the operators' window, in ms. */
+/** Length of the window to which the operators' limit applies, in ms. */
 export const RETRY_WINDOW_MILLISECONDS = 10_000;
 
 const SERVICE = 'engine';
 const STEP_MILLISECONDS = 50;
 const STEPS_PER_SECOND = 1_000 / STEP_MILLISECONDS;
 const WINDOW_STEPS = RETRY_WINDOW_MILLISECONDS / STEP_MILLISECONDS;
-const LENGTH_STEPS = 60 * STEPS_PER_SECOND;
+const DURATION_STEPS = 60 * STEPS_PER_SECOND;
 const FAILS_FROM_STEP = 15 * STEPS_PER_SECOND;
 const AWAY_STEPS = STEPS_PER_SECOND;
 
-/** A daemon that has started lists only itself for this long. */
-const LEARNS_STEPS = 6;
+/** Number of steps after its start during which a daemon lists only itself. */
+const DISCOVERY_STEPS = 6;
 
-/** Requests of a daemon that fail together, as seconds of its requests. */
+/** Requests of a daemon that fail in a burst: those that arrive within this many seconds. */
 const BURST_SECONDS = 1.5;
 
 const BURST_EVERY_STEPS = 7 * STEPS_PER_SECOND;
 
-const SHARE: Readonly<Record<ServiceFailure, number>> = { some: 0.1, most: 0.9, bursts: 0 };
+const FAILED_SHARE: Readonly<Record<ServiceFailure, number>> = { some: 0.1, most: 0.9, bursts: 0 };
 
 interface FleetDaemon {
   readonly index: number;
   account: RetryAccount | undefined;
   size: FleetSize;
   startedStep: number;
-  /** From then on it runs again. */
+  /** Step at which the daemon starts again. */
   backAtStep: number;
   isListed: boolean;
   isPaused: boolean;
   waiting: number;
 }
 
-/** Owns the daemons and what they have sent. */
+/** The simulated daemons, and the requests and retries that they have sent. */
 class RetryFleet {
   private readonly options: Required<RetryFleetOptions>;
 
@@ -128,7 +128,7 @@
   }
 
   play(): RetryFleetResult {
-    for (; this.step < LENGTH_STEPS; this.step += 1) {
+    for (; this.step < DURATION_STEPS; this.step += 1) {
       this.requests.push(0);
       this.retries.push(0);
       this.disturb();
@@ -171,7 +171,7 @@
   }
 
   private listedBy(daemon: FleetDaemon): number {
-    const isNew = daemon.startedStep > 0 && this.step - daemon.startedStep < LEARNS_STEPS;
+    const isNew = daemon.startedStep > 0 && this.step - daemon.startedStep < DISCOVERY_STEPS;
     return isNew || this.areListsShort ? 1 : this.listed;
   }
 
@@ -192,10 +192,10 @@
       .with('killed_together', () => this.killTogether(second))
       .with('killed_in_turn', () => this.killInTurn())
       .with('rolled', () => this.roll(since))
-      .with('lists_short', () => this.shorten(second))
+      .with('lists_short', () => this.shortenLists(second))
       .with('paused', () => this.pause(second))
       .with('added', () => this.add(second))
-      .with('gone', () => this.lose(second))
+      .with('gone', () => this.loseHalf(second))
       .exhaustive();
   }
 
@@ -204,7 +204,7 @@
     for (const daemon of this.daemons) this.end(daemon, AWAY_STEPS);
   }
 
-  private shorten(second: number): void {
+  private shortenLists(second: number): void {
     this.areListsShort = (second >= 2 && second < 5) || (second >= 12 && second < 14);
   }
 
@@ -214,7 +214,7 @@
     if (daemon?.account) this.end(daemon, AWAY_STEPS);
   }
 
-  /** Two, or a tenth, each 0.6 s; each is away for two seconds. */
+  /** Restarts two daemons, or a tenth of the fleet, every 0.6 s; each is stopped for two seconds. */
   private roll(since: number): void {
     const everySteps = 0.6 * STEPS_PER_SECOND;
     const atOnce = Math.max(2, Math.ceil(this.daemons.length / 10));
@@ -241,9 +241,9 @@
     }
   }
 
-  private lose(second: number): void {
+  private loseHalf(second: number): void {
     const lost = this.daemons.slice(0, Math.floor(this.options.daemons / 2));
-    if (second === 3) for (const daemon of lost) this.end(daemon, LENGTH_STEPS);
+    if (second === 3) for (const daemon of lost) this.end(daemon, DURATION_STEPS);
     if (second === 6) for (const daemon of lost) daemon.isListed = false;
   }
 
@@ -254,8 +254,8 @@
       daemon.waiting += this.drawCount(rate / living.length);
       this.requests[this.step] = (this.requests[this.step] ?? 0) + daemon.waiting;
       if (daemon.isPaused) continue;
-      for (; daemon.waiting > 0; daemon.waiting -= 1) this.take(daemon);
-      if (this.isBurst) this.breakAll(daemon);
+      for (; daemon.waiting > 0; daemon.waiting -= 1) this.handleRequest(daemon);
+      if (this.isBurst) this.failInProgress(daemon);
     }
   }
 
@@ -269,18 +269,19 @@
     return this.options.failure === 'bursts' && since >= 0 && since % BURST_EVERY_STEPS === 0;
   }
 
-  private take(daemon: FleetDaemon): void {
+  private handleRequest(daemon: FleetDaemon): void {
     daemon.account?.recordRequest(SERVICE, this.now);
-    const fails = this.step >= FAILS_FROM_STEP && this.random() < SHARE[this.options.failure];
-    if (fails) this.repeat(daemon);
+    const fails =
+      this.step >= FAILS_FROM_STEP && this.random() < FAILED_SHARE[this.options.failure];
+    if (fails) this.tryRetry(daemon);
   }
 
-  private breakAll(daemon: FleetDaemon): void {
+  private failInProgress(daemon: FleetDaemon): void {
     const underWay = Math.round(this.options.requestsPerSecond * BURST_SECONDS);
-    for (let count = underWay; count > 0; count -= 1) this.repeat(daemon);
+    for (let count = underWay; count > 0; count -= 1) this.tryRetry(daemon);
   }
 
-  private repeat(daemon: FleetDaemon): void {
+  private tryRetry(daemon: FleetDaemon): void {
     this.wanted += 1;
     if (!daemon.account?.take(SERVICE, this.now)) return;
     this.retries[this.step] = (this.retries[this.step] ?? 0) + 1;
@@ -291,7 +292,10 @@
     return counts.slice(start, Math.max(start, from + WINDOW_STEPS)).reduce((a, b) => a + b, 0);
   }
 
-  /** Requests are counted in the window, the one before it or the one half a window before it, whichever has most. */
+  /**
+   * Returns the excess of the worst window. The limit is based on the requests of the same window, the previous one, or the
+   * one half a window earlier, whichever has the most requests.
+   */
   private worstExcess(): number {
     const { ratio, allowance } = this.options;
     const excesses = this.retries.map((_, from) => {
@@ -304,8 +308,8 @@
 }
 
 /**
- * @param options - the fleet, what befalls it, and the account of each process.
- * @returns What was sent once more, against what may be.
+ * @param options - the fleet, its disruption, and the retry budget of each process.
+ * @returns The retries that were wanted and granted, and the excess over the limit.
  */
 export function playRetries({
   seed = 1,
