--- a/src/forwarding/RunnerAgent.ts
+++ b/src/forwarding/RunnerAgent.ts
@@ -17,7 +17,10 @@
  */
 const UNSTATED_IDLE_MILLISECONDS = 400;
 
-/** Margin before the runner's idle limit, in ms: a request takes a few ms to arrive, and timers of busy processes fire later still. */
+/**
+ * Margin before the runner's idle limit, in ms. A request takes a few ms to arrive, and timers of busy processes are
+ * late by more than that.
+ */
 const IDLE_MARGIN_MILLISECONDS = 800;
 
 /** Maximum idle time, in ms. A connection that was idle for longer may be dead without a reset having arrived. */
--- a/src/forwarding/admitRequest.ts
+++ b/src/forwarding/admitRequest.ts
@@ -63,7 +63,10 @@
   return Math.max(MINIMUM_CONNECTIONS, Math.floor((maximum * CONNECTION_SHARE) / daemons));
 }
 
-/** Headers that are not forwarded, and those that are forwarded even if `Connection` lists them; created once for each protocol. */
+/**
+ * Headers that are not forwarded, and those that are forwarded even if `Connection` lists them. Created once for each
+ * protocol.
+ */
 function headerSets({ protocol }: ForwardingContext) {
   const { names } = protocol;
   const dropped = new Set([
--- a/src/forwarding/forwardingFeature.ts
+++ b/src/forwarding/forwardingFeature.ts
@@ -67,7 +67,7 @@
     number: 2607,
     name: 'forwarding.link_suspected',
     level: 'warn',
-    text: 'Several runners accept no connections at the same time: the daemon’s own network link may be saturated or down, so attempts are not failed because their runners are unresponsive.',
+    text: 'Several runners accept no connections at the same time: the daemon’s own network link may be saturated or down, so unresponsive runners are not given up.',
     operatorAction:
       'Check the network link of this instance; a large configuration saturates a slow link for a second.',
   }),
