--- a/src/router/CallerDirectory.ts
+++ b/src/router/CallerDirectory.ts
@@ -1,5 +1,5 @@
 /**
- * Tells callers where to connect, by what this daemon knows.
+ * Answers callers that ask which daemons to connect to, from this daemon's view of the fleet.
  */
 import type { FleetCoordination } from '../coordination/FleetCoordination.js';
 import { addressesFor } from '../directory/DirectoryDecisions.js';
@@ -9,9 +9,9 @@
 import { regionOfDataCentre } from './routerFeature.js';
 import type { RouterSettings } from './routerFeature.js';
 
-/** What a caller tells of itself when it asks where to connect. */
+/** What a caller says about itself when it asks the directory for addresses. */
 export interface CallerPlace extends Pick<DirectoryQuestion, 'dataCentre' | 'region' | 'caller'> {
-  /** The host that its requests will name. */
+  /** The host name that the caller's requests will carry. */
   readonly host?: string | undefined;
 }
 
@@ -22,29 +22,31 @@
   coordination: FleetCoordination;
 }
 
-/** See the module's comment. */
+/** Collects the daemons, home regions and data centres that a directory answer depends on. */
 export class CallerDirectory {
   private readonly options: CallerDirectoryOptions;
 
   /**
-   * @param options - what is known of daemons, routes and regions.
+   * @param options - the settings, and this daemon's view of daemons and routes.
    */
   constructor(options: CallerDirectoryOptions) {
     this.options = options;
   }
 
   /**
-   * @param place - where a caller is and what it asks for, as far as it says so.
-   * @param own - this daemon, as long as it takes requests.
-   * @returns Addresses for callers.
+   * @param location - the caller's data centre, region, address and host, as far as they are known.
+   * @param own - this daemon's entry, or `undefined` while it accepts no new callers.
+   * @returns Caller addresses of daemons, those near the caller first.
    */
-  addressesFor(place: CallerPlace, own: DaemonEntry | undefined): string[] {
+  addressesFor(location: CallerPlace, own: DaemonEntry | undefined): string[] {
     const { settings, knowledge, coordination } = this.options;
-    const living = coordination.livingOthers();
-    // A caller with no address at all is lost; one with an address of a dead daemon tries the next.
-    const daemons = own || living.length > 0 ? living : coordination.otherDaemons();
-    const homeRegions = knowledge.routes?.homesOfHost(place.host ?? '');
+    const availableDaemons = coordination.livingOthers();
+    // If every daemon seems unavailable, all listed ones are given: a caller without any address can reach nobody, whereas
+    // one that gets the address of a dead daemon tries the next address.
+    const daemons =
+      own || availableDaemons.length > 0 ? availableDaemons : coordination.otherDaemons();
+    const homeRegions = knowledge.routes?.homesOfHost(location.host ?? '');
     const regionOf = (dataCentre: string) => regionOfDataCentre(settings, dataCentre);
-    return addressesFor({ daemons, own, homeRegions, regionOf, ...place });
+    return addressesFor({ daemons, own, homeRegions, regionOf, ...location });
   }
 }
--- a/src/router/KnowledgeReactions.spec.ts
+++ b/src/router/KnowledgeReactions.spec.ts
@@ -34,8 +34,9 @@
     });
   });
 
-  it('logs each runner that changes, and counts those beyond what a log takes at once', () => {
-    // Guards against a start whose lines of thousands of runners leave no room for any other line.
+  it('logs each changed runner up to a limit, and only counts the rest', () => {
+    // Guards against a start that writes a line for each of thousands of runners, so that the line limit of the log leaves
+    // out all other lines.
     for (let index = 0; index < 3_000; index += 1) {
       reactions.runnerChanged(runnerOf(index), index % 3 === 0 ? 'draining' : 'ready');
     }
@@ -49,7 +50,7 @@
     expect(log.of(syncLogEvents.moreRunnersChanged).length).toEqual(1);
   });
 
-  it('logs evacuations, and names in orders that are no data centre', () => {
+  it('logs evacuations, and reports those of unknown data centres', () => {
     reactions.evacuationChanged('north', 'begun');
     reactions.evacuationChanged('nroth', 'begun');
     const begun = { state: 'begun', revision: 7 };
--- a/src/router/KnowledgeReactions.ts
+++ b/src/router/KnowledgeReactions.ts
@@ -1,6 +1,6 @@
 /**
- * What a daemon does about changes of its beliefs: a log line for each, and what other parts keep of a runner or a
- * configuration follows.
+ * Handles changes in what a daemon knows of the fleet: logs them, and passes them on to the parts that keep state for a
+ * runner or a configuration.
  */
 import type { RunnerConnections } from '../forwarding/RunnerConnections.js';
 import type { Log } from '../logging/Log.js';
@@ -17,54 +17,54 @@
   log: Log;
   /** Names of the data centres that this daemon's settings know. */
   dataCentres: readonly string[];
-  /** The store's revision that the daemon's beliefs have reached. */
+  /** The store revision up to which the daemon has applied changes. */
   revision: () => number;
-  /** Takes lives of runners that have told another daemon that they leave. */
-  takeLeaving: (lives: readonly string[]) => void;
-  /** Takes the list of quarantined requests, as the store holds it. */
+  /** Takes the incarnations of runners that announced to another daemon that they are leaving. */
+  takeLeaving: (incarnations: readonly string[]) => void;
+  /** Takes the list of quarantined requests in the form in which the store holds it. */
   takeQuarantine: (page: string) => void;
-  /** Takes the limits for callers of a configuration that has come into force. */
+  /** Applies the limits for callers from a configuration that has come into force. */
   applyLimits: (limits: CallerLimits) => void;
-  /** Called once all of a read has been taken. */
+  /** Called after all changes of one read of the store have been applied. */
   onUpdate: () => void;
 }
 
-/** Names in one line of the log: all daemons of a large fleet may come or go at once. */
-const MAXIMUM_NAMES = 12;
+/** Most daemon names in one log line: all daemons of a large fleet may come or go at once. */
+const MAXIMUM_LOGGED_DAEMONS = 12;
 
-/** Runners of one read that get a line each; a start lists thousands, more than a log takes within a second. */
-const MAXIMUM_RUNNER_LINES = 40;
+/** Most runners of one read that get a log line each; a start lists thousands, more than the log writes in a second. */
+const MAXIMUM_LOGGED_RUNNERS = 40;
 
-/** What a line tells of a runner. */
+/** A runner and its new state, for the log. */
 interface ChangedRunner {
   readonly entry: RunnerEntry;
   readonly state: RunnerState | 'lapsed' | 'gone';
 }
 
-function countStates(changed: readonly ChangedRunner[]): Record<string, number> {
+function countByState(changed: readonly ChangedRunner[]): Record<string, number> {
   const counts: Record<string, number> = {};
   for (const { state } of changed) counts[state] = (counts[state] ?? 0) + 1;
   return counts;
 }
 
-/** See the module's comment. */
+/** Logs changes once per read, and forwards each of them to the part concerned. */
 export class KnowledgeReactions implements KnowledgeListener {
   private readonly options: KnowledgeReactionsOptions;
 
-  /** Daemons that have come and gone since the last line about them. */
+  /** Names of daemons that were listed or removed since the last log line about daemons. */
   private changedDaemons: Record<'listed' | 'gone', string[]> = { listed: [], gone: [] };
 
-  /** Runners that have changed since the last read. */
+  /** Runners that changed during the read in progress. */
   private changedRunners: ChangedRunner[] = [];
 
   /**
-   * @param options - the parts that follow.
+   * @param options - the parts to which changes are passed on.
    */
   constructor(options: KnowledgeReactionsOptions) {
     this.options = options;
   }
 
-  /** @param configuration - that is in force from now on. */
+  /** @param configuration - the configuration that has come into force. */
   configurationChanged({ version, routes, limits }: RoutingConfiguration): void {
     const { applyLimits, log, revision } = this.options;
     applyLimits(limits);
@@ -73,10 +73,11 @@
   }
 
   /**
-   * A runner that may be back keeps its connections, and what it has cached counts.
+   * Releases the connections of a runner that takes no new requests, and forgets the cache contents of one that is gone. A
+   * `lapsed` runner may come back, so that its connections and its known cache contents are kept.
    *
-   * @param entry - of the runner.
-   * @param state - from now on.
+   * @param entry - the runner's entry.
+   * @param state - its new state.
    */
   runnerChanged(entry: RunnerEntry, state: RunnerState | 'lapsed' | 'gone'): void {
     const { connections, warmPlaces } = this.options;
@@ -87,18 +88,18 @@
   }
 
   /**
-   * @param name - of a daemon.
-   * @param state - from now on.
+   * @param name - the daemon's name.
+   * @param state - whether the store lists the daemon now.
    */
   daemonChanged(name: string, state: 'listed' | 'gone'): void {
     this.changedDaemons[state].push(name);
   }
 
   /**
-   * Requests that its runners have go on to their end.
+   * Logs only: requests that runners of the data centre already have run to their end.
    *
-   * @param dataCentre - that is evacuated, or not any more.
-   * @param state - from now on.
+   * @param dataCentre - name of the data centre, as the operators wrote it.
+   * @param state - whether its evacuation has begun or is over.
    */
   evacuationChanged(dataCentre: string, state: 'begun' | 'over'): void {
     const { log, revision, dataCentres } = this.options;
@@ -109,22 +110,22 @@
     log.write(syncLogEvents.evacuationChanged, { dataCentre, state, revision: revision() });
   }
 
-  /** @param places - where another daemon knows shared prompts to be cached. */
+  /** @param places - runners on which shared prompts are cached, as another daemon saved them in the store. */
   warmPlacesKept(places: readonly WarmPlace[]): void {
     this.options.warmPlaces.import(places);
   }
 
-  /** @param lives - of runners that have told another daemon that they leave. */
-  runnersLeaving(lives: readonly string[]): void {
-    this.options.takeLeaving(lives);
+  /** @param incarnations - incarnations of runners that announced to another daemon that they are leaving. */
+  runnersLeaving(incarnations: readonly string[]): void {
+    this.options.takeLeaving(incarnations);
   }
 
-  /** @param page - of quarantined requests, as another daemon has written it. */
+  /** @param page - the list of quarantined requests, as another daemon saved it in the store. */
   quarantineKept(page: string): void {
     this.options.takeQuarantine(page);
   }
 
-  /** All of a read has been taken. */
+  /** Called after all changes of one read have been reported: writes the log lines. */
   updated(): void {
     this.logRunners();
     this.logDaemons();
@@ -132,8 +133,8 @@
   }
 
   /**
-   * @param key - of an entry that cannot be read.
-   * @param message - what is wrong with it.
+   * @param key - the store key whose value cannot be decoded.
+   * @param message - why it cannot be decoded.
    */
   unreadable(key: string, message: string): void {
     this.options.log.write(syncLogEvents.factUnreadable, { key, message });
@@ -144,14 +145,14 @@
     this.changedRunners = [];
     const { log } = this.options;
     const revision = this.options.revision();
-    for (const { entry, state } of changed.slice(0, MAXIMUM_RUNNER_LINES)) {
+    for (const { entry, state } of changed.slice(0, MAXIMUM_LOGGED_RUNNERS)) {
       const { id: runner, life, service, coldMilliseconds } = entry;
       const fields = { runner, life, state, service, coldMilliseconds, revision };
       log.write(syncLogEvents.runnerChanged, fields);
     }
-    const rest = changed.slice(MAXIMUM_RUNNER_LINES);
+    const rest = changed.slice(MAXIMUM_LOGGED_RUNNERS);
     if (rest.length === 0) return;
-    log.write(syncLogEvents.moreRunnersChanged, { ...countStates(rest), revision });
+    log.write(syncLogEvents.moreRunnersChanged, { ...countByState(rest), revision });
   }
 
   private logDaemons(): void {
@@ -159,9 +160,9 @@
     if (listed.length + gone.length === 0) return;
     this.changedDaemons = { listed: [], gone: [] };
     this.options.log.write(syncLogEvents.daemonsChanged, {
-      listed: listed.slice(0, MAXIMUM_NAMES),
+      listed: listed.slice(0, MAXIMUM_LOGGED_DAEMONS),
       listedCount: listed.length,
-      gone: gone.slice(0, MAXIMUM_NAMES),
+      gone: gone.slice(0, MAXIMUM_LOGGED_DAEMONS),
       goneCount: gone.length,
       revision: this.options.revision(),
     });
--- a/src/router/RouterDaemon.ts
+++ b/src/router/RouterDaemon.ts
@@ -1,5 +1,5 @@
 /**
- * A daemon that forwards directly to runners: puts the parts together, from its start to its planned stop.
+ * A daemon that forwards requests directly to runners: creates its parts, starts them and runs the planned stop.
  */
 import type { Server } from 'node:http';
 import type { Server as PortServer } from 'node:net';
@@ -42,8 +42,8 @@
 import type { RouterSettings } from './routerFeature.js';
 
 /**
- * Changes are gathered for this share of the time in which they have to be in force. Two such waits, a lost
- * message and a slow read fit into it; every call to the store has its price.
+ * Part of the shortest bound for a change to be in force that is spent gathering changes into one read, because each call
+ * loads the store. Two such waits, a lost message and a slow read still fit into the bound.
  */
 const GATHER_SHARE = 0.4;
 
@@ -54,7 +54,7 @@
   protocol: RunnerProtocol;
   log: Log;
   clock?: Clock;
-  /** Listens for callers already, at the address of the settings; the daemon takes its port over. */
+  /** Already listens at the callers' address of the settings; the daemon takes over its port. */
   callerListener?: PortServer | undefined;
 }
 
@@ -62,7 +62,7 @@
   return parseAddress(address, { mayChoosePort: true });
 }
 
-/** Owns all tasks of the process. */
+/** Creates and owns all tasks of the process. */
 export class RouterDaemon {
   readonly knowledge: FleetKnowledge;
 
@@ -112,12 +112,12 @@
 
   private phase: StopPhase = 'serving';
 
-  private wasReady = false;
+  private hasBeenReady = false;
 
   private readonly secret: FleetSecret;
 
   /**
-   * @param options - settings, and what speaks to the outside.
+   * @param options - the settings, and the adapters to the store, the runners, the log and the clock.
    */
   constructor(options: RouterDaemonOptions) {
     const { settings, store, protocol, log, clock = new SystemClock(), callerListener } = options;
@@ -128,7 +128,7 @@
     this.clock = clock;
     this.registry = new MetricRegistry({ clock });
     this.secret = new FleetSecret({ store, clock, log });
-    this.knowledge = new FleetKnowledge({ listener: this.createReactions() });
+    this.knowledge = new FleetKnowledge({ listener: this.createChangeHandler() });
     const { name, addresses, seeds } = settings;
     const gatherMilliseconds = GATHER_SHARE * Math.min(...settings.changeBoundsMilliseconds);
     this.entry = entryOf(settings);
@@ -193,27 +193,27 @@
     );
   }
 
-  /** @returns Whether callers should be sent here. */
+  /** @returns Whether callers may be sent to this daemon: it is not stopping, and has a configuration and runners. */
   get isReady(): boolean {
     const { routes, runners } = this.knowledge;
     return this.phase === 'serving' && routes !== undefined && runners.size > 0;
   }
 
-  /** @returns Whether other daemons read the store for this one. */
+  /** @returns Whether this daemon currently gets the store's changes from other daemons instead of reading them itself. */
   get isRelayed(): boolean {
     return this.coordination.relay.isFresh;
   }
 
   /**
-   * @param place - where a caller is and what it asks for, as far as it says so.
-   * @returns Addresses for callers.
+   * @param location - the caller's data centre, region, address and host, as far as they are known.
+   * @returns Caller addresses of daemons, those near the caller first.
    */
-  addressesFor(place: CallerPlace): string[] {
+  addressesFor(location: CallerPlace): string[] {
     const own = this.isReady ? this.entry : undefined;
-    return this.directory.addressesFor(place, own);
+    return this.directory.addressesFor(location, own);
   }
 
-  /** Listens, follows the store and registers. */
+  /** Opens all ports and starts to follow the store; the daemon registers itself once it is ready. */
   async start(): Promise<void> {
     const { addresses } = this.settings;
     const [, , , metricsServer] = await Promise.all([
@@ -234,12 +234,16 @@
     this.log.write(routerLogEvents.started, {
       ...addresses,
       store: this.settings.store,
-      // Since the start of the process: what a machine needs after a loss of power.
+      // Since the start of the process: this is how long callers wait for an instance that comes back after a power loss.
       milliseconds: Math.round(this.clock.monotonicMilliseconds()),
     });
   }
 
-  /** @returns Once the planned stop is complete, with the number of requests that were cut. */
+  /**
+   * Runs the planned stop.
+   *
+   * @returns Number of requests that were still in progress when the time for the stop ran out, and so were cut.
+   */
   async stop(): Promise<number> {
     const startedAt = this.clock.monotonicMilliseconds();
     this.log.write(routerLogEvents.stopping, { inFlight: this.front.inFlight });
@@ -297,7 +301,7 @@
       clock,
       log,
       changedAtRevision: () => knowledge.changedAtRevision,
-      // Coordinators tell of changes themselves, with what has changed.
+      // In a fleet with coordinators, those broadcast the changes themselves, so that a bare revision needs no read.
       onRevision: (revision) => {
         if (this.coordination.coordinators.length === 0) this.follower.hear(revision);
       },
@@ -310,7 +314,7 @@
     });
   }
 
-  private createReactions(): KnowledgeReactions {
+  private createChangeHandler(): KnowledgeReactions {
     const { connections, warmPlaces, log, settings } = this;
     const { dataCentre, dataCentreRegions } = settings;
     return new KnowledgeReactions({
@@ -325,16 +329,16 @@
       onUpdate: () => {
         this.news.tellChange();
         this.listings.updated();
-        this.becomeReady();
+        this.registerOnceReady();
         this.secret.ensure(this.knowledge.secret, () => this.coordination.isFirst);
       },
     });
   }
 
-  /** Registers once requests can be served: callers are not sent to a daemon that knows nothing. */
-  private becomeReady(): void {
-    if (this.wasReady || !this.isReady) return;
-    this.wasReady = true;
+  /** Registers the daemon the first time it is ready, so that no caller is sent to a daemon that cannot serve yet. */
+  private registerOnceReady(): void {
+    if (this.hasBeenReady || !this.isReady) return;
+    this.hasBeenReady = true;
     this.front.configured();
     this.log.write(routerLogEvents.ready, {
       version: this.knowledge.routes?.configuration.version,
--- a/src/router/createChoice.ts
+++ b/src/router/createChoice.ts
@@ -1,5 +1,5 @@
 /**
- * Puts together how a daemon chooses runners.
+ * Creates the parts by which a daemon chooses a runner for each request.
  */
 import { ColdRunnerOwners } from '../coordination/ColdRunnerOwners.js';
 import { ColdStarts } from '../runners/ColdStarts.js';
@@ -19,13 +19,13 @@
   settings: RouterSettings;
   knowledge: FleetKnowledge;
   clock: Clock;
-  /** Names of the daemons that choose runners for others, or of all in a small fleet. */
+  /** Names of the daemons that choose runners for the others; in a small fleet, of all daemons. */
   deciders: () => readonly string[];
 }
 
 /**
- * @param options - the parts of a daemon.
- * @returns What decides where requests go.
+ * @param options - the settings, and the parts of the daemon that the choice depends on.
+ * @returns The admission rule for runners, and the choice among those that it admits.
  */
 export function createChoice({
   settings,
--- a/src/router/createFollower.ts
+++ b/src/router/createFollower.ts
@@ -1,5 +1,5 @@
 /**
- * Puts together how a daemon learns what the store holds.
+ * Creates the parts by which a daemon keeps up with the store.
  */
 import type { FleetCoordination } from '../coordination/FleetCoordination.js';
 import { coordinatorsOf } from '../coordination/coordinatorsOf.js';
@@ -20,8 +20,8 @@
 }
 
 /**
- * @param options - the parts of a daemon.
- * @returns What follows the store, or those that read it for this daemon.
+ * @param options - the parts of the daemon that the follower depends on.
+ * @returns A follower that reads the store, or leaves that to other daemons as long as they relay its changes.
  */
 export function createFollower({
   daemon,
--- a/src/router/createForwardingContext.ts
+++ b/src/router/createForwardingContext.ts
@@ -1,5 +1,5 @@
 /**
- * Puts together what every request of a daemon works with.
+ * Creates the context that all requests of a daemon share.
  */
 import type { FleetCoordination } from '../coordination/FleetCoordination.js';
 import { createForwardingMetrics } from '../forwarding/ForwardingMetrics.js';
@@ -24,8 +24,8 @@
 }
 
 /**
- * @param options - the parts of a daemon.
- * @returns What its requests work with.
+ * @param options - the settings, and the parts of the daemon that requests use.
+ * @returns The context shared by all requests, with its metrics registered.
  */
 export function createForwardingContext({
   settings,
@@ -38,8 +38,8 @@
   const { admission } = coordination;
   const { ratio, allowance, windowSeconds } = settings.retryBudget;
   const windowMilliseconds = windowSeconds * 1_000;
-  // All that are listed share limits of the whole fleet, alive or not: two parts of a fleet that do not hear each
-  // other would else both spend the whole of them.
+  // Limits of the whole fleet are divided by all listed daemons, alive or not: in a network partition each part of the
+  // fleet would otherwise take the other for dead and use the whole limit.
   const daemons = () => knowledge.sharers(windowMilliseconds, clock.monotonicMilliseconds());
   const metrics = createForwardingMetrics(registry);
   registry
--- a/src/router/plannedStop.ts
+++ b/src/router/plannedStop.ts
@@ -1,10 +1,10 @@
 /**
- * The order of a planned stop.
+ * The planned stop of a daemon: the phases in which it drains its callers.
  *
- * What goes wrong otherwise: connections are closed while callers still send on them, or requests are taken
- * that cannot finish in the time left. One would see requests ended without an answer around each restart.
- * First the daemon only becomes unknown (not ready, out of the directory) and ends each connection with its
- * next answer; then it refuses what is new; it is gone once nothing is in progress.
+ * Without this order, connections would be closed while callers still send on them, and requests would be accepted that
+ * cannot finish in the time left. Either shows as requests that end without an answer around each restart. The daemon
+ * therefore first stops being found (it is not ready and not in the directory) and ends each connection with its next
+ * answer, then refuses new requests, and closes once no request is in progress.
  */
 import { setTimeout as wait } from 'node:timers/promises';
 
@@ -13,7 +13,7 @@
 import type { Clock } from '../time/Clock.js';
 import type { RouterSettings } from './routerFeature.js';
 
-/** What a planned stop works on. */
+/** Options of {@link plannedStop}. */
 export interface PlannedStopOptions {
   front: Pick<CallerFront, 'inFlight' | 'close'>;
   clock: Clock;
@@ -21,17 +21,20 @@
   settings: Pick<RouterSettings, 'stopSeconds'>;
 }
 
-/** New requests are taken for this share of the time: callers have stopped coming by then. */
-const LEAVING_SHARE = 0.35;
+/** Part of the stop time during which new requests are still accepted; by its end callers have stopped coming. */
+const LEAVING_PHASE_SHARE = 0.35;
 
-/** The process has to be out before the platform ends it. */
-const LATEST_SHARE = 0.93;
+/** Part of the stop time after which the daemon closes in any case, so that the process ends before the platform kills it. */
+const CLOSING_DEADLINE_SHARE = 0.93;
 
-const CHECK_MILLISECONDS = 25;
+/** Between two checks of the time and of the requests in progress, in ms. */
+const POLL_INTERVAL_MILLISECONDS = 25;
 
 /**
- * @param options - the front, and how its phase is set.
- * @returns Once no request is in progress, or the time is up.
+ * Drains and closes the callers' side of a daemon.
+ *
+ * @param options - the callers' side, the clock, and what sets the phase of the stop.
+ * @returns Resolves once no request is in progress or the time is up.
  */
 export async function plannedStop({
   front,
@@ -43,8 +46,9 @@
   const grace = settings.stopSeconds * 1_000;
   const elapsed = () => clock.monotonicMilliseconds() - startedAt;
   setPhase('leaving');
-  while (elapsed() < grace * LEAVING_SHARE) await wait(CHECK_MILLISECONDS);
+  while (elapsed() < grace * LEAVING_PHASE_SHARE) await wait(POLL_INTERVAL_MILLISECONDS);
   setPhase('closing');
-  while (front.inFlight > 0 && elapsed() < grace * LATEST_SHARE) await wait(CHECK_MILLISECONDS);
+  while (front.inFlight > 0 && elapsed() < grace * CLOSING_DEADLINE_SHARE)
+    await wait(POLL_INTERVAL_MILLISECONDS);
   front.close();
 }
--- a/src/router/routerFeature.ts
+++ b/src/router/routerFeature.ts
@@ -1,5 +1,5 @@
 /**
- * A daemon that forwards directly to runners: its settings, and its log events, numbers 2500 to 2599.
+ * Settings and log events (numbers 2500 to 2599) of a daemon that forwards requests directly to runners.
  */
 import { z } from 'zod';
 
@@ -15,7 +15,7 @@
     .regex(ADDRESS, 'has to be an IP number and a port, as in 10.0.0.1:7400')
     .describe(`IP number and port ${text}.`);
 
-/** Settings of a daemon that forwards directly. */
+/** Schema of the settings of a daemon that forwards requests directly to runners. */
 export const routerSettings = z.strictObject({
   name: z.string().min(1).describe('Name of this daemon, unique in the fleet.'),
   region: z.string().min(1).describe('The region.'),
@@ -52,12 +52,14 @@
   stopSeconds: z.number().positive().default(8).describe('Time that a planned stop may take.'),
   retryBudget: z
     .strictObject({
+      // Retries that each request earns, and retries in a window that the whole fleet may send in addition to those.
       ratio: z.number().min(0).max(10).default(0.2).describe('Retries for each request.'),
       allowance: z.number().min(0).default(50).describe('Retries of all daemons besides.'),
       windowSeconds: z.number().positive().default(10).describe('Length of the window.'),
     })
     .prefault({})
     .describe('What all daemons together may send once more, for each service.'),
+  // Bandwidth of the instance's network link; the daemons with the fastest links become coordinators of a large fleet.
   linkMegabits: z
     .number()
     .positive()
@@ -70,13 +72,13 @@
     .describe('Lines of the log beyond this are left out and counted.'),
 });
 
-/** Settings of a daemon that forwards directly, checked and with defaults. */
+/** Settings of a daemon that forwards requests directly, validated and with defaults filled in. */
 export type RouterSettings = z.output<typeof routerSettings>;
 
 /**
- * @param settings - of a daemon.
- * @param dataCentre - any.
- * @returns Its region, or `undefined` where the settings do not name it.
+ * @param settings - the settings of this daemon.
+ * @param dataCentre - name of any data centre.
+ * @returns Region of the data centre, or `undefined` if the settings do not list it.
  */
 export function regionOfDataCentre(
   { dataCentre: own, region, dataCentreRegions }: RouterSettings,
@@ -86,8 +88,8 @@
 }
 
 /**
- * @param settings - of a daemon.
- * @returns What other daemons need to know of it.
+ * @param settings - the settings of this daemon.
+ * @returns The entry under which the daemon registers itself for the other daemons.
  */
 export function entryOf({
   name,
@@ -99,27 +101,27 @@
   return { name, dataCentre, callerAddress, peerAddress, newsAddress, linkMegabits };
 }
 
-/** Log events of its life. */
+/** Log events about the start, the settings, the log and the stop of the daemon. */
 export const routerLogEvents = {
   started: defineLogEvent({
     number: 2500,
     name: 'router.started',
     level: 'info',
-    text: 'The daemon takes connections.',
+    text: 'The daemon accepts connections.',
     operatorAction: 'None.',
   }),
   ready: defineLogEvent({
     number: 2501,
     name: 'router.ready',
     level: 'info',
-    text: 'The daemon knows the configuration and the runners, and is ready.',
+    text: 'The daemon has the configuration and the list of runners, and is ready.',
     operatorAction: 'None.',
   }),
   stopping: defineLogEvent({
     number: 2502,
     name: 'router.stopping',
     level: 'info',
-    text: 'A planned stop began: not ready, out of the directory, requests in progress finish.',
+    text: 'A planned stop has begun: the daemon reports not ready, leaves the directory and finishes its requests.',
     operatorAction: 'None; wait for 2503.',
   }),
   stopped: defineLogEvent({
@@ -127,7 +129,7 @@
     name: 'router.stopped',
     level: 'info',
     text: 'The planned stop is complete.',
-    operatorAction: 'None; with requests cut, raise the time that a stop may take.',
+    operatorAction: 'None; if the field cut is above 0, raise router.stopSeconds.',
   }),
   settingsReloaded: defineLogEvent({
     number: 2504,
@@ -140,33 +142,33 @@
     number: 2505,
     name: 'router.settings_refused',
     level: 'error',
-    text: 'The settings file has changed and has mistakes; the settings before stay in force.',
-    operatorAction: 'Mend the findings in the fields.',
+    text: 'The changed settings file is invalid or cannot be read; the previous settings stay in force.',
+    operatorAction: 'Correct the findings in the fields.',
   }),
   failed: defineLogEvent({
     number: 2506,
     name: 'router.failed',
     level: 'error',
-    text: 'Something failed that no part of the program expected.',
-    operatorAction: 'Report it with the line. The daemon goes on where it can.',
+    text: 'An error reached the top of the program without being handled.',
+    operatorAction: 'Report it with this log line. The daemon keeps running where it can.',
   }),
   linesLeftOut: defineLogEvent({
     number: 2507,
     name: 'router.lines_left_out',
     level: 'warn',
-    text: 'There were more log lines than the settings allow; the fields count those left out.',
+    text: 'More log lines were written than the settings allow; the fields count those left out.',
     operatorAction: 'None, or raise router.logLinesPerSecond.',
   }),
   linesDropped: defineLogEvent({
     number: 2508,
     name: 'router.lines_dropped',
     level: 'warn',
-    text: 'Whoever reads the log did not keep up; the fields count the lines that were dropped.',
-    operatorAction: 'Look at what reads standard output on this instance.',
+    text: 'The reader of the log did not keep up; the fields count the lines that were dropped.',
+    operatorAction: 'Check the process that reads standard output on this instance.',
   }),
 };
 
-/** The feature of a daemon that forwards directly. */
+/** The feature of a daemon that forwards requests directly to runners. */
 export const routerFeature = defineFeature({
   name: 'router',
   settings: routerSettings,
