--- a/src/routes/RouteTable.spec.ts
+++ b/src/routes/RouteTable.spec.ts
@@ -41,7 +41,7 @@
 });
 
 describe('RouteTable', () => {
-  it('takes the longest prefix that begins the path', () => {
+  it('matches the longest path prefix', () => {
     const names = ['/', '/x', '/a', '/a/', '/a/x', '/a/b', '/a/b/', '/a/b/c/d'].map(
       (path) => TABLE.routeOf('site.example', path)?.name,
     );
@@ -49,13 +49,13 @@
     expect(TABLE.routeOf('other.example', '/a/')).toEqual(undefined);
   });
 
-  it('knows an account by its key only', () => {
+  it('finds an account only by one of its keys', () => {
     expect(TABLE.accountOf('key')?.name).toEqual('account');
     expect(TABLE.accountOf('kez')).toEqual(undefined);
     expect(TABLE.accountOf('')).toEqual(undefined);
   });
 
-  it('splits requests by weight, the same request always the same way', () => {
+  it('splits requests by weight, and always gives a request the same service', () => {
     const route = routeOf('split', '/');
     const ids = Array.from({ length: 2_000 }, (_, index) => `request-${index}`);
     const services = ids.map((id) => RouteTable.targetOf(route, id));
--- a/src/routes/RouteTable.ts
+++ b/src/routes/RouteTable.ts
@@ -1,6 +1,6 @@
 /**
- * Look-ups in one version of the configuration. Made once a version, so that a request costs a few look-ups
- * in maps however many routes there are.
+ * Look-up tables for one version of the configuration. They are built once per version, so that a request costs a few map
+ * look-ups, however many routes there are.
  */
 import { createHash } from 'node:crypto';
 
@@ -22,11 +22,11 @@
 }
 
 /**
- * Digests a key for storing and for looking it up. A look-up by the digest tells nothing by its time: who
- * does not know the key cannot choose the digest.
+ * Digests an API key, for storing and for look-ups. Looking up the digest is safe from timing attacks: a caller that does
+ * not know a key cannot choose a digest close to that of the key.
  *
- * @param key - what the caller sent.
- * @returns SHA-256, base64.
+ * @param key - the key as the caller sent it.
+ * @returns The SHA-256 digest in base64.
  */
 export function digestKey(key: string): string {
   return createHash('sha256').update(key).digest('base64');
@@ -42,7 +42,7 @@
   return byHost;
 }
 
-/** Answers what one version of the configuration says. */
+/** Finds routes, services and client accounts in one version of the configuration. */
 export class RouteTable {
   readonly configuration: RoutingConfiguration;
 
@@ -53,7 +53,7 @@
   private readonly services: ReadonlyMap<string, Service>;
 
   /**
-   * @param options - the configuration.
+   * @param options - the configuration to index.
    */
   constructor({ configuration }: RouteTableOptions) {
     this.configuration = configuration;
@@ -64,16 +64,16 @@
     }
   }
 
-  /** @returns Whether requests need keys, but for those of anonymous routes. */
+  /** @returns Whether requests to routes that are not anonymous need an API key. */
   get requiresKeys(): boolean {
     return this.configuration.clientAccounts !== undefined;
   }
 
   /**
-   * Finds the route with the longest prefix that begins the path.
+   * Finds the route with the longest prefix of a path.
    *
-   * @param host - name of the host without a port.
-   * @param path - path without the query.
+   * @param host - the host name in lower case, without a port.
+   * @param path - the path without the query.
    * @returns The route, or `undefined` when none matches.
    */
   routeOf(host: string, path: string): Route | undefined {
@@ -88,10 +88,10 @@
   }
 
   /**
-   * Callers learn addresses by host, before it is known which route a request takes.
+   * Finds the home regions of a host. Callers ask the directory by host, before it is known which route a request takes.
    *
-   * @param host - name of the host without a port.
-   * @returns Regions that are a home of all its routes that have homes.
+   * @param host - the host name without a port.
+   * @returns The home regions that all routes of the host with home regions have in common; `undefined` if no route has any.
    */
   homesOfHost(host: string): HomeRegions {
     const routes = [...(this.routes.get(host.toLowerCase())?.values() ?? [])];
@@ -102,27 +102,27 @@
   }
 
   /**
-   * @param key - what the caller sent.
-   * @returns The account that holds the key.
+   * @param key - the API key as the caller sent it.
+   * @returns The client account with this key, or `undefined`.
    */
   accountOf(key: string): ClientAccount | undefined {
     return this.accounts.get(digestKey(key));
   }
 
   /**
-   * @param name - name of a service.
-   * @returns Its settings.
+   * @param name - the name of a service.
+   * @returns Settings of the service, or `undefined`.
    */
   serviceOf(name: string): Service | undefined {
     return this.services.get(name);
   }
 
   /**
-   * Splits a route's requests by weight; the same request always gets the same service.
+   * Picks the service for a request by the weights of its route's targets; the same id always gets the same service.
    *
-   * @param route - a route of this table.
-   * @param requestId - the attempt's id.
-   * @returns Name of the service.
+   * @param route - the route of the request.
+   * @param requestId - id of the caller's attempt.
+   * @returns Name of the service, or an empty text if the route has no targets.
    */
   static targetOf({ targets }: Route, requestId: string): string {
     const [first] = targets;
--- a/src/routes/homes.spec.ts
+++ b/src/routes/homes.spec.ts
@@ -19,10 +19,10 @@
   return new RouteTable({ configuration: { version: 1, routes, services: [], limits } });
 }
 
-describe('homes of a request', () => {
+describe('home regions of a request', () => {
   const account = { name: 'account', keyDigests: [] };
 
-  it('are all regions where neither route nor account has any', () => {
+  it('are unrestricted if neither the route nor the client account has any', () => {
     expect(homesOf(routeOf('/a/'), undefined)).toEqual(undefined);
     expect(homesOf(routeOf('/a/'), account)).toEqual(undefined);
   });
@@ -36,8 +36,8 @@
   });
 });
 
-describe('homes of a host', () => {
-  it('are those of all its routes that have any', () => {
+describe('home regions of a host', () => {
+  it('are those that all its routes with home regions have in common', () => {
     const table = tableOf(
       routeOf('/a/', ['north', 'south']),
       routeOf('/b/'),
--- a/src/routes/homes.ts
+++ b/src/routes/homes.ts
@@ -1,15 +1,17 @@
 /**
- * Which regions a request may be run in.
+ * Home regions: the regions in which a request may be run.
  */
 import type { ClientAccount, Route } from './routeTypes.js';
 
-/** Regions, or `undefined` where all will do. */
+/** Names of the allowed regions; `undefined` allows all regions, an empty list none. */
 export type HomeRegions = readonly string[] | undefined;
 
 /**
- * @param one - regions that bind.
- * @param other - regions that bind beside them.
- * @returns Regions that both allow; there may be none.
+ * Intersects two restrictions.
+ *
+ * @param one - the first restriction.
+ * @param other - the second restriction.
+ * @returns Regions that both allow; empty if they have none in common.
  */
 export function commonHomes(one: HomeRegions, other: HomeRegions): HomeRegions {
   if (one === undefined || other === undefined) return one ?? other;
@@ -17,9 +19,9 @@
 }
 
 /**
- * @param route - of a request.
- * @param account - of its caller, if it has one.
- * @returns Where the request may be run.
+ * @param route - the route of a request.
+ * @param account - the client account of its caller, if there is one.
+ * @returns Regions in which the request may be run, allowed by both the route and the account.
  */
 export function homesOf(route: Route, account: ClientAccount | undefined): HomeRegions {
   return commonHomes(route.homeRegions, account?.homeRegions);
--- a/src/routes/routeTypes.ts
+++ b/src/routes/routeTypes.ts
@@ -1,65 +1,71 @@
 /**
- * What operators configure for direct forwarding: routes, services, client accounts and limits, as decoded
- * once from wherever the configuration is kept.
+ * Types of the operators' configuration for direct forwarding: routes, services, client accounts and limits. An adapter
+ * decodes them from the store.
  */
 
-/** What may be repeated follows from this alone, never from a method or a path. */
+/**
+ * How a call may be handled. Whether a request may be repeated depends on this alone, never on its method or path: an
+ * `idempotent` request may, an `at_most_once` request that may have run must not, and a `stream` is answered by events.
+ */
 export type CallKind = 'idempotent' | 'at_most_once' | 'stream';
 
-/** A service that gets a share of a route's requests. */
+/** A service that gets a part of a route's requests. */
 export interface RouteTarget {
   readonly service: string;
-  /** Relative to the other targets of the route, above zero. */
+  /** Weight relative to the other targets of the route, above 0. */
   readonly weight: number;
 }
 
-/** Which requests go where, and what may be done with them. */
+/** Maps requests by host and path prefix to services, and sets how they are handled. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: CallKind;
-  /** Whether a stream may go on at another runner after its last event. */
+  /** Whether a stream that breaks may be resumed by another runner after its last event. */
   readonly resumable: boolean;
-  /** Longest time that a caller is kept waiting for the end of its answer, in ms. */
+  /** Longest time until the end of the answer, in ms. */
   readonly timeoutMilliseconds: number;
-  /** Until the answer, or a stream's first event, in ms. */
+  /** Target for the time until the answer, or until the first event of a stream, in ms. */
   readonly targetLatencyMilliseconds: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Runners that may run one attempt of a caller, one after the other. */
+  /** Number of runners, the first included, to which one attempt of a caller may be sent, one after the other. */
   readonly maximumAttempts: number;
-  /** Whether requests need no key. */
+  /** Whether requests need no API key. */
   readonly anonymous: boolean;
-  /** Whether requests name the parts of a prompt that runners may have cached. */
+  /** Whether requests name the parts of their prompts, which runners may have cached. */
   readonly cachesPrompts: boolean;
   readonly targets: readonly RouteTarget[];
-  /** Regions whose runners may run its requests; missing where all may. */
+  /** Regions whose runners may run requests of the route; missing if all may. */
   readonly homeRegions?: readonly string[] | undefined;
 }
 
-/** A pool of runners of one kind. */
+/** A pool of runners that serve the same requests. */
 export interface Service {
   readonly name: string;
   /** Connections that one runner accepts from all daemons together. */
   readonly maximumConnections: number;
-  /** Requests a second that a runner bears for some seconds after its start; missing where its runners need no care. */
+  /**
+   * Requests per second that a cold runner can bear, as each is for some seconds after its start; missing if cold runners
+   * need no limit.
+   */
   readonly coldRequestsPerSecond?: number;
 }
 
-/** A client account; its keys are known by their digests only. */
+/** A client account. Its API keys are kept only as digests. */
 export interface ClientAccount {
   readonly name: string;
-  /** SHA-256 of each key, base64. */
+  /** SHA-256 digest of each API key, in base64. */
   readonly keyDigests: readonly string[];
-  /** Goes before the route's. */
+  /** Priority of the account's requests; overrides that of the route. */
   readonly priority?: number | undefined;
-  /** Regions whose runners may run its requests; binds beside the route's. */
+  /** Regions whose runners may run requests of the account; applies together with those of the route. */
   readonly homeRegions?: readonly string[] | undefined;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Limits on the size of a caller's request, and on the time that the caller may take to send it. */
 export interface CallerLimits {
   readonly maximumHeaderBytes: number;
   readonly maximumBodyBytes: number;
@@ -67,13 +73,13 @@
   readonly idleTimeoutMilliseconds: number;
 }
 
-/** One accepted version of the whole configuration. */
+/** One valid version of the whole configuration. */
 export interface RoutingConfiguration {
-  /** Grows with each version, in uneven steps. */
+  /** Increases with each version, not always by 1. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
-  /** Missing where requests need no keys at all. */
+  /** Missing if no request needs an API key. */
   readonly clientAccounts?: readonly ClientAccount[] | undefined;
   readonly limits: CallerLimits;
 }
