--- a/src/directory/DirectoryDecisions.spec.ts
+++ b/src/directory/DirectoryDecisions.spec.ts
@@ -13,7 +13,7 @@
 
 const DATA_CENTRES = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-const CALLERS_A_PLACE = 30;
+const CALLERS_PER_DATA_CENTRE = 30;
 
 function fleetOf(size: number): DaemonEntry[] {
   return Array.from({ length: size }, (_, index) => {
@@ -24,11 +24,11 @@
   });
 }
 
-/** Smallest and largest share of the requests at a daemon against the mean, with as many callers in each place. */
-function extremeShares(daemons: readonly DaemonEntry[]): { least: number; most: number } {
+/** Smallest and largest load of a daemon relative to the mean, with equally many callers in each data centre. */
+function loadExtremes(daemons: readonly DaemonEntry[]): { least: number; most: number } {
   const shares = new Map<string, number>();
   for (const dataCentre of DATA_CENTRES) {
-    for (let index = 0; index < CALLERS_A_PLACE; index += 1) {
+    for (let index = 0; index < CALLERS_PER_DATA_CENTRE; index += 1) {
       const caller = `10.9.${dataCentre}.${index}`;
       const addresses = addressesFor({ daemons, own: undefined, dataCentre, caller });
       for (const address of addresses) {
@@ -36,31 +36,31 @@
       }
     }
   }
-  const mean = (DATA_CENTRES.length * CALLERS_A_PLACE) / daemons.length;
+  const mean = (DATA_CENTRES.length * CALLERS_PER_DATA_CENTRE) / daemons.length;
   const all = daemons.map(({ callerAddress }) => (shares.get(callerAddress) ?? 0) / mean);
   return { least: Math.min(...all), most: Math.max(...all) };
 }
 
 describe('addresses in a large fleet', () => {
-  it('spread callers over all daemons', () => {
-    // Symptom: some daemons of a large fleet have three times the requests of others, and requests take a detour.
-    // Sequence: 195 daemons are listed; each answer holds the near ones and, up to 64, the first of the others. Cause:
-    // the others were the same for everybody. Before: 0.3 to 1.6, 0.5 to 3.1 and 0 to 1.0 times the mean at the last
-    // three sizes; now 0.8 to 1.2, 0.8 to 1.3 and 0.6 to 1.3.
+  it('spread callers evenly over all daemons', () => {
+    // Guards against some daemons of a large fleet with three times the requests of others, and against requests that enter
+    // far from their caller. Of 195 listed daemons, each answer held those of the caller's data centre and filled up to 64
+    // with the first of the others, which were the same for all callers. The last three sizes had 0.3 to 1.6, 0.5 to 3.1
+    // and 0 to 1.0 times the mean then, and have 0.8 to 1.2, 0.8 to 1.3 and 0.6 to 1.3 now.
     const sizes = [9, 30, 100, 195, 390];
-    const shares = sizes.map((size) => extremeShares(fleetOf(size)));
+    const shares = sizes.map((size) => loadExtremes(fleetOf(size)));
     expect(shares.filter(({ least, most }) => least < 0.5 || most > 1.5)).toEqual([]);
   });
 
-  it('hold some of other data centres, for the loss of all near ones', () => {
+  it('include some in other data centres, in case all in the caller’s own are lost', () => {
     const addresses = addressesFor({ daemons: fleetOf(195), own: undefined, dataCentre: 'a' });
     expect([addresses.length, new Set(addresses).size]).toEqual([33 + 16, 33 + 16]);
     const many = addressesFor({ daemons: fleetOf(390), own: undefined, dataCentre: 'a' });
     expect(many.length).toEqual(64);
   });
 
-  it('stay the same but for the daemon that leaves and one in its place, and whoever is asked', () => {
-    // What goes wrong: callers drop open connections to addresses that a new answer lacks, streams with them.
+  it('change only for a daemon that leaves and its replacement, and are the same at each daemon', () => {
+    // Guards against cut streams: callers close open connections to addresses that a new answer no longer contains.
     const daemons = fleetOf(195);
     const ask = (listed: readonly DaemonEntry[], own?: DaemonEntry) =>
       addressesFor({ daemons: listed, own, dataCentre: 'b', caller: '10.9.0.1' });
@@ -74,15 +74,15 @@
   });
 });
 
-describe('addressesFor', () => {
+describe('selectAddresses', () => {
   const daemons = [daemonOf('a', 'north'), daemonOf('b', 'south')];
 
-  it('gives all daemons, those of the caller’s data centre first', () => {
+  it('returns all daemons, those of the caller’s data centre first', () => {
     const question = { daemons, own: daemonOf('c', 'south'), dataCentre: 'south' };
     expect(addressesFor(question)).toEqual(['10.0.0.1:99', '10.0.0.1:98', '10.0.0.1:97']);
   });
 
-  it('gives this daemon once, and not when it stops', () => {
+  it('contains this daemon once, and not while it stops', () => {
     const own = daemonOf('a', 'north');
     expect(addressesFor({ daemons, own, dataCentre: undefined }).length).toEqual(2);
     const others = daemons.slice(1);
@@ -92,7 +92,7 @@
   });
 });
 
-describe('addresses for what has homes', () => {
+describe('addresses for a host with home regions', () => {
   const REGIONS: Readonly<Record<string, string>> = { a: 'north', b: 'south', c: 'west' };
   const regionOf = (dataCentre: string) => REGIONS[dataCentre];
   const daemons = Object.keys(REGIONS).flatMap((place) => [
@@ -107,14 +107,14 @@
     return Object.keys(REGIONS).filter((place) => addresses.includes(portOf(place)));
   }
 
-  it('are of daemons in the homes and in the caller’s region', () => {
+  it('are those in the home regions and in the caller’s region', () => {
     expect(placesFor(['north'], 'west')).toEqual(['a', 'c']);
     expect(placesFor(['north'], 'north')).toEqual(['a']);
     expect(placesFor(undefined, 'west')).toEqual(['a', 'b', 'c']);
   });
 
-  it('are of others too where neither has a daemon', () => {
-    // Guards against a caller that is told nobody, and so cannot even learn that no home has a runner.
+  it('are those of all daemons if none is in either', () => {
+    // Guards against an empty answer, with which the caller could not even learn that no home region has a runner.
     expect(placesFor(['elsewhere'], 'nowhere')).toEqual(['a', 'b', 'c']);
   });
 });
--- a/src/directory/DirectoryDecisions.ts
+++ b/src/directory/DirectoryDecisions.ts
@@ -1,45 +1,49 @@
 /**
- * Which addresses callers should use.
+ * Selects the daemon addresses that a caller gets from the directory.
  *
- * What goes wrong without a choice: callers take 64 addresses at most, and spread over those that they get. With the
- * listed daemons in one order for everybody, 195 daemons in six data centres had 3.1 times the mean of the requests at
- * the first of the list, and half of all requests entered far from their caller; with 390, no caller knew a daemon of
- * another data centre. Now the largest share is 1.3 times the mean at both sizes, and a third and a quarter of the
- * requests enter elsewhere (reckoned for 30 callers in each data centre).
+ * Callers use at most 64 addresses, and spread their requests over those that they get. With the same order of daemons for
+ * all callers, the first of 195 daemons in six data centres got 3.1 times the mean of the requests, and half of all
+ * requests entered in another data centre than their caller's; with 390 daemons, no caller knew a daemon of another data
+ * centre. With a selection for each caller, the largest share is 1.3 times the mean at both sizes, and a third and a
+ * quarter of the requests enter in another data centre (calculated for 30 callers in each data centre).
  */
 import { rendezvousOrder, rendezvousPick } from '../routing/rendezvous.js';
 import type { HomeRegions } from '../routes/homes.js';
 import type { DaemonEntry } from '../sync/FleetStore.js';
 
-/** What the answer depends on. */
+/** What a directory answer depends on. */
 export interface DirectoryQuestion {
-  /** Daemons that are registered, with this one or without. */
+  /** The registered daemons to select from; may include this daemon. */
   readonly daemons: readonly DaemonEntry[];
-  /** This daemon, as long as it takes requests. */
+  /** This daemon's entry, or `undefined` while it accepts no new callers. */
   readonly own: DaemonEntry | undefined;
-  /** Where the caller is, if it says so. */
+  /** The caller's data centre, if it names one. */
   readonly dataCentre: string | undefined;
-  /** The caller's region, if it says so. */
+  /** The caller's region, if it names one. */
   readonly region?: string | undefined;
-  /** Regions that are a home of what the caller asks for; `undefined` where all will do. */
+  /** Home regions of the host that the caller asks for; `undefined` allows all regions. */
   readonly homeRegions?: HomeRegions;
-  /** Region of a data centre. */
+  /** Returns the region of a data centre, if it is known. */
   readonly regionOf?: (dataCentre: string) => string | undefined;
-  /** Tells callers apart where not all get the same addresses: the caller's host. */
+  /** The caller's IP address, by which different callers get different addresses in a large fleet. */
   readonly caller?: string | undefined;
 }
 
-/** Callers take no more addresses than this. */
+/** Most addresses that callers use. */
 const MAXIMUM_ADDRESSES = 64;
 
 /**
- * Daemons of other data centres in each answer. All near ones may be lost at once, and a caller finds one of these long
- * before its answer is too old: after the loss of 32 near ones two of three connections fail, none for good.
+ * Number of daemons of other data centres in each answer. A caller whose whole data centre is lost reaches one of them long
+ * before its answer expires: after the loss of 32 near daemons two of three connections fail, but each caller gets through.
  */
-const FAR_ADDRESSES = 16;
+const FAR_ADDRESS_COUNT = 16;
 
-/** Takes some of the daemons, other ones for each caller; all in the order of the list where they are few. */
-function takeSome(daemons: readonly DaemonEntry[], count: number, caller: string): DaemonEntry[] {
+/** Picks up to `count` daemons by rendezvous hashing of the caller; if there are no more than that, all in list order. */
+function pickForCaller(
+  daemons: readonly DaemonEntry[],
+  count: number,
+  caller: string,
+): DaemonEntry[] {
   if (daemons.length <= count) return [...daemons];
   const named = daemons.map((daemon) => ({ id: daemon.name, daemon }));
   const ordered = rendezvousOrder(caller, named).map(({ daemon }) => daemon);
@@ -47,26 +51,31 @@
 }
 
 /**
- * Spreads the daemons over the data centres that they are far from, so that none serves the callers of several as well
- * as its own, and one that comes or goes changes nothing for the others.
+ * Picks daemons of other data centres. Hashing assigns each daemon to one other data centre as a backup, so that no daemon
+ * gets the callers of several data centres besides its own, and one that comes or goes does not change the assignment of
+ * the others. If the backups are too few, other far daemons fill up the answer.
  */
-function takeFar(far: readonly DaemonEntry[], dataCentre: string, caller: string): DaemonEntry[] {
-  if (far.length <= FAR_ADDRESSES) return [...far];
-  const places = [...new Set([...far.map((daemon) => daemon.dataCentre), dataCentre])];
-  const isSpare = ({ name, dataCentre: own }: DaemonEntry) => {
-    const others = places.filter((place) => place !== own).map((id) => ({ id }));
+function pickFarDaemons(
+  far: readonly DaemonEntry[],
+  dataCentre: string,
+  caller: string,
+): DaemonEntry[] {
+  if (far.length <= FAR_ADDRESS_COUNT) return [...far];
+  const dataCentres = [...new Set([...far.map((daemon) => daemon.dataCentre), dataCentre])];
+  const isBackup = ({ name, dataCentre: own }: DaemonEntry) => {
+    const others = dataCentres.filter((other) => other !== own).map((id) => ({ id }));
     return rendezvousPick(name, others)?.id === dataCentre;
   };
-  const spares = takeSome(far.filter(isSpare), FAR_ADDRESSES, caller);
-  const others = far.filter((daemon) => !spares.includes(daemon));
-  return [...spares, ...takeSome(others, FAR_ADDRESSES - spares.length, caller)];
+  const backups = pickForCaller(far.filter(isBackup), FAR_ADDRESS_COUNT, caller);
+  const others = far.filter((daemon) => !backups.includes(daemon));
+  return [...backups, ...pickForCaller(others, FAR_ADDRESS_COUNT - backups.length, caller)];
 }
 
 /**
- * A caller of what has homes connects within them or within its own region; where no daemon is left there, one elsewhere
- * is better than none: it passes requests on to runners of the homes only.
+ * Restricts the daemons to the host's home regions and the caller's own region. If there is no daemon in any of them, all
+ * daemons are returned: a daemon elsewhere is better than none, since it forwards only to runners in the home regions.
  */
-function takeAtHome(
+function restrictToHomeRegions(
   daemons: readonly DaemonEntry[],
   { homeRegions, region, regionOf = () => undefined }: DirectoryQuestion,
 ): readonly DaemonEntry[] {
@@ -80,22 +89,23 @@
 }
 
 /**
- * Gives the daemons of the caller's data centre and some others; all of them where they are few. Callers drop open
- * connections to addresses that a new answer lacks, so that the choice is the same each time, whichever daemon is asked.
+ * Selects the daemons of the caller's data centre and some of other data centres; all daemons if they are few. Callers
+ * close open connections to addresses that a new answer no longer contains, so the selection is the same each time and at
+ * each daemon.
  *
- * @param question - the daemons, and the caller's place.
- * @returns Addresses for callers, the near ones first; empty when there is none.
+ * @param question - the daemons, and what is known of the caller.
+ * @returns Caller addresses of the selected daemons, those of the caller's data centre first; empty if there are none.
  */
 export function addressesFor(question: DirectoryQuestion): string[] {
   const { daemons, own, dataCentre = '', caller = '' } = question;
   const others = daemons.filter(({ name }) => name !== own?.name);
-  const all = takeAtHome(own ? [own, ...others] : others, question);
+  const all = restrictToHomeRegions(own ? [own, ...others] : others, question);
   const near = all.filter((daemon) => daemon.dataCentre === dataCentre);
   const far = all.filter((daemon) => daemon.dataCentre !== dataCentre);
   const hasNear = near.length > 0;
   const farTaken = hasNear
-    ? takeFar(far, dataCentre, caller)
-    : takeSome(far, MAXIMUM_ADDRESSES, caller);
-  const nearTaken = takeSome(near, MAXIMUM_ADDRESSES - farTaken.length, caller);
+    ? pickFarDaemons(far, dataCentre, caller)
+    : pickForCaller(far, MAXIMUM_ADDRESSES, caller);
+  const nearTaken = pickForCaller(near, MAXIMUM_ADDRESSES - farTaken.length, caller);
   return [...nearTaken, ...farTaken].map(({ callerAddress }) => callerAddress);
 }
