--- a/src/fleet/FleetState.spec.ts
+++ b/src/fleet/FleetState.spec.ts
@@ -52,12 +52,12 @@
   return fleet;
 }
 
-function holdersOf(fleet: FleetState): Map<string, string | undefined> {
+function gateHolders(fleet: FleetState): Map<string, string | undefined> {
   return new Map(RUNNERS.map((runnerId) => [runnerId, fleet.gateOf(runnerId)?.daemonId]));
 }
 
 describe(FleetState.name, () => {
-  it('gives the gates of a data centre to its own daemons, else to the region, else to all', () => {
+  it('assigns gates to daemons of the runner’s data centre, else of its region, else to any', () => {
     const fleet = fleetOf(
       member('a', 'rosario-1'),
       member('b', 'rosario-1'),
@@ -65,7 +65,7 @@
       member('d', 'sofia-1'),
     );
     fleet.applyRunners(runnerList('rosario-1'), 1);
-    const holders = () => [...new Set(holdersOf(fleet).values())].sort();
+    const holders = () => [...new Set(gateHolders(fleet).values())].sort();
     expect(holders()).toEqual(['a', 'b']);
     fleet.applyMember(member('a', 'rosario-1', 'dead'));
     fleet.applyMember(member('b', 'rosario-1', 'leaving'));
@@ -76,28 +76,28 @@
     expect(holders()).toEqual([undefined]);
   });
 
-  it('moves no gate for a suspicion, and only its own gates for a death', () => {
-    // Symptom: busy runners above the bound after a lost message. Sequence: a daemon is suspected and
-    // refutes two seconds later. Cause: its gates moved there and back, each runner had two gates.
+  it('moves no gate of a suspect daemon, and only its own gates once it is dead', () => {
+    // Guards against runners loaded above the bound after a lost message: if the gates of a suspect daemon moved, and moved
+    // back when it refutes the suspicion two seconds later, each runner would have two gates meanwhile.
     const fleet = fleetOf(
       member('a', 'rosario-1'),
       member('b', 'rosario-1'),
       member('c', 'rosario-1'),
     );
     fleet.applyRunners(runnerList('rosario-1'), 1);
-    const before = holdersOf(fleet);
+    const before = gateHolders(fleet);
     fleet.applyMember(member('b', 'rosario-1', 'suspect'));
-    expect(holdersOf(fleet)).toEqual(before);
+    expect(gateHolders(fleet)).toEqual(before);
     fleet.applyMember(member('b', 'rosario-1', 'dead'));
-    for (const [runnerId, holder] of holdersOf(fleet)) {
+    for (const [runnerId, holder] of gateHolders(fleet)) {
       if (before.get(runnerId) !== 'b') expect(holder).toEqual(before.get(runnerId));
       expect(holder).not.toEqual('b');
     }
   });
 
-  it('sums a pool over the daemons here and the data centres beyond, the dead left out', () => {
-    // Symptom: a gate refuses work on idle runners. Sequence: a daemon dies, its gates move, its last
-    // digest stays. Cause: the same runners are counted twice, once with an old load.
+  it('sums up a pool over local daemons and other data centres, without dead daemons', () => {
+    // Guards against a gate that refuses work for idle runners: if the last digest of a dead daemon still counted after its
+    // gates have moved, the same runners would be counted twice, once with an old load.
     const fleet = fleetOf(
       member('a', 'rosario-1', 'alive', [100]),
       member('b', 'rosario-1', 'suspect', [60]),
@@ -119,9 +119,9 @@
     expect(fleet.poolLoad('unknown')).toEqual({ runners: 0, mean: 0, lightest: [] });
   });
 
-  it('keeps a leaving runner leaving until a newer incarnation, whatever lists say', () => {
-    // Symptom: work on a runner that stops. Sequence: it leaves, drops off the list, a lagging list says
-    // live. Cause: the newest list was believed more than the runner's own last word.
+  it('keeps a runner leaving until a newer incarnation, even if a list says it is live', () => {
+    // Guards against new work for a runner that is stopping: it leaves and drops off the list, then an outdated list calls
+    // it live again. The runner's own last announcement has to take precedence over the newest list.
     const fleet = fleetOf(member('a', 'rosario-1'));
     const states: (string | undefined)[] = [];
     const lists = [
@@ -137,9 +137,9 @@
     expect(states).toEqual(['leaving', undefined, 'leaving', 'live']);
   });
 
-  it('never goes back to an older configuration or list', () => {
-    // Symptom: a withdrawn account works again. Sequence: revision 3, then a late answer with revision 2.
-    // Cause: whatever came last was put in force.
+  it('ignores an older configuration or runner list', () => {
+    // Guards against a withdrawn account that works again: a late answer with revision 2 arrives after revision 3, and the
+    // last one to arrive is put in force.
     const fleet = fleetOf(member('a', 'rosario-1'));
     const changes: FleetChange[] = [];
     const end = fleet.onChange((change) => changes.push(change));
@@ -157,7 +157,7 @@
     expect(changes).toEqual(['configuration', 'runners']);
   });
 
-  it('keeps the home of a chat in the own region', () => {
+  it('assigns the home of a chat to a daemon of the own region', () => {
     const fleet = fleetOf(
       member('a', 'rosario-1'),
       member('b', 'rosario-2'),
--- a/src/fleet/FleetState.ts
+++ b/src/fleet/FleetState.ts
@@ -1,5 +1,5 @@
 /**
- * What this daemon believes of the fleet, put together from membership, configuration and the runner list.
+ * This daemon's view of the fleet, combined from membership, the configuration and the runner list.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -22,10 +22,10 @@
 import { poolLoadOf, poolLoadsOf } from './PoolLoads.js';
 import { RunnerBook } from './RunnerBook.js';
 
-/** What changed: `gates` means that some runner's gate or some chat's home may be another daemon now. */
+/** What has changed; `gates` means that the gate of a runner or the home of a chat may have moved to another daemon. */
 export type FleetChange = 'members' | 'gates' | 'pools' | 'configuration' | 'runners';
 
-/** Told after each change; `member` is the daemon whose record changed, where it is about one. */
+/** Called after each change; `member` is the daemon whose record changed, if the change concerns a single daemon. */
 export type FleetListener = (change: FleetChange, member?: Member) => void;
 
 /** Options of a {@link FleetState}. */
@@ -34,7 +34,7 @@
   self: Member;
 }
 
-/** Policy of services that name none; `npm run measure -- --reuse-weight 0.5` shows what it gives. */
+/** Policy of services that name none. `npm run measure -- --reuse-weight 0.5` measures its effect. */
 export const DEFAULT_ROUTING_POLICY: RoutingPolicy = create(RoutingPolicySchema, {
   name: 'default',
   bound: 1.25,
@@ -45,9 +45,10 @@
   moveCache: false,
 });
 
-const PLACE_FIELDS = ['state', 'region', 'dataCentre'] as const;
+/** Fields of a member record that decide which gates and homes the daemon may hold. */
+const PLACEMENT_FIELDS = ['state', 'region', 'dataCentre'] as const;
 
-/** Written by the tasks of membership and configuration, read by everyone. */
+/** The writable fleet view: the membership and configuration tasks write it, all other parts read it. */
 export class FleetState extends FleetView {
   private readonly selfId: string;
 
@@ -55,7 +56,7 @@
 
   private readonly summaries = new Map<string, DataCentreSummary>();
 
-  private readonly runnerBook = new RunnerBook();
+  private readonly runnerIndex = new RunnerBook();
 
   private readonly listeners = new Set<FleetListener>();
 
@@ -71,7 +72,7 @@
 
   private policies = new Map<string, RoutingPolicy>();
 
-  /** Made when asked for, dropped when members come or go. */
+  /** Built on first use, and discarded when a daemon comes, goes or moves. */
   private placement: PlacementLists | undefined;
 
   private readonly gateCache = new Map<string, string | undefined>();
@@ -96,8 +97,8 @@
   }
 
   /**
-   * @param daemonId - a daemon's name.
-   * @returns Its record, or `undefined`.
+   * @param daemonId - the name of a daemon.
+   * @returns The daemon's record, or `undefined`.
    */
   member(daemonId: string): Member | undefined {
     return this.memberById.get(daemonId);
@@ -111,7 +112,7 @@
     return this.currentConfiguration;
   }
 
-  /** @returns The revision of the runner list in force here; 0 before the first. */
+  /** @returns The revision of the runner list in force; 0 before the first one. */
   runnersRevision(): number {
     return this.currentRunnersRevision;
   }
@@ -130,16 +131,16 @@
   }
 
   override runners(service: string): readonly FleetRunner[] {
-    return this.runnerBook.of(service);
+    return this.runnerIndex.of(service);
   }
 
   /** @returns All runners of all services. */
   allRunners(): readonly FleetRunner[] {
-    return this.runnerBook.all();
+    return this.runnerIndex.all();
   }
 
   override runner(runnerId: string): FleetRunner | undefined {
-    return this.runnerBook.get(runnerId);
+    return this.runnerIndex.get(runnerId);
   }
 
   override gateOf(runnerId: string): Member | undefined {
@@ -148,14 +149,15 @@
   }
 
   /**
-   * The home lies in this daemon's own region: an answer from another region would come after the entry
-   * has stopped waiting. A chat that moves to another region starts there without its warm set.
+   * Returns the daemon that is the home of a chat. The home is in this daemon's own region, because the answer of a home in
+   * another region would arrive after the entry daemon has stopped waiting for it. A chat that moves to another region
+   * therefore starts there without its set of warm runners.
    *
    * @param chat - the chat's name.
-   * @returns The daemon, or `undefined` when none is alive.
+   * @returns The daemon, or `undefined` when no daemon is alive.
    */
   override homeOf(chat: string): Member | undefined {
-    return this.memberById.get(this.placementLists().pick(chat, this.self().region) ?? '');
+    return this.memberById.get(this.placementCandidates().pick(chat, this.self().region) ?? '');
   }
 
   override poolLoad(service: string): PoolLoad {
@@ -168,33 +170,33 @@
   }
 
   /**
-   * Takes a daemon's record as membership believes it now.
+   * Applies a daemon's record from membership.
    *
-   * @param member - the record.
+   * @param member - the current record.
    */
   applyMember(member: Member): void {
     const before = this.memberById.get(member.daemonId);
     this.memberById.set(member.daemonId, member);
     this.poolLoads = undefined;
-    const moved = !before || PLACE_FIELDS.some((field) => before[field] !== member[field]);
-    if (moved) this.membersMoved(member);
+    const moved = !before || PLACEMENT_FIELDS.some((field) => before[field] !== member[field]);
+    if (moved) this.placementChanged(member);
     else this.notify('pools', member);
   }
 
   /**
-   * Forgets a daemon.
+   * Removes a daemon.
    *
-   * @param daemonId - its name; this daemon itself is never forgotten.
+   * @param daemonId - name of the daemon; this daemon itself is never removed.
    */
   removeMember(daemonId: string): void {
     if (daemonId === this.selfId || !this.memberById.delete(daemonId)) return;
-    this.membersMoved();
+    this.placementChanged();
   }
 
   /**
-   * Takes the sum of another data centre.
+   * Applies the summary of another data centre; that of this daemon's own one is ignored.
    *
-   * @param summary - the sum.
+   * @param summary - the data centre's summary.
    */
   applySummary(summary: DataCentreSummary): void {
     if (summary.dataCentre === this.self().dataCentre) return;
@@ -204,9 +206,9 @@
   }
 
   /**
-   * Forgets the sum of a data centre of which nothing was heard for long.
+   * Removes the summary of a data centre that has sent none for long.
    *
-   * @param dataCentre - its name.
+   * @param dataCentre - the data centre's name.
    */
   removeSummary(dataCentre: string): void {
     if (!this.summaries.delete(dataCentre)) return;
@@ -215,11 +217,11 @@
   }
 
   /**
-   * Puts a configuration in force. The caller has seen to it that revisions never go back; an older one
-   * is ignored here too, because a revision that reverts is what operators must never see.
+   * Puts a configuration in force. The caller already ensures that revisions never decrease; an older one is ignored here as
+   * well, because operators must never see a revision reverted.
    *
-   * @param configuration - the whole of it.
-   * @param revision - its revision.
+   * @param configuration - the complete configuration.
+   * @param revision - the configuration's revision.
    */
   applyConfiguration(configuration: Configuration, revision: number): void {
     if (revision < this.currentConfigurationRevision) return;
@@ -228,7 +230,7 @@
     this.accounts = new Map(configuration.clientAccounts.map((each) => [each.name, each]));
     this.services = new Map(configuration.services.map((each) => [each.name, each]));
     this.policies = new Map(configuration.routingPolicies.map((each) => [each.name, each]));
-    const drainsChanged = this.runnerBook.drain(configuration.drains);
+    const drainsChanged = this.runnerIndex.drain(configuration.drains);
     this.notify('configuration');
     if (drainsChanged) this.notify('runners');
   }
@@ -236,38 +238,38 @@
   /**
    * Puts a runner list in force; an older one is ignored.
    *
-   * @param list - all runners.
-   * @param revision - its revision.
+   * @param list - the complete list of runners.
+   * @param revision - the list's revision.
    */
   applyRunners(list: RunnerList, revision: number): void {
     if (revision < this.currentRunnersRevision) return;
     this.currentRunnersRevision = revision;
-    this.runnerBook.replace(list.runners);
+    this.runnerIndex.replace(list.runners);
     this.gateCache.clear();
     this.notify('runners');
   }
 
   /**
-   * Takes what this daemon learned of a runner by itself: as the holder of its gate, or by a refusal.
+   * Applies a runner state that this daemon observed itself, as the holder of the runner's gate or from a refusal.
    *
    * @param runnerId - the runner's name.
    * @param incarnation - the incarnation that the report is about.
-   * @param state - its state; `leaving` is final for the incarnation.
+   * @param state - the observed state; `leaving` is final for the incarnation.
    */
   reportRunner(runnerId: string, incarnation: bigint, state: RunnerState): void {
-    if (this.runnerBook.report(runnerId, incarnation, state)) this.notify('runners');
+    if (this.runnerIndex.report(runnerId, incarnation, state)) this.notify('runners');
   }
 
   /**
-   * @param listener - told after each change; must not throw.
-   * @returns Ends the telling.
+   * @param listener - called after each change; must not throw.
+   * @returns A function that removes the listener.
    */
   onChange(listener: FleetListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  private membersMoved(member?: Member): void {
+  private placementChanged(member?: Member): void {
     this.placement = undefined;
     this.gateCache.clear();
     this.poolLoads = undefined;
@@ -276,13 +278,13 @@
   }
 
   private pickGate(runnerId: string): string | undefined {
-    const runner = this.runnerBook.get(runnerId);
+    const runner = this.runnerIndex.get(runnerId);
     if (!runner) return undefined;
     const { region, dataCentre } = runner.record;
-    return this.placementLists().pick(runnerId, region, dataCentre);
+    return this.placementCandidates().pick(runnerId, region, dataCentre);
   }
 
-  private placementLists(): PlacementLists {
+  private placementCandidates(): PlacementLists {
     this.placement ??= new PlacementLists(this.memberById.values());
     return this.placement;
   }
--- a/src/fleet/FleetView.ts
+++ b/src/fleet/FleetView.ts
@@ -1,5 +1,5 @@
 /**
- * What one daemon believes of the fleet at this moment. Every list may differ from the neighbours' for seconds.
+ * Read access to one daemon's view of the fleet. The views of two daemons may differ for seconds.
  */
 import type {
   Configuration,
@@ -11,35 +11,35 @@
 import type { DataCentreSummary, Member } from '../generated/baobabdock/v1/peers_pb.js';
 import type { RunnerState } from '../gates/gateTypes.js';
 
-/** A runner with what the fleet knows of it. */
+/** A runner with its record in the runner list and its current state. */
 export interface FleetRunner {
-  /** The runner's name, as rendezvous hashing takes it. */
+  /** The runner's name, under which rendezvous hashing picks it. */
   readonly id: string;
   readonly record: RunnerRecord;
   readonly state: RunnerState;
 }
 
-/** Load of one pool over all gates, from the gossip. */
+/** Load of the runners of one service over all gates, as received by gossip. */
 export interface PoolLoad {
   readonly runners: number;
-  /** Tokens of work on an average runner. */
+  /** Mean load of a runner, in tokens of work. */
   readonly mean: number;
-  /** Lightly loaded runners, the lightest first: one for each daemon that reported. */
+  /** The least loaded runner of each daemon or data centre that reported one, in ascending order of load. */
   readonly lightest: readonly { readonly runnerId: string; readonly load: number }[];
 }
 
-/** Read by everyone, changed only by membership, configuration and the runner list. */
+/** The fleet as all parts read it; it changes only by membership, the configuration and the runner list. */
 export abstract class FleetView {
   /** @returns This daemon's own record. */
   abstract self(): Member;
 
-  /** @returns All known daemons, this one included, whatever their state. */
+  /** @returns All known daemons in any state, including this one. */
   abstract members(): readonly Member[];
 
-  /** @returns The revision in force here; 0 before the first. */
+  /** @returns The revision of the configuration in force; 0 before the first one. */
   abstract configurationRevision(): number;
 
-  /** @returns The configuration in force here. */
+  /** @returns The configuration in force. */
   abstract configuration(): Configuration;
 
   /**
@@ -56,13 +56,13 @@
 
   /**
    * @param service - the service's name.
-   * @returns Its policy, or the default policy.
+   * @returns The service's routing policy, or the default policy.
    */
   abstract routingPolicy(service: string): RoutingPolicy;
 
   /**
    * @param service - the service's name.
-   * @returns Its runners in any state.
+   * @returns The service's runners in any state.
    */
   abstract runners(service: string): readonly FleetRunner[];
 
@@ -73,8 +73,8 @@
   abstract runner(runnerId: string): FleetRunner | undefined;
 
   /**
-   * The daemon that holds a runner's gate: rendezvous hashing over the live daemons of the runner's
-   * data centre, or of its region when there are none, or of all.
+   * Returns the daemon that holds a runner's gate, picked by rendezvous hashing over the alive and suspect daemons of the
+   * runner's data centre; if there are none, of its region, else of the whole fleet.
    *
    * @param runnerId - the runner's name.
    * @returns The daemon, or `undefined` when no daemon is alive.
@@ -89,14 +89,15 @@
 
   /**
    * @param service - the service's name.
-   * @returns The pool's load as last heard.
+   * @returns The load of the service's pool, by the latest reports.
    */
   abstract poolLoad(service: string): PoolLoad;
 
   /**
-   * Revisions and loads of daemons travel within their data centre only; of the others there are sums.
+   * Returns the summaries of the other data centres. Daemons gossip their own revisions and loads only within their data
+   * centre; other data centres get a summary.
    *
-   * @returns Sums of the other data centres, as last heard; none where all is known of every daemon.
+   * @returns The latest summaries; empty if every daemon's own record is known.
    */
   dataCentreSummaries(): readonly DataCentreSummary[] {
     return [];
--- a/src/fleet/PlacementLists.ts
+++ b/src/fleet/PlacementLists.ts
@@ -1,5 +1,5 @@
 /**
- * Which daemons may hold the gate of a runner and the home of a chat.
+ * Lists the daemons that may hold the gate of a runner or the home of a chat, by data centre and region.
  */
 import type { Member } from '../generated/baobabdock/v1/peers_pb.js';
 import { rendezvousPick } from '../routing/rendezvous.js';
@@ -11,15 +11,15 @@
 /**
  * States in which a daemon holds gates and homes.
  *
- * A suspect daemon is one of them. If it were not, each false suspicion would move its gates for seconds
- * while it goes on counting: two daemons would then fill the same runners, which breaks the bound. What
- * inclusion costs is small and true: calls to a dead daemon fail at once, with nothing run, for the few
- * seconds until it is declared dead, and entries then choose another runner. A leaving daemon holds none,
- * so that its gates are handed over before it stops.
+ * Suspect daemons are included. Otherwise each false suspicion would move a daemon's gates for seconds while the daemon
+ * itself still uses them, so that two daemons would load the same runners above the bound. The cost of including them is
+ * small: if the daemon is in fact dead, calls to it fail at once without running anything, for the few seconds until it is
+ * declared dead, and the entry daemons choose another runner. Leaving daemons are excluded, so that their gates are handed
+ * over before they stop.
  */
-const HOLDING_STATES: ReadonlySet<string> = new Set(['alive', 'suspect']);
+const ELIGIBLE_STATES: ReadonlySet<string> = new Set(['alive', 'suspect']);
 
-/** Candidates by place, made anew when a daemon comes, goes or moves. */
+/** Holds the eligible daemons by location; rebuilt when a daemon comes, goes or moves. */
 export class PlacementLists {
   private readonly byDataCentre = new Map<string, Candidate[]>();
 
@@ -32,7 +32,7 @@
    */
   constructor(members: Iterable<Member>) {
     for (const { daemonId, state, region, dataCentre } of members) {
-      if (!HOLDING_STATES.has(state)) continue;
+      if (!ELIGIBLE_STATES.has(state)) continue;
       const candidate = { id: daemonId };
       this.all.push(candidate);
       PlacementLists.append(this.byRegion, region, candidate);
@@ -41,12 +41,12 @@
   }
 
   /**
-   * The daemon near a place that a key falls to: of the data centre, else of the region, else of all.
+   * Picks the daemon for a key by rendezvous hashing among those of the data centre, else of the region, else of all.
    *
-   * @param key - what is placed.
+   * @param key - name of the runner or chat to place.
    * @param region - the region's name.
-   * @param dataCentre - the data centre's name; left out, the region is the nearest place.
-   * @returns The daemon's name, or `undefined` when none is there.
+   * @param dataCentre - the data centre's name; without it, the search starts with the region.
+   * @returns The daemon's name, or `undefined` when no daemon is eligible.
    */
   pick(key: string, region: string, dataCentre?: string): string | undefined {
     const candidates =
--- a/src/fleet/PoolLoads.ts
+++ b/src/fleet/PoolLoads.ts
@@ -1,12 +1,16 @@
 /**
- * The load of each pool over all gates: digests of the daemons of this data centre, sums of the others.
+ * Sums up the load of each pool over all gates, from the digests of this data centre's daemons and the summaries of other
+ * data centres.
  */
 import type { DataCentreSummary, Member, PoolDigest } from '../generated/baobabdock/v1/peers_pb.js';
 import type { PoolLoad } from './FleetView.js';
 
-const EMPTY: PoolLoad = { runners: 0, mean: 0, lightest: [] };
+const EMPTY_POOL_LOAD: PoolLoad = { runners: 0, mean: 0, lightest: [] };
 
-/** Digests of a daemon that is gone describe gates that others hold by now; counting both would halve the mean. */
+/**
+ * States of daemons whose digests count. The gates in the digest of a dead daemon are held by other daemons by now; counting
+ * them twice would halve the mean.
+ */
 const COUNTED_STATES: ReadonlySet<string> = new Set(['alive', 'suspect', 'leaving']);
 
 interface PoolSum {
@@ -15,7 +19,7 @@
   lightest: { runnerId: string; load: number }[];
 }
 
-function add(sums: Map<string, PoolSum>, digest: PoolDigest): void {
+function addDigest(sums: Map<string, PoolSum>, digest: PoolDigest): void {
   const sum = sums.get(digest.service) ?? { runners: 0, load: 0, lightest: [] };
   sum.runners += digest.runners;
   sum.load += digest.load;
@@ -29,7 +33,7 @@
  * Sums up all pools.
  *
  * @param members - all known daemons.
- * @param summaries - sums of data centres, by their name; such a data centre's daemons are not counted again.
+ * @param summaries - summaries by data centre; the digests of daemons in those data centres are not counted again.
  * @returns The load of each pool by its service's name.
  */
 export function poolLoadsOf(
@@ -39,10 +43,10 @@
   const sums = new Map<string, PoolSum>();
   for (const { dataCentre, state, pools } of members) {
     if (summaries.has(dataCentre) || !COUNTED_STATES.has(state)) continue;
-    for (const digest of pools) add(sums, digest);
+    for (const digest of pools) addDigest(sums, digest);
   }
   for (const { pools } of summaries.values()) {
-    for (const digest of pools) add(sums, digest);
+    for (const digest of pools) addDigest(sums, digest);
   }
   return new Map(
     [...sums].map(([service, { runners, load, lightest }]) => [
@@ -57,10 +61,10 @@
 }
 
 /**
- * @param loads - what {@link poolLoadsOf} gave.
+ * @param loads - the result of {@link poolLoadsOf}.
  * @param service - the service's name.
- * @returns The pool's load; nothing is known of a pool without digests.
+ * @returns The pool's load; zeros and an empty list if no digest mentions the pool.
  */
 export function poolLoadOf(loads: ReadonlyMap<string, PoolLoad>, service: string): PoolLoad {
-  return loads.get(service) ?? EMPTY;
+  return loads.get(service) ?? EMPTY_POOL_LOAD;
 }
--- a/src/fleet/RunnerBook.spec.ts
+++ b/src/fleet/RunnerBook.spec.ts
@@ -11,10 +11,10 @@
 }
 
 describe(RunnerBook.name, () => {
-  it('keeps a drained runner from new work until the drain is lifted or the runner restarted', () => {
-    // Symptom: a drained runner gets work again, or never again after its drain was lifted.
-    // Sequence: a drain comes into force, its gate reports the runner live, the drain is lifted.
-    // Cause: a drain was taken for leaving, which is final, or a later report covered it.
+  it('excludes a drained runner from new work until the drain is lifted or the runner restarts', () => {
+    // Guards against a drained runner that gets work again, because its gate reports it live and the report overrides the
+    // drain, and against one that gets none after the drain was lifted, because the drain was treated like leaving, which
+    // is final.
     const record = create(RunnerRecordSchema, { runnerId: 'r', service: 's', incarnation: 5n });
     const book = new RunnerBook();
     book.replace([record]);
--- a/src/fleet/RunnerBook.ts
+++ b/src/fleet/RunnerBook.ts
@@ -1,5 +1,6 @@
 /**
- * The runners of the fleet with their states: the list as configured, and what is reported here about them.
+ * Keeps the runners of the fleet with their states, which follow from the runner list, from drains and from the states that
+ * this daemon observed itself.
  */
 import type { Drain, RunnerRecord } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { RunnerState } from '../gates/gateTypes.js';
@@ -10,64 +11,67 @@
   readonly state: RunnerState;
 }
 
-/** Names of leaving runners that are remembered beyond those in the list; flapping lists bring them back. */
+/**
+ * Limit on the runners whose leaving is remembered. Beyond it, the oldest of those that are not in the list is forgotten.
+ * Runners off the list are remembered at all because an outdated list may bring them back.
+ */
 const MAXIMUM_REMEMBERED_LEAVING = 4_096;
 
-/** Looks runners up by name and by service. */
+/** Indexes runners by name and by service. */
 export class RunnerBook {
   private byId = new Map<string, FleetRunner>();
 
   private byService = new Map<string, FleetRunner[]>();
 
-  private readonly reported = new Map<string, ReportedState>();
+  private readonly reportedStates = new Map<string, ReportedState>();
 
-  /** Incarnations of runners that operators or roll-outs keep from new work. */
+  /** Incarnations, by runner, that operators or roll-outs have drained: they get no new work. */
   private drained: ReadonlyMap<string, bigint> = new Map();
 
-  /** Highest incarnation of each runner that was seen leaving. */
+  /** The highest incarnation of each runner that has announced that it leaves. */
   private readonly leaving = new Map<string, bigint>();
 
   /**
-   * Takes a new list.
+   * Replaces the runner list.
    *
-   * @param records - all runners.
+   * @param records - the records of all runners.
    */
   replace(records: readonly RunnerRecord[]): void {
     for (const { runnerId, state, incarnation } of records) {
-      if (state === 'leaving') this.remember(runnerId, incarnation);
+      if (state === 'leaving') this.rememberLeaving(runnerId, incarnation);
     }
     this.byId = new Map();
     this.byService = new Map();
     for (const record of records) this.put(record);
-    for (const runnerId of this.reported.keys()) {
-      if (!this.byId.has(runnerId)) this.reported.delete(runnerId);
+    for (const runnerId of this.reportedStates.keys()) {
+      if (!this.byId.has(runnerId)) this.reportedStates.delete(runnerId);
     }
   }
 
   /**
-   * Takes what this daemon learned of a runner by itself.
+   * Applies a runner state that this daemon observed itself.
    *
    * @param runnerId - the runner's name.
    * @param incarnation - the incarnation that the report is about.
-   * @param state - its state; `leaving` is final for the incarnation.
+   * @param state - the observed state; `leaving` is final for the incarnation.
    * @returns Whether the runner's state changed.
    */
   report(runnerId: string, incarnation: bigint, state: RunnerState): boolean {
     const runner = this.byId.get(runnerId);
     if (!runner || incarnation < runner.record.incarnation) return false;
-    if (state === 'leaving') this.remember(runnerId, incarnation);
-    this.reported.set(runnerId, { incarnation, state });
+    if (state === 'leaving') this.rememberLeaving(runnerId, incarnation);
+    this.reportedStates.set(runnerId, { incarnation, state });
     const before = runner.state;
     this.put(runner.record);
     return this.byId.get(runnerId)?.state !== before;
   }
 
   /**
-   * Takes the drains that the configuration has in force. Unlike leaving, a drain can be lifted: the
-   * runner is kept from new work in the way of an ejected one, and comes back when the drain is gone.
+   * Applies the drains of the configuration in force. Unlike leaving, a drain can be lifted: a drained runner has the state
+   * `ejected` and gets no new work until the drain is gone.
    *
-   * @param drains - of daemons and runners; those of runners hold for one incarnation.
-   * @returns Whether they differ from the earlier ones.
+   * @param drains - the drains of daemons and runners; that of a runner applies to one incarnation.
+   * @returns Whether the drains of runners have changed.
    */
   drain(drains: readonly Drain[]): boolean {
     const wanted = new Map(
@@ -92,7 +96,7 @@
 
   /**
    * @param service - the service's name.
-   * @returns Its runners in any state.
+   * @returns The service's runners in any state.
    */
   of(service: string): readonly FleetRunner[] {
     return this.byService.get(service) ?? [];
@@ -109,25 +113,25 @@
     this.byId.set(runner.id, runner);
     const pool = this.byService.get(record.service) ?? [];
     const index = known ? pool.indexOf(known) : -1;
-    // A new list, never a changed one: what others work out from a list is kept as long as the list.
+    // The list is replaced, never changed in place: callers cache results by the identity of the list.
     this.byService.set(record.service, index < 0 ? [...pool, runner] : pool.with(index, runner));
   }
 
   /**
-   * A list that lags, or a runner that flaps, may say "live" again for a runner that is leaving. New work
-   * would go to it and be cut when it stops; only a newer incarnation is a return.
+   * Works out the state of a runner. An outdated list or a flapping runner may report "live" again for a runner that is
+   * leaving; new work would then go to it and be cut when it stops. So only a newer incarnation ends `leaving`.
    */
   private stateOf({ runnerId, state, incarnation }: RunnerRecord): RunnerState {
     const leftAt = this.leaving.get(runnerId);
     if (leftAt !== undefined && incarnation <= leftAt) return 'leaving';
     if (state === 'leaving') return 'leaving';
-    const reported = this.reported.get(runnerId);
+    const reported = this.reportedStates.get(runnerId);
     const current = reported && reported.incarnation >= incarnation ? reported.state : 'live';
     const drained = this.drained.get(runnerId) === incarnation;
     return drained && current !== 'down' ? 'ejected' : current;
   }
 
-  private remember(runnerId: string, incarnation: bigint): void {
+  private rememberLeaving(runnerId: string, incarnation: bigint): void {
     const known = this.leaving.get(runnerId) ?? 0n;
     this.leaving.delete(runnerId);
     this.leaving.set(runnerId, incarnation > known ? incarnation : known);
