--- a/src/http/connectionHeaders.ts
+++ b/src/http/connectionHeaders.ts
@@ -1,11 +1,11 @@
 /**
- * Headers of one HTTP connection, which nobody may pass on to the next, and header lists as pairs.
+ * Hop-by-hop headers, which a proxy must not forward, and header lists as pairs.
  */
 
-/** Names and values, in order. */
+/** Pairs of header name and value, in the order of the message. */
 export type HeaderList = readonly (readonly [string, string])[];
 
-/** Headers of one connection only (RFC 9110, section 7.6.1), in lower case. */
+/** Headers that apply to a single connection (RFC 9110, section 7.6.1), in lower case. */
 export const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -19,8 +19,8 @@
 ]);
 
 /**
- * @param rawHeaders - names and values in turn, as `node:http` received them.
- * @returns The same as pairs.
+ * @param rawHeaders - alternating names and values, as `node:http` gives them.
+ * @returns Pairs of name and value, in the same order.
  */
 export function headerPairs(rawHeaders: readonly string[]): [string, string][] {
   const pairs: [string, string][] = [];
--- a/src/http/listen.ts
+++ b/src/http/listen.ts
@@ -1,5 +1,5 @@
 /**
- * Opens a port.
+ * Makes a server listen, on a port of its own or on that of another server.
  */
 import type { AddressInfo, ListenOptions, Server } from 'node:net';
 
@@ -14,19 +14,23 @@
 }
 
 /**
- * @param server - that does not listen yet.
- * @param options - host, port, and what else the system takes.
- * @returns The address, with the port that the system chose where 0 was asked for.
- * @throws The system's error when the port cannot be opened.
+ * Opens a port.
+ *
+ * @param server - a server that does not listen yet.
+ * @param options - the host, the port and other options of `node:net`.
+ * @returns The address; for port 0, with the port that the operating system chose.
+ * @throws The error of the operating system when the port cannot be opened.
  */
 export function listen(server: Server, options: ListenOptions): Promise<AddressInfo> {
   return listenOn(server, options);
 }
 
 /**
- * @param server - that does not listen yet.
- * @param listener - that listens and has accepted nothing; its port belongs to the server from now on.
- * @returns The address.
+ * Takes over the open port of another server.
+ *
+ * @param server - a server that does not listen yet.
+ * @param listener - a server that listens and has accepted no connection; its port is used by `server` from now on.
+ * @returns The address of the port.
  */
 export function takeOver(server: Server, listener: Server): Promise<AddressInfo> {
   return listenOn(server, listener);
--- a/src/http/parseAddress.ts
+++ b/src/http/parseAddress.ts
@@ -1,11 +1,11 @@
 /**
- * Reads an address with a port.
+ * Parses an IP address with a port.
  */
 import net from 'node:net';
 
 import VError from 'verror';
 
-/** Where to connect, or to listen. */
+/** An address to connect to or to listen at. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
@@ -15,15 +15,16 @@
 
 /** Options of {@link parseAddress}. */
 export interface ParseAddressOptions {
-  /** Whether port 0 is taken, by which one who listens lets the system choose. */
+  /** Whether port 0 is allowed, with which the operating system chooses the port of a listener. */
   mayChoosePort?: boolean;
 }
 
 /**
- * @param address - `address:port`, version 6 in brackets.
- * @param options - what is taken.
+ * @param address - `address:port`, with an IPv6 address in brackets.
+ * @param options - whether port 0 is allowed.
  * @returns Host and port.
- * @throws {@link VError} when it is not an IP number with a port: names would need a look-up on the way.
+ * @throws {@link VError} when the text is not an IP address with a port. Host names are rejected, because each connection
+ * would need a DNS look-up.
  */
 export function parseAddress(
   address: string,
