--- a/src/time/ManualClock.ts
+++ b/src/time/ManualClock.ts
@@ -1,24 +1,24 @@
 /**
- * A clock that stands until it is moved: for tests, measurements and replays.
+ * A clock that is set by its user, for tests, measurements and replays.
  */
 import { Clock } from './Clock.js';
 
 /** Options of a {@link ManualClock}. */
 export interface ManualClockOptions {
-  /** Where the monotonic clock starts, in milliseconds. */
+  /** Initial monotonic time, in milliseconds. */
   monotonicMilliseconds?: number;
-  /** Where the wall clock starts, in milliseconds since 1970. */
+  /** Initial wall-clock time, in milliseconds since 1970. */
   wallMilliseconds?: number;
 }
 
-/** Moves only by {@link ManualClock.advance}. */
+/** A clock that changes only by {@link ManualClock.advance}. */
 export class ManualClock extends Clock {
   private monotonic: number;
 
   private wall: number;
 
   /**
-   * @param options - where both clocks start.
+   * @param options - the initial times.
    */
   constructor({ monotonicMilliseconds = 0, wallMilliseconds = 0 }: ManualClockOptions = {}) {
     super();
@@ -27,9 +27,9 @@
   }
 
   /**
-   * Moves both clocks.
+   * Advances the monotonic and the wall-clock time.
    *
-   * @param milliseconds - how far, zero or more.
+   * @param milliseconds - time to advance by, 0 or more.
    */
   advance(milliseconds: number): void {
     this.monotonic += milliseconds;
--- a/src/time/SystemClock.ts
+++ b/src/time/SystemClock.ts
@@ -5,7 +5,7 @@
 
 import { Clock } from './Clock.js';
 
-/** Reads the operating system's clocks. */
+/** Reads the clocks of the process and the operating system. */
 export class SystemClock extends Clock {
   override monotonicMilliseconds(): number {
     return performance.now();
--- a/src/time/dropBefore.ts
+++ b/src/time/dropBefore.ts
@@ -1,10 +1,12 @@
 /**
- * Sliding windows of moments.
+ * Sliding windows over recorded times.
  */
 
 /**
- * @param times - in rising order; those before the start are taken out.
- * @param start - of the window, by the same clock.
+ * Removes the times before the start of a window from a list.
+ *
+ * @param times - times in ascending order; changed in place.
+ * @param start - start of the window, by the same clock.
  */
 export function dropBefore(times: number[], start: number): void {
   const keep = times.findIndex((time) => time >= start);
