--- a/src/metrics/Counter.ts
+++ b/src/metrics/Counter.ts
@@ -1,5 +1,5 @@
 /**
- * A number that only grows.
+ * A metric whose value only increases.
  */
 import { Metric } from './Metric.js';
 import type { LabelArguments } from './metricTypes.js';
@@ -8,13 +8,13 @@
   value: number;
 }
 
-/** Counts things since the start of the process. */
+/** Counts events or amounts since the start of the process. */
 export class Counter<Label extends string = never> extends Metric<Label, CounterCell> {
   override readonly kind = 'counter';
 
   /**
-   * @param amount - how much it grows; less than 0 is ignored, since a counter that shrinks reads as a restart.
-   * @param labels - values of its labels.
+   * @param amount - the increase; a negative one is ignored, since collectors take a lower value for a restart.
+   * @param labels - the label values of the series.
    */
   add(amount: number, ...[labels]: LabelArguments<Label>): void {
     if (!(amount >= 0)) return;
@@ -22,9 +22,9 @@
   }
 
   /**
-   * Adds one.
+   * Adds 1.
    *
-   * @param labels - values of its labels.
+   * @param labels - the label values of the series.
    */
   increment(...[labels]: LabelArguments<Label>): void {
     this.cellOf(labels).value += 1;
--- a/src/metrics/Gauge.ts
+++ b/src/metrics/Gauge.ts
@@ -1,49 +1,49 @@
 /**
- * A number that goes up and down.
+ * A metric whose value can go up and down.
  */
 import { Metric } from './Metric.js';
 import type { LabelArguments } from './metricTypes.js';
 
 interface GaugeCell {
   value: number;
-  /** When given, read instead of `value`. */
+  /** If set, called for the value instead of reading `value`. */
   source?: () => number;
 }
 
-/** Shows a level: what is in progress, queued, held. */
+/** Shows a current amount, such as requests in progress or queued. */
 export class Gauge<Label extends string = never> extends Metric<Label, GaugeCell> {
   override readonly kind = 'gauge';
 
   /**
-   * @param value - the new level, in the metric's unit.
-   * @param labels - values of its labels.
+   * @param value - the new value, in the metric's unit.
+   * @param labels - the label values of the series.
    */
   set(value: number, ...[labels]: LabelArguments<Label>): void {
     this.cellOf(labels).value = value;
   }
 
   /**
-   * @param difference - how much the level changes; may be negative.
-   * @param labels - values of its labels.
+   * @param difference - the change of the value; may be negative.
+   * @param labels - the label values of the series.
    */
   add(difference: number, ...[labels]: LabelArguments<Label>): void {
     this.cellOf(labels).value += difference;
   }
 
   /**
-   * Reads the level from its owner whenever someone looks, so that the two cannot differ.
+   * Makes a series call a function for its value at each snapshot, so that the metric cannot differ from its source.
    *
-   * @param source - gives the level; must not throw.
-   * @param labels - values of its labels.
+   * @param source - returns the current value; must not throw.
+   * @param labels - the label values of the series.
    */
   follow(source: () => number, ...[labels]: LabelArguments<Label>): void {
     this.cellOf(labels).source = source;
   }
 
   /**
-   * Forgets a series, for example that of a runner that has left.
+   * Removes a series, for example that of a runner that has left.
    *
-   * @param labels - values of its labels.
+   * @param labels - the label values of the series.
    */
   remove(...[labels]: LabelArguments<Label>): void {
     this.forget(labels);
--- a/src/metrics/Histogram.ts
+++ b/src/metrics/Histogram.ts
@@ -1,5 +1,5 @@
 /**
- * A distribution with percentiles, in bounded memory.
+ * A metric that records a distribution of values in bounded memory.
  */
 import type { Clock } from '../time/Clock.js';
 import { Metric } from './Metric.js';
@@ -7,11 +7,11 @@
 import type { LabelArguments, MetricDefinition, SeriesSnapshot } from './metricTypes.js';
 import { RollingRecorder } from './RollingRecorder.js';
 
-/** What a histogram is defined by. */
+/** Definition of a histogram. */
 export interface HistogramDefinition<Label extends string = never> extends MetricDefinition<Label> {
-  /** The smallest step that is told apart, in the metric's unit; 0.0001 for seconds is 100 µs. */
+  /** The smallest difference that is recorded, in the metric's unit; 0.0001 for seconds is 100 µs. */
   resolution: number;
-  /** Larger values count as this one, in the metric's unit. */
+  /** Larger values are recorded as this one, in the metric's unit. */
   maximum: number;
 }
 
@@ -19,11 +19,11 @@
 export interface HistogramOptions<Label extends string> extends MetricOptions<Label> {
   definition: HistogramDefinition<Label>;
   clock: Clock;
-  /** How long a window is, in milliseconds. */
+  /** Length of a window, in milliseconds. */
   windowMilliseconds: number;
 }
 
-/** Records values: sum and count since the start, percentiles over the last one to two windows. */
+/** Reports the sum and count of values since the start, and percentiles over the last one to two windows. */
 export class Histogram<Label extends string = never> extends Metric<Label, RollingRecorder> {
   override readonly kind = 'histogram';
 
@@ -34,7 +34,7 @@
   private readonly windowMilliseconds: number;
 
   /**
-   * @param options - definition, clock and window.
+   * @param options - the definition, the clock and the length of a window.
    */
   constructor(options: HistogramOptions<Label>) {
     super(options);
@@ -44,8 +44,8 @@
   }
 
   /**
-   * @param value - what was measured, in the metric's unit; below 0 counts as 0, not a number is ignored.
-   * @param labels - values of its labels.
+   * @param value - the measured value, in the metric's unit; a negative one is recorded as 0, NaN is ignored.
+   * @param labels - the label values of the series.
    */
   record(value: number, ...[labels]: LabelArguments<Label>): void {
     this.cellOf(labels).record(this.clock.monotonicMilliseconds(), value);
--- a/src/metrics/Metric.ts
+++ b/src/metrics/Metric.ts
@@ -1,5 +1,5 @@
 /**
- * What counters, gauges and histograms share: their name and a bounded set of series.
+ * Base class of counters, gauges and histograms: a name and a bounded set of series.
  */
 import type {
   LabelValues,
@@ -9,16 +9,16 @@
   SeriesSnapshot,
 } from './metricTypes.js';
 
-/** Stands for every label value that came after the series were used up. */
+/** Label value of the series that collects all combinations beyond the maximum number of series. */
 export const OTHER_LABEL_VALUE = 'other';
 
 /** Options of a {@link Metric}. */
 export interface MetricOptions<Label extends string> {
-  /** What the metric is. */
+  /** Name, help, unit and labels. */
   definition: MetricDefinition<Label>;
-  /** In front of the name. */
+  /** First part of the name. */
   prefix: string;
-  /** How many series it may keep. */
+  /** Largest number of series, apart from the one with the label value `other`. */
   maximumSeries: number;
 }
 
@@ -27,18 +27,18 @@
   readonly cell: Cell;
 }
 
-/** Separates label values in a series' key; label values never hold it because they are names. */
+/** Separates label values in the key of a series; label values are names and never contain it. */
 const KEY_SEPARATOR = '\u0000';
 
-/** One metric with a cell for each combination of label values. */
+/** A metric with one cell, which holds the value, for each combination of label values. */
 export abstract class Metric<Label extends string, Cell> {
-  /** With prefix and unit. */
+  /** Full name with prefix and unit. */
   readonly name: string;
 
-  /** One sentence. */
+  /** Help text of the scrape page, one sentence. */
   readonly help: string;
 
-  /** How it behaves. */
+  /** Type of the metric. */
   abstract readonly kind: MetricKind;
 
   private readonly labels: readonly Label[];
@@ -50,7 +50,7 @@
   private overflow: Series<Cell> | undefined;
 
   /**
-   * @param options - definition, prefix and limit.
+   * @param options - the definition, the prefix and the limit on series.
    */
   constructor({ definition, prefix, maximumSeries }: MetricOptions<Label>) {
     this.name = [prefix, definition.name, definition.unit].filter(Boolean).join('_');
@@ -59,7 +59,7 @@
     this.maximumSeries = maximumSeries;
   }
 
-  /** @returns The metric as it is now. */
+  /** @returns The current values of all series. */
   snapshot(): MetricSnapshot {
     const all = [...this.seriesByKey.values()];
     if (this.overflow) all.push(this.overflow);
@@ -67,27 +67,27 @@
     return { name: this.name, kind: this.kind, help: this.help, series };
   }
 
-  /** @returns Whether the labels are these. */
+  /** @returns Whether the metric was defined with exactly these labels, in this order. */
   hasLabels(labels: readonly string[]): boolean {
     return labels.join(KEY_SEPARATOR) === this.labels.join(KEY_SEPARATOR);
   }
 
-  /** @returns A new series' cell. */
+  /** @returns A cell for a new series. */
   protected abstract createCell(): Cell;
 
   /**
-   * @param cell - a series' cell.
-   * @returns What a reader sees of it.
+   * @param cell - the cell of a series.
+   * @returns The values of the series for a snapshot.
    */
   protected abstract read(cell: Cell): Omit<SeriesSnapshot, 'labels'>;
 
   /**
-   * Finds or makes a series. Once the series are used up, further combinations share one: a label that
-   * grows without end (6,100 client accounts, say) would otherwise fill the memory unnoticed; the share
-   * of `other` on the scrape page shows it.
+   * Finds or creates a series. Beyond the maximum number of series, further combinations of label values share the series
+   * `other`. Without the limit, a label with unbounded values (such as 6,100 client accounts) would fill the memory
+   * unnoticed; with it, the value of `other` on the scrape page shows the problem.
    *
    * @param values - a value for each label.
-   * @returns The series' cell.
+   * @returns The cell of the series.
    */
   protected cellOf(values: LabelValues<Label> | undefined): Cell {
     const key = values ? this.keyOf(values) : '';
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Forgets a series, so that another may take its place.
+   * Removes a series, so that another can take its place.
    *
    * @param values - a value for each label.
    */
--- a/src/metrics/MetricRegistry.spec.ts
+++ b/src/metrics/MetricRegistry.spec.ts
@@ -7,11 +7,14 @@
 import { MetricRegistry } from './MetricRegistry.js';
 import { formatScrapePage } from './scrapePage.js';
 
-const WINDOW = 1_000;
+const WINDOW_MILLISECONDS = 1_000;
 
 function registryWithClock(): { registry: MetricRegistry; clock: ManualClock } {
   const clock = new ManualClock();
-  return { clock, registry: new MetricRegistry({ clock, windowMilliseconds: WINDOW }) };
+  return {
+    clock,
+    registry: new MetricRegistry({ clock, windowMilliseconds: WINDOW_MILLISECONDS }),
+  };
 }
 
 function waitHistogram(registry: MetricRegistry) {
@@ -25,7 +28,7 @@
 }
 
 describe(MetricRegistry.name, () => {
-  it('writes the page that collectors read', () => {
+  it('is written as a page in the text exposition format', () => {
     const { registry } = registryWithClock();
     const requests = registry.counter({
       name: 'requests',
@@ -63,24 +66,24 @@
     );
   });
 
-  it('lets percentiles forget what is older than two windows, and keeps sum and count', () => {
+  it('drops values older than two windows from percentiles, but not from sum and count', () => {
     const { registry, clock } = registryWithClock();
     const wait = waitHistogram(registry);
     wait.record(9);
-    clock.advance(WINDOW);
+    clock.advance(WINDOW_MILLISECONDS);
     wait.record(1);
     expect(registry.snapshot()[0]?.series[0]?.maximum).toEqual(9);
-    clock.advance(WINDOW);
+    clock.advance(WINDOW_MILLISECONDS);
     expect(registry.snapshot()[0]?.series[0]?.maximum).toEqual(1);
-    clock.advance(2 * WINDOW);
+    clock.advance(2 * WINDOW_MILLISECONDS);
     expect(registry.snapshot()[0]?.series).toEqual([
       { labels: {}, value: 10, count: 2, percentiles: [] },
     ]);
   });
 
   it('keeps the number of series bounded', () => {
-    // Symptom: a daemon's memory grows for weeks. Sequence: every new client account adds a series.
-    // Cause: nothing limits the values of a label.
+    // Guards against a daemon whose memory grows for weeks, because each new client account adds a series and nothing limits
+    // the values of a label.
     const registry = new MetricRegistry({ clock: new ManualClock(), maximumSeries: 3 });
     const requests = registry.counter({ name: 'requests', help: 'All.', labels: ['account'] });
     for (let index = 0; index < 100; index += 1) requests.increment({ account: `a${index}` });
@@ -93,7 +96,7 @@
     ]);
   });
 
-  it('takes any number without throwing and keeps percentiles in order', () => {
+  it('accepts any number without throwing and keeps percentiles in order', () => {
     fc.assert(
       fc.property(fc.array(fc.double(), { minLength: 1 }), (values) => {
         const { registry } = registryWithClock();
@@ -107,7 +110,7 @@
     );
   });
 
-  it('refuses one name for two things', () => {
+  it('rejects invalid names, and one name for two different metrics', () => {
     const registry = new MetricRegistry();
     registry.counter({ name: 'requests', help: 'All.' });
     expect(() => registry.gauge({ name: 'requests', help: 'All.' })).toThrow('defined twice');
--- a/src/metrics/MetricRegistry.ts
+++ b/src/metrics/MetricRegistry.ts
@@ -1,5 +1,5 @@
 /**
- * All metrics of one process, for the scrape page and for operators.
+ * The metrics of one process, for the scrape page and for operators.
  */
 import type { Clock } from '../time/Clock.js';
 import { SystemClock } from '../time/SystemClock.js';
@@ -10,29 +10,29 @@
 import type { Metric } from './Metric.js';
 import type { MetricDefinition, MetricKind, MetricSnapshot } from './metricTypes.js';
 
-/** Enough for the runners of a daemon and for the larger client accounts. */
+/** Default limit on the series of a metric; enough for the runners of a daemon and for the larger client accounts. */
 const DEFAULT_MAXIMUM_SERIES = 500;
 
 const DEFAULT_WINDOW_MILLISECONDS = 60_000;
 
-/** Names and labels that every reader of scrape pages takes. */
+/** Names of metrics and labels that all collectors accept. */
 const VALID_NAME = /^[a-z][a-z0-9_]*$/;
 
 /** Options of a {@link MetricRegistry}. */
 export interface MetricRegistryOptions {
-  /** Decides when histogram windows end. */
+  /** Clock by which the windows of histograms end. */
   clock?: Clock;
-  /** In front of every metric's name. */
+  /** First part of each metric's name. */
   prefix?: string;
-  /** Series that one metric may keep; further ones are counted together as `other`. */
+  /** Largest number of series of one metric; further ones are counted together as `other`. */
   maximumSeries?: number;
-  /** Percentiles cover the last one to two windows; milliseconds. */
+  /** Length of a window, in milliseconds; percentiles cover the last one to two windows. */
   windowMilliseconds?: number;
 }
 
 type AnyMetric = Pick<Metric<string, unknown>, 'kind' | 'snapshot' | 'hasLabels'>;
 
-/** Makes metrics and finds them again: the same definition twice gives the same metric. */
+/** Creates metrics; the same definition given twice returns the same metric. */
 export class MetricRegistry {
   private readonly clock: Clock;
 
@@ -45,7 +45,7 @@
   private readonly metrics = new Map<string, AnyMetric>();
 
   /**
-   * @param options - clock, prefix and limits.
+   * @param options - the clock, the prefix and the limits.
    */
   constructor({
     clock = new SystemClock(),
@@ -62,7 +62,7 @@
   /**
    * @param definition - name, help and labels; `_total` is added to the name on the scrape page.
    * @returns The counter of that name.
-   * @throws {@link Error} when the name stands for something else already.
+   * @throws {@link Error} when a name is invalid, or the metric exists with another type or other labels.
    */
   counter<Label extends string = never>(definition: MetricDefinition<Label>): Counter<Label> {
     return this.register('counter', definition, () => {
@@ -74,7 +74,7 @@
   /**
    * @param definition - name, help, unit and labels.
    * @returns The gauge of that name.
-   * @throws {@link Error} when the name stands for something else already.
+   * @throws {@link Error} when a name is invalid, or the metric exists with another type or other labels.
    */
   gauge<Label extends string = never>(definition: MetricDefinition<Label>): Gauge<Label> {
     return this.register('gauge', definition, () => {
@@ -86,7 +86,7 @@
   /**
    * @param definition - name, help, unit, labels, resolution and maximum.
    * @returns The histogram of that name.
-   * @throws {@link Error} when the name stands for something else already.
+   * @throws {@link Error} when a name is invalid, or the metric exists with another type or other labels.
    */
   histogram<Label extends string = never>(
     definition: HistogramDefinition<Label>,
@@ -111,7 +111,8 @@
   ): Made {
     const { name, labels = [] } = definition;
     const invalid = [name, ...labels].find((word) => !VALID_NAME.test(word));
-    if (invalid !== undefined) throw new Error(`metric ${name}: ${invalid} is not a valid name`);
+    if (invalid !== undefined)
+      throw new Error(`metric ${name}: ${invalid} is not a valid name of a metric or label`);
     const known = this.metrics.get(name);
     if (!known) {
       const metric = create();
@@ -119,7 +120,9 @@
       return metric;
     }
     if (known.kind !== kind || !known.hasLabels(labels)) {
-      throw new Error(`metric ${name} is defined twice, as ${known.kind} and as ${kind}`);
+      throw new Error(
+        `metric ${name} is defined twice with a different type or labels: as ${known.kind} and as ${kind}`,
+      );
     }
     return known as Made;
   }
--- a/src/metrics/RollingRecorder.ts
+++ b/src/metrics/RollingRecorder.ts
@@ -1,54 +1,54 @@
 /**
- * Recorded values of one series: sum and count since the start, percentiles of late.
+ * Records the values of one series: sum and count since the start, and percentiles over a recent window.
  */
-// The package's own entry also loads its readers and writers of logs, which takes a fifth of the daemon's own part of a
-// start (36 of 170 ms, by the profile of a start), in which nobody is served.
+// Imports a single module, because the package's main module also loads its log readers and writers. That took a fifth of
+// the daemon's own part of a start (36 of 170 ms in the profile of a start), during which no caller is served.
 import { build } from 'hdr-histogram-js/dist/HistogramBuilder.js';
 
 import type { Percentile } from './metricTypes.js';
 
-/** Percentiles that the scrape page and the operators see. */
+/** Quantiles that are shown on the scrape page and to operators. */
 export const QUANTILES = [0.5, 0.9, 0.95, 0.99, 0.999] as const;
 
-/** Two digits keep a percentile within 1 % at about 11 KB a window and series. */
+/** Precision of recorded values; two digits keep percentiles within 1 %, for about 11 KB per window and series. */
 const SIGNIFICANT_DIGITS = 2;
 
 const PERCENT = 100;
 
-/** Hides the noise of floating-point steps; far finer than the recorder itself. */
-const PRINTED_DIGITS = 6;
+/** Significant digits of reported values; hides floating-point noise, and is far more precise than the recorder. */
+const REPORTED_DIGITS = 6;
 
 type Recorder = ReturnType<typeof build>;
 
 /** Options of a {@link RollingRecorder}. */
 export interface RollingRecorderOptions {
-  /** The smallest step that is told apart, in the metric's unit. */
+  /** The smallest difference that is recorded, in the metric's unit. */
   resolution: number;
-  /** Larger values count as this one, in the metric's unit. */
+  /** Larger values are recorded as this one, in the metric's unit. */
   maximum: number;
-  /** How long a window is, in milliseconds. */
+  /** Length of a window, in milliseconds. */
   windowMilliseconds: number;
-  /** When the first window starts, in monotonic milliseconds. */
+  /** Start of the first window, in monotonic milliseconds. */
   now: number;
 }
 
-/** What was recorded in the current window and the one before. */
+/** Summary of the values recorded in the current and the previous window. */
 export interface RecentValues {
-  /** Missing when nothing was recorded. */
+  /** The largest value; missing when nothing was recorded. */
   readonly maximum?: number;
-  /** Empty when nothing was recorded. */
+  /** Percentiles of {@link QUANTILES}; empty when nothing was recorded. */
   readonly percentiles: readonly Percentile[];
 }
 
 /**
- * Keeps two windows, because percentiles since the start would hide the last bad minute in a month of
- * good ones, and one window alone would be empty right after it began.
+ * Records values in two windows, the current and the previous one. Percentiles since the start would hide a bad minute in a
+ * month of good ones, and a single window would be empty right after it began.
  */
 export class RollingRecorder {
-  /** How many values since the start. */
+  /** Number of values since the start. */
   count = 0;
 
-  /** Their sum, in the metric's unit. */
+  /** Sum of the values since the start, in the metric's unit. */
   sum = 0;
 
   private readonly resolution: number;
@@ -64,7 +64,7 @@
   private previous: Recorder;
 
   /**
-   * @param options - range, window and start.
+   * @param options - the range of values, the length of a window and the start time.
    */
   constructor({ resolution, maximum, windowMilliseconds, now }: RollingRecorderOptions) {
     this.resolution = resolution;
@@ -77,7 +77,7 @@
 
   /**
    * @param now - monotonic milliseconds.
-   * @param value - in the metric's unit; below 0 counts as 0, not a number is ignored.
+   * @param value - the value in the metric's unit; a negative one is recorded as 0, NaN is ignored.
    */
   record(now: number, value: number): void {
     if (Number.isNaN(value)) return;
@@ -118,7 +118,7 @@
 
   private toUnit(steps: number): number {
     const value = Math.min(steps * this.resolution, this.maximum);
-    return Number(value.toPrecision(PRINTED_DIGITS));
+    return Number(value.toPrecision(REPORTED_DIGITS));
   }
 
   private rotate(now: number): void {
--- a/src/metrics/metricTypes.ts
+++ b/src/metrics/metricTypes.ts
@@ -1,56 +1,56 @@
 /**
- * What metrics are made of, and how a reader sees them.
+ * Types of metric definitions and snapshots.
  */
 
-/** Units that a metric's name may end in, in the base units that scrape pages use. */
+/** Units that a metric's name may end in; base units, as is usual on scrape pages. */
 export type MetricUnit = 'seconds' | 'bytes' | 'tokens' | 'ratio';
 
-/** How a metric behaves. */
+/** Type of a metric. */
 export type MetricKind = 'counter' | 'gauge' | 'histogram';
 
-/** Values of a metric's labels. */
+/** A value for each label of a metric. */
 export type LabelValues<Label extends string> = Readonly<Record<Label, string>>;
 
-/** A metric without labels takes no label argument, one with labels needs it. */
+/** Label arguments of a metric's methods: none for a metric without labels, a value for each label otherwise. */
 export type LabelArguments<Label extends string> = [Label] extends [never]
   ? []
   : [labels: LabelValues<Label>];
 
-/** What every metric is defined by. */
+/** Definition common to all metrics. */
 export interface MetricDefinition<Label extends string = never> {
-  /** In snake case, without prefix and unit, for example `gate_wait`. */
+  /** Name in snake case, without prefix and unit, for example `gate_wait`. */
   name: string;
-  /** One sentence for the scrape page. */
+  /** Help text of the scrape page, one sentence. */
   help: string;
-  /** Missing for plain counts. */
+  /** Unit; missing for plain counts. */
   unit?: MetricUnit;
-  /** Keep the product of their values small: each combination is a series of its own. */
+  /** Names of the labels. Each combination of label values is a series, so the number of combinations has to stay small. */
   labels?: readonly Label[];
 }
 
 /** A percentile with its value. */
 export interface Percentile {
-  /** 0 to 1. */
+  /** From 0 to 1. */
   readonly quantile: number;
   readonly value: number;
 }
 
-/** One series as it is at this moment, in the metric's unit. */
+/** Snapshot of one series, with values in the metric's unit. */
 export interface SeriesSnapshot {
   readonly labels: Readonly<Record<string, string>>;
   /** Counters and gauges: the value. Histograms: the sum of all values since the start. */
   readonly value: number;
-  /** Histograms: how many values since the start. */
+  /** Histograms: the number of values since the start. */
   readonly count?: number;
   /** Histograms: the largest value of the last one to two windows. */
   readonly maximum?: number;
-  /** Histograms: over the last one to two windows; empty when nothing was recorded there. */
+  /** Histograms: percentiles over the last one to two windows; empty when nothing was recorded in them. */
   readonly percentiles?: readonly Percentile[];
 }
 
-/** One metric as it is at this moment. */
+/** Snapshot of one metric. */
 export interface MetricSnapshot {
-  /** With prefix and unit, as on the scrape page. */
+  /** Full name with prefix and unit; on the scrape page, counters get the suffix `_total` in addition. */
   readonly name: string;
   readonly kind: MetricKind;
   readonly help: string;
--- a/src/metrics/scrapePage.ts
+++ b/src/metrics/scrapePage.ts
@@ -1,9 +1,9 @@
 /**
- * Writes metrics as the plain text that metric collectors read (text exposition format 0.0.4).
+ * Formats metrics for collectors, in the text exposition format 0.0.4.
  */
 import type { MetricSnapshot, SeriesSnapshot } from './metricTypes.js';
 
-/** Content type of the page. */
+/** Content type of the scrape page. */
 export const SCRAPE_CONTENT_TYPE = 'text/plain; version=0.0.4; charset=utf-8';
 
 function escapeHelp(text: string): string {
@@ -32,7 +32,7 @@
   return `${name}${braces} ${formatNumber(value)}`;
 }
 
-function head(name: string, type: string, help: string): string[] {
+function headerLines(name: string, type: string, help: string): string[] {
   return [`# HELP ${name} ${escapeHelp(help)}`, `# TYPE ${name} ${type}`];
 }
 
@@ -51,9 +51,9 @@
   const maximum = `${name}_maximum`;
   const maxima = series.filter((one) => one.maximum !== undefined);
   return [
-    ...head(name, 'summary', help),
+    ...headerLines(name, 'summary', help),
     ...series.flatMap((one) => summaryLines(name, one)),
-    ...head(maximum, 'gauge', `Largest value lately: ${help}`),
+    ...headerLines(maximum, 'gauge', `Largest value lately: ${help}`),
     ...maxima.map((one) => formatSample(maximum, one.labels, one.maximum ?? 0)),
   ];
 }
@@ -63,16 +63,16 @@
   if (kind === 'histogram') return formatSummary(metric);
   const name = kind === 'counter' ? `${metric.name}_total` : metric.name;
   return [
-    ...head(name, kind, help),
+    ...headerLines(name, kind, help),
     ...series.map((one) => formatSample(name, one.labels, one.value)),
   ];
 }
 
 /**
- * Writes the page. Histograms are written as summaries with a gauge for the maximum.
+ * Formats the scrape page. Histograms are written as summaries, with a gauge for the maximum.
  *
- * @param metrics - what to write.
- * @returns The whole page, with a line end at the end.
+ * @param metrics - snapshots of the metrics.
+ * @returns The whole page, ending in a newline.
  */
 export function formatScrapePage(metrics: readonly MetricSnapshot[]): string {
   return metrics
--- a/src/metrics/serveMetrics.ts
+++ b/src/metrics/serveMetrics.ts
@@ -1,5 +1,5 @@
 /**
- * Serves a daemon's metrics as text.
+ * Serves a daemon's scrape page over HTTP.
  */
 import { createServer } from 'node:http';
 import type { RequestListener, Server } from 'node:http';
@@ -12,9 +12,11 @@
 const OK = 200;
 
 /**
- * @param registry - of the daemon.
- * @param address - where the page is.
- * @param handlers - who answers below further paths.
+ * Serves the metrics at each path that has no handler of its own.
+ *
+ * @param registry - the metrics of the daemon.
+ * @param address - the address to listen at.
+ * @param handlers - handlers of further pages, by the first segment of their path, such as `/quarantine`.
  * @returns The server, once it listens.
  */
 export async function serveMetrics(
