--- a/src/logging/ConsolaLog.spec.ts
+++ b/src/logging/ConsolaLog.spec.ts
@@ -42,7 +42,7 @@
     ]);
   });
 
-  it('writes a readable line, and never two for one event', () => {
+  it('writes one readable line per event', () => {
     const sink = new MemoryLineSink();
     const log = new ConsolaLog({ sink, clock, format: 'pretty', level: 'debug' });
     log.write(DETAIL, { runner: 'r 1\nx', load: 1.5, missing: undefined });
@@ -51,16 +51,16 @@
     ]);
   });
 
-  it('writes lines that repeat', () => {
-    // Symptom: decisions are missing in the log under load. Sequence: the same choice is made six
-    // times within a second. Cause: the log library throttles equal lines unless told not to.
+  it('writes repeated lines', () => {
+    // Guards against decisions missing from the log under load: by default the log library throttles equal lines, for example
+    // when the same choice is made six times within a second.
     const sink = new MemoryLineSink();
     const log = new ConsolaLog({ sink, clock });
     for (let index = 0; index < 50; index += 1) log.write(CHOSEN);
     expect(sink.lines.length).toEqual(50);
   });
 
-  it('says how many lines were dropped', () => {
+  it('reports the number of dropped lines', () => {
     const sink = new (class extends MemoryLineSink {
       private dropped = 7;
 
@@ -78,9 +78,9 @@
     expect(sink.lines[0] ?? '').toEqual(expect.includes('"lines":7'));
   });
 
-  it('survives a field that JSON cannot hold', () => {
-    // Symptom: a request dies in its log line. Sequence: a 64-bit number of a message is logged.
-    // Cause: JSON.stringify throws on bigint.
+  it('writes an event with a field that JSON cannot represent', () => {
+    // Guards against a request that fails because of its log line: a 64-bit number from a message is logged, and
+    // JSON.stringify throws on a bigint.
     const sink = new MemoryLineSink();
     new ConsolaLog({ sink, clock }).write(CHOSEN, { revision: 5n } as unknown as LogFields);
     expect(sink.lines).toEqual([expect.includes('"number":1401')]);
@@ -100,14 +100,14 @@
     expect(await read).toEqual(`${lines.join('\n')}\n`);
   });
 
-  it('holds a bounded amount for a reader that stands still, and counts the rest', async () => {
-    // Symptom: a daemon uses ever more memory until it is killed. Sequence: the collector of its log
-    // stops reading while decisions go on. Cause: a stream keeps whatever is written to it.
+  it('buffers a bounded amount for a reader that has stopped reading, and counts the rest', async () => {
+    // Guards against a daemon whose memory grows until it is killed: its log collector stops reading, and a stream buffers
+    // without limit whatever is written to it.
     const stream = new Writable({ write: () => {} });
     const sink = new StreamSink({ stream, maximumBufferedCharacters: 1000 });
     for (let round = 0; round < 10; round += 1) {
       for (let index = 0; index < 10; index += 1) sink.write('x'.repeat(99));
-      // The promise stays open as long as the reader stands still; the lines are in the stream at once.
+      // The lines are in the stream at once, but the promise stays pending as long as the reader does not read.
       void sink.flush();
     }
     expect(stream.writableLength <= 1000).toEqual(true);
@@ -116,9 +116,9 @@
     stream.destroy();
   });
 
-  it('survives a reader that goes away', async () => {
-    // Symptom: a daemon dies with EPIPE. Sequence: the collector of its log restarts. Cause: a stream
-    // whose errors nobody handles ends the process.
+  it('handles a reader that closes the stream', async () => {
+    // Guards against a daemon that dies with EPIPE when its log collector restarts: a stream error without a handler ends
+    // the process.
     const stream = new Writable({ write: (_chunk, _encoding, done) => done(new Error('EPIPE')) });
     const sink = new StreamSink({ stream });
     const closed = new Promise((done) => {
--- a/src/logging/ConsolaLog.ts
+++ b/src/logging/ConsolaLog.ts
@@ -1,5 +1,5 @@
 /**
- * The one log of a process, over consola.
+ * Implements the log of a process with the library consola.
  */
 import type { ConsolaInstance } from 'consola/core';
 import { createConsola } from 'consola/core';
@@ -13,10 +13,10 @@
 import type { LogEvent, LogLevel } from './logEvent.js';
 import { PrettyReporter } from './PrettyReporter.js';
 
-/** How lines look. */
+/** Format of log lines: JSON for machines, or readable lines for a terminal. */
 export type LogFormat = 'json' | 'pretty';
 
-/** The numbers that consola gives to the levels. */
+/** Consola's numbers of the levels; a higher number is less important. */
 const CONSOLA_LEVELS: Readonly<Record<LogLevel, number>> = { error: 0, warn: 1, info: 3, debug: 4 };
 
 /** Options of a {@link ConsolaLog}. */
@@ -25,15 +25,15 @@
   format?: LogFormat;
   /** The least important level that is written. */
   level?: LogLevel;
-  /** Dates the lines. */
+  /** Clock for the time of each line. */
   clock?: Clock;
-  /** Fields of every line, for example the daemon's name. */
+  /** Fields added to every line, for example the daemon's name. */
   context?: LogFields;
-  /** Written when the sink had to drop lines, with their number. */
+  /** Event that reports the number of lines that the sink had to drop. */
   droppedEvent?: LogEvent;
 }
 
-/** Writes numbered events through consola's levels and one of the two reporters. */
+/** Writes numbered events as lines to a sink, filtered by level. */
 export class ConsolaLog extends Log {
   private readonly consola: ConsolaInstance;
 
@@ -44,7 +44,7 @@
   private readonly droppedEvent: LogEvent | undefined;
 
   /**
-   * @param options - where lines go and how they look.
+   * @param options - the sink, and the format and content of lines.
    */
   constructor({
     sink,
@@ -62,7 +62,7 @@
     this.consola = createConsola({
       level: this.highestLevel,
       reporters: [new Reporter({ sink, clock, context })],
-      // Consola would drop lines that repeat; two decisions that look alike are still two decisions.
+      // By default consola drops repeated lines, but two equal decisions have to appear as two lines.
       throttle: 0,
     });
   }
@@ -74,14 +74,16 @@
   }
 
   /**
-   * @param level - a level.
-   * @returns Whether lines of this level are written, to spare the making of costly fields.
+   * Tells whether lines of a level are written, so that callers can avoid computing costly fields.
+   *
+   * @param level - the level of an event.
+   * @returns Whether its lines are written.
    */
   writes(level: LogLevel): boolean {
     return CONSOLA_LEVELS[level] <= this.highestLevel;
   }
 
-  /** Waits until the lines are out: before the process ends. */
+  /** Waits until all lines are written or given up; called before the process ends. */
   async flush(): Promise<void> {
     this.reportDropped();
     await this.sink.flush();
--- a/src/logging/EventReporter.ts
+++ b/src/logging/EventReporter.ts
@@ -1,5 +1,5 @@
 /**
- * What the two reporters share: they turn consola's log objects back into numbered events.
+ * Base class of the two consola reporters, which turn consola's log objects back into numbered events.
  */
 import type { ConsolaReporter, LogObject } from 'consola/core';
 
@@ -8,22 +8,22 @@
 import type { LogFields } from './Log.js';
 import type { LogEvent } from './logEvent.js';
 
-/** Options of a reporter. */
+/** Options of an {@link EventReporter}. */
 export interface EventReporterOptions {
   sink: LineSink;
   clock: Clock;
-  /** Fields of every line. */
+  /** Fields added to every line. */
   context: LogFields;
 }
 
-/** Formats one event as one line. */
+/** Formats each event as one line and writes it to the sink. */
 export abstract class EventReporter implements ConsolaReporter {
   private readonly sink: LineSink;
 
   private readonly clock: Clock;
 
   /**
-   * @param options - where to, and the time.
+   * @param options - the sink and the clock.
    */
   constructor({ sink, clock }: EventReporterOptions) {
     this.sink = sink;
@@ -31,7 +31,7 @@
   }
 
   /**
-   * @param logObject - holds `event` and `fields`, as the log puts them there.
+   * @param logObject - consola's log object, with the `event` and `fields` that `ConsolaLog` has passed to consola.
    */
   log(logObject: LogObject): void {
     const { event, fields } = logObject as { event?: LogEvent; fields?: LogFields };
@@ -41,14 +41,14 @@
   }
 
   /**
-   * @param time - ISO 8601, UTC.
-   * @param event - what happened.
-   * @param fields - its details.
-   * @returns The line without a line end.
+   * @param time - time of the event, in ISO 8601 and UTC.
+   * @param event - the event's definition.
+   * @param fields - the event's details.
+   * @returns The line without a newline.
    */
   protected abstract format(time: string, event: LogEvent, fields: LogFields): string;
 
-  /** A field that JSON cannot hold (a bigint, a cycle) must not end the request that is logged. */
+  /** Formats a line without throwing: a field that JSON cannot represent (a bigint, a cycle) must not fail a request. */
   private formatSafely(time: string, event: LogEvent, fields: LogFields): string {
     try {
       return this.format(time, event, fields);
--- a/src/logging/JsonReporter.ts
+++ b/src/logging/JsonReporter.ts
@@ -1,21 +1,24 @@
 /**
- * One JSON object a line, for machines.
+ * Formats log events as JSON, one object per line, for machines.
  */
 import { EventReporter } from './EventReporter.js';
 import type { EventReporterOptions } from './EventReporter.js';
 import type { LogFields } from './Log.js';
 import type { LogEvent } from './logEvent.js';
 
-/** Keys that fields cannot replace come first, so that a line can be read by eye as well. */
+/**
+ * Writes the fixed keys first, so that lines can also be read by eye, and the details under the key `fields`, so that they
+ * cannot replace a fixed key.
+ */
 export class JsonReporter extends EventReporter {
-  /** The context as it stands inside each line; made once, since it never changes. */
+  /** The context as JSON text within a line; formatted once, since it never changes. */
   private readonly contextText: string;
 
-  /** What never changes in the lines of one event. */
-  private readonly heads = new Map<number, string>();
+  /** The constant part of an event's lines as JSON text, by event number. */
+  private readonly eventTexts = new Map<number, string>();
 
   /**
-   * @param options - where to, the time and the context.
+   * @param options - the sink, the clock and the context.
    */
   constructor(options: EventReporterOptions) {
     super(options);
@@ -26,15 +29,15 @@
   protected override format(time: string, event: LogEvent, fields: LogFields): string {
     const details = JSON.stringify(fields);
     const rest = details === '{}' ? '' : `,"fields":${details}`;
-    return `{"time":"${time}",${this.head(event)}${this.contextText}${rest}}`;
+    return `{"time":"${time}",${this.eventText(event)}${this.contextText}${rest}}`;
   }
 
-  private head(event: LogEvent): string {
-    const known = this.heads.get(event.number);
+  private eventText(event: LogEvent): string {
+    const known = this.eventTexts.get(event.number);
     if (known !== undefined) return known;
     const { level, number, name, text } = event;
     const head = JSON.stringify({ level, number, event: name, text }).slice(1, -1);
-    this.heads.set(number, head);
+    this.eventTexts.set(number, head);
     return head;
   }
 }
--- a/src/logging/LimitedLog.ts
+++ b/src/logging/LimitedLog.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the volume of a log bounded under load: what is over the limit is left out and counted.
+ * Limits the number of log lines per second; lines over the limit are left out and counted.
  *
- * What goes wrong without it: a pool fails, each request writes several lines, and the daemon spends the time
- * on its log that its callers need. Errors are never left out.
+ * Without a limit, when a pool fails and each request writes several lines, the daemon spends time on its log that it needs
+ * for its callers. Errors are never left out.
  */
 import type { Clock } from '../time/Clock.js';
 import { Log } from './Log.js';
@@ -13,15 +13,15 @@
 export interface LimitedLogOptions {
   log: Log;
   clock: Clock;
-  /** Lines in a second. */
+  /** Largest number of lines per second, apart from errors. */
   linesPerSecond: number;
-  /** Written with the number of lines that were left out. */
+  /** Event that reports the number of lines left out in the previous second. */
   leftOutEvent: LogEvent;
 }
 
 const WINDOW_MILLISECONDS = 1_000;
 
-/** Counts lines by the second. */
+/** Passes events to another log, up to a number of lines per second. */
 export class LimitedLog extends Log {
   private readonly options: LimitedLogOptions;
 
@@ -29,10 +29,10 @@
 
   private lines = 0;
 
-  private leftOut = 0;
+  private linesLeftOut = 0;
 
   /**
-   * @param options - where lines go, and how many.
+   * @param options - the log to write to, and the limit.
    */
   constructor(options: LimitedLogOptions) {
     super();
@@ -45,11 +45,11 @@
     if (now - this.windowStart >= WINDOW_MILLISECONDS) {
       this.windowStart = now;
       this.lines = 0;
-      if (this.leftOut > 0) log.write(leftOutEvent, { lines: this.leftOut });
-      this.leftOut = 0;
+      if (this.linesLeftOut > 0) log.write(leftOutEvent, { lines: this.linesLeftOut });
+      this.linesLeftOut = 0;
     }
     this.lines += 1;
     if (this.lines <= linesPerSecond || event.level === 'error') log.write(event, fields);
-    else this.leftOut += 1;
+    else this.linesLeftOut += 1;
   }
 }
--- a/src/logging/LineSink.ts
+++ b/src/logging/LineSink.ts
@@ -1,32 +1,32 @@
 /**
- * Where finished log lines go.
+ * Destination of formatted log lines.
  */
 
-/** Takes whole lines. */
+/** Accepts complete lines and writes them without blocking. */
 export abstract class LineSink {
   /**
-   * Takes one line; returns at once and never throws.
+   * Accepts one line; returns at once and never throws.
    *
-   * @param line - the line without its line end.
+   * @param line - the line without a newline.
    */
   abstract write(line: string): void;
 
   /**
-   * Waits until all lines taken so far are written or given up.
+   * Waits until all lines accepted so far are written or given up.
    */
   abstract flush(): Promise<void>;
 
   /**
-   * Reads and resets the number of dropped lines.
+   * Returns and resets the number of dropped lines.
    *
-   * @returns Lines dropped since the last call.
+   * @returns Number of lines dropped since the last call.
    */
   abstract takeDropped(): number;
 }
 
-/** Keeps lines in memory: for tests. */
+/** Keeps lines in memory, for tests. */
 export class MemoryLineSink extends LineSink {
-  /** All lines in order. */
+  /** All lines, in the order in which they were written. */
   readonly lines: string[] = [];
 
   override write(line: string): void {
--- a/src/logging/Log.ts
+++ b/src/logging/Log.ts
@@ -1,26 +1,26 @@
 /**
- * The one log of a process, as features see it.
+ * The interface through which all parts of a process write log events.
  */
 import type { LogEvent } from './logEvent.js';
 
-/** Values that a log line can hold. */
+/** Values that a field of a log line can have. */
 export type LogValue = string | number | boolean | undefined | readonly LogValue[] | LogFields;
 
-/** Fields of a log line; whole-word names. */
+/** Fields of a log line. Their names are whole words, not abbreviations. */
 export interface LogFields {
   readonly [name: string]: LogValue;
 }
 
-/** Writes numbered events. */
+/** Accepts numbered log events. */
 export abstract class Log {
   /**
-   * @param event - the numbered event.
-   * @param fields - its details; never a key, a token or a body.
+   * @param event - the definition of the event.
+   * @param fields - details of the event; never an API key, an access token or the body of a request or answer.
    */
   abstract write(event: LogEvent, fields?: LogFields): void;
 }
 
-/** Drops everything: for measurements and tests that look elsewhere. */
+/** Discards all events, for measurements and for tests that do not check the log. */
 export class SilentLog extends Log {
   override write(): void {}
 }
--- a/src/logging/StreamSink.ts
+++ b/src/logging/StreamSink.ts
@@ -1,33 +1,32 @@
 /**
- * Writes log lines to a stream without ever holding up the daemon.
+ * Writes log lines to a stream without ever blocking the daemon.
  *
- * What goes wrong otherwise: a log collector stops reading, and the lines pile up in the memory of the
- * daemon until it is killed. One would notice a daemon whose memory grows with its traffic. Here the
- * stream may hold a bounded amount; what does not fit is dropped and counted. Lines of a short while are
- * written together, since each write is a system call.
+ * When a log collector stops reading, lines would pile up in the daemon's memory until it is killed; one would notice that
+ * its memory grows with its traffic. The sink therefore buffers a bounded amount, and drops and counts further lines. Lines
+ * that arrive shortly after each other are written together, since each write is a system call.
  */
 import type { Writable } from 'node:stream';
 
 import { LineSink } from './LineSink.js';
 
-/** About 20,000 lines. */
+/** Default limit on buffered characters; about 20,000 lines. */
 const MAXIMUM_BUFFERED_CHARACTERS = 4 * 1024 * 1024;
 
-/** Short enough to follow by eye. */
-const GATHER_MILLISECONDS = 20;
+/** Time for which lines are collected before a write, in ms; short enough to follow the log live. */
+const WRITE_DELAY_MILLISECONDS = 20;
 
-/** A collector that reads nothing must not keep the process from its end. */
+/** Longest time that a flush waits, in ms: a collector that does not read must not keep the process from ending. */
 const FLUSH_TIMEOUT_MILLISECONDS = 2_000;
 
 /** Options of a {@link StreamSink}. */
 export interface StreamSinkOptions {
-  /** Standard output by default. */
+  /** Stream to write to; standard output by default. */
   stream?: Writable;
-  /** Lines beyond this many characters are dropped. */
+  /** Lines that would exceed this number of buffered characters are dropped. */
   maximumBufferedCharacters?: number;
 }
 
-/** See the module's comment. */
+/** Buffers lines and writes them to a stream at short intervals. */
 export class StreamSink extends LineSink {
   private readonly stream: Writable;
 
@@ -35,8 +34,8 @@
 
   private lines: string[] = [];
 
-  /** Characters of `lines`. */
-  private gathered = 0;
+  /** Number of characters in `lines`, with their newlines. */
+  private bufferedCharacters = 0;
 
   private dropped = 0;
 
@@ -45,7 +44,7 @@
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param options - where to and how much to hold.
+   * @param options - the stream, and the limit on buffered characters.
    */
   constructor({
     stream = process.stdout,
@@ -54,27 +53,27 @@
     super();
     this.stream = stream;
     this.maximumBufferedCharacters = maximumBufferedCharacters;
-    // A reader that has gone away does not come back, and there is nowhere left to report it to.
+    // A reader that has closed the stream does not come back, and there is no other place to report the error to.
     stream.on('error', () => {
       this.broken = true;
     });
-    // The last lines tell why a process ended; there is no later turn of the event loop for them.
-    process.once('exit', () => this.writeGathered());
+    // The last lines tell why the process ended; at exit the timer that writes them no longer fires.
+    process.once('exit', () => this.writeBuffered());
   }
 
   override write(line: string): void {
-    const held = this.gathered + this.stream.writableLength;
+    const held = this.bufferedCharacters + this.stream.writableLength;
     if (this.broken || held + line.length >= this.maximumBufferedCharacters) {
       this.dropped += 1;
       return;
     }
     this.lines.push(line);
-    this.gathered += line.length + 1;
-    this.timer ??= setTimeout(() => this.writeGathered(), GATHER_MILLISECONDS);
+    this.bufferedCharacters += line.length + 1;
+    this.timer ??= setTimeout(() => this.writeBuffered(), WRITE_DELAY_MILLISECONDS);
   }
 
   override flush(): Promise<void> {
-    this.writeGathered();
+    this.writeBuffered();
     if (this.broken || this.stream.writableLength === 0) return Promise.resolve();
     return new Promise((done) => {
       const timer = setTimeout(done, FLUSH_TIMEOUT_MILLISECONDS).unref();
@@ -91,13 +90,13 @@
     return dropped;
   }
 
-  private writeGathered(): void {
+  private writeBuffered(): void {
     clearTimeout(this.timer);
     this.timer = undefined;
     if (this.lines.length === 0 || this.broken) return;
     const text = `${this.lines.join('\n')}\n`;
     this.lines = [];
-    this.gathered = 0;
+    this.bufferedCharacters = 0;
     this.stream.write(text);
   }
 }
--- a/src/logging/formatFields.ts
+++ b/src/logging/formatFields.ts
@@ -1,8 +1,8 @@
 /**
- * Writes fields as `key=value` pairs for people.
+ * Formats the fields of a log line as `key=value` pairs, for people.
  */
 
-/** A value without characters that would make the line ambiguous. */
+/** Values that can be written without quotes, since no character of them makes the line ambiguous. */
 const PLAIN_VALUE = /^[\w.:/@+-]+$/u;
 
 function formatValue(value: unknown): string {
@@ -11,8 +11,8 @@
 }
 
 /**
- * @param fields - what to write; fields without a value are left out.
- * @returns Pairs with spaces between, everything on one line.
+ * @param fields - the fields; those with the value `undefined` are left out.
+ * @returns The pairs on one line, separated by spaces.
  */
 export function formatFields(fields: Readonly<Record<string, unknown>>): string {
   return Object.entries(fields)
--- a/src/logging/logCatalogue.spec.ts
+++ b/src/logging/logCatalogue.spec.ts
@@ -24,7 +24,7 @@
 }
 
 describe(checkLogEvents.name, () => {
-  it('has nothing to say about the events of the program', () => {
+  it('has no findings for the events of the program', () => {
     expect(
       checkLogEvents([...ALL_FEATURES, ...ROUTER_FEATURES])
         .list()
--- a/src/logging/logCatalogue.ts
+++ b/src/logging/logCatalogue.ts
@@ -1,14 +1,14 @@
 /**
- * The catalogue of log events: its rules and its page.
+ * The catalogue of log events: checks its rules and formats its page.
  */
 import type { AnyFeature } from '../features/Feature.js';
 import { Findings } from '../findings/Findings.js';
 import type { LogEvent } from './logEvent.js';
 
-/** How many numbers a feature has by default. */
+/** Default size of a feature's range of event numbers. */
 const RANGE_SIZE = 100;
 
-/** The first number of each feature; a feature's numbers never move to another. */
+/** First event number of each feature; numbers are never reassigned to another feature. */
 const RANGE_STARTS: Readonly<Record<string, number>> = {
   daemon: 1000,
   configuration: 1200,
@@ -33,22 +33,22 @@
   quarantine: 3100,
 };
 
-/** The daemon's range holds the settings' events too, from 1100. */
+/** Ranges of another size. The daemon's range also contains the events of the settings, from 1100. */
 const RANGE_SIZES: Readonly<Record<string, number>> = { daemon: 2 * RANGE_SIZE };
 
 const EVENT_NAME = /^[a-z]+(?:_[a-z]+)*\.[a-z]+(?:_[a-z]+)*$/u;
 
-/** An event with the feature that defines it. */
+/** An event with the name of the feature that defines it. */
 export interface CataloguedEvent {
   readonly feature: string;
   readonly event: LogEvent;
 }
 
 /**
- * Lists all events.
+ * Lists the events of all features.
  *
  * @param features - the registered features.
- * @returns The events, ordered by number.
+ * @returns The events in ascending order of their numbers.
  */
 export function listLogEvents(features: readonly AnyFeature[]): CataloguedEvent[] {
   return features
@@ -59,10 +59,11 @@
 }
 
 /**
- * Checks the rules that keep numbers usable in alerts: unique, in the feature's range, with an action.
+ * Checks the rules that keep event numbers usable in alerts: each number and name is unique, each number is in the range of
+ * its feature, and each event has a text and an operator action.
  *
  * @param features - the registered features.
- * @returns What breaks a rule.
+ * @returns A finding for each violation.
  */
 export function checkLogEvents(features: readonly AnyFeature[]): Findings {
   const findings = new Findings();
@@ -70,37 +71,41 @@
   const names = new Set<string>();
   for (const { feature, event } of listLogEvents(features)) {
     const { number, name, text, operatorAction } = event;
-    const complain = (message: string) => findings.add({ field: `${feature}: ${number}` }, message);
+    const addFinding = (message: string) =>
+      findings.add({ field: `${feature}: ${number}` }, message);
     const start = RANGE_STARTS[feature];
     const end = (start ?? 0) + (RANGE_SIZES[feature] ?? RANGE_SIZE);
-    if (start === undefined) complain('the feature has no range of numbers');
-    else if (number < start || number >= end) complain(`is outside of ${start} to ${end - 1}`);
+    if (start === undefined)
+      addFinding('the feature has no range of event numbers in RANGE_STARTS');
+    else if (number < start || number >= end)
+      addFinding(`the number is outside of ${start} to ${end - 1}`);
     const other = numbers.get(number);
-    if (other !== undefined) complain(`${name} has the number of ${other}`);
-    if (names.has(name)) complain(`the name ${name} is used twice`);
+    if (other !== undefined) addFinding(`${name} has the number of ${other}`);
+    if (names.has(name)) addFinding(`the name ${name} is used twice`);
     if (!EVENT_NAME.test(name))
-      complain(`the name ${name} is not of the form feature.what_happened`);
-    if (text.trim() === '' || operatorAction.trim() === '') complain('lacks a text or an action');
+      addFinding(`the name ${name} is not of the form feature.what_happened`);
+    if (text.trim() === '' || operatorAction.trim() === '')
+      addFinding('lacks a text or an operator action');
     numbers.set(number, name);
     names.add(name);
   }
   return findings;
 }
 
-function cell(text: string): string {
+function tableCell(text: string): string {
   return text.replaceAll('|', '\\|').replaceAll('\n', ' ');
 }
 
 function eventRow({ event }: CataloguedEvent): string {
   const { number, name, level, text, operatorAction } = event;
-  return `| ${number} | \`${name}\` | ${level} | ${cell(text)} | ${cell(operatorAction)} |`;
+  return `| ${number} | \`${name}\` | ${level} | ${tableCell(text)} | ${tableCell(operatorAction)} |`;
 }
 
 /**
- * Writes the page `docs/LOG_EVENTS.md`.
+ * Formats the page `docs/LOG_EVENTS.md`.
  *
  * @param features - the registered features.
- * @returns The whole page.
+ * @returns The whole page as Markdown.
  */
 export function formatLogCatalogue(features: readonly AnyFeature[]): string {
   const events = listLogEvents(features);
--- a/src/logging/logEvent.ts
+++ b/src/logging/logEvent.ts
@@ -1,27 +1,27 @@
 /**
- * The definition of a numbered log event. Each feature defines its own; docs/LOG_EVENTS.md lists all.
+ * Definitions of numbered log events. Each feature defines its own; docs/LOG_EVENTS.md lists them all.
  */
 
-/** How much an event matters: `error` and `warn` are worth an alert. */
+/** Importance of an event; `error` and `warn` are worth an alert. */
 export type LogLevel = 'error' | 'warn' | 'info' | 'debug';
 
-/** A numbered event. Numbers are never reused for another meaning. */
+/** Definition of a numbered log event. Numbers are never reused for another meaning. */
 export interface LogEvent {
   readonly number: number;
-  /** Dotted, for example `gates.refused`. */
+  /** Name of the feature and of the event, for example `gates.refused`. */
   readonly name: string;
   readonly level: LogLevel;
-  /** What happened, one sentence. */
+  /** States what happened, in one sentence. */
   readonly text: string;
-  /** What an operator does about it; for the catalogue. */
+  /** States what an operator has to do about it; shown in the catalogue. */
   readonly operatorAction: string;
 }
 
 /**
- * Defines an event.
+ * Defines a log event.
  *
- * @param definition - number, name, level, text and what an operator does.
- * @returns The definition, frozen.
+ * @param definition - the number, name, level, text and operator action.
+ * @returns The frozen definition.
  */
 export function defineLogEvent(definition: LogEvent): LogEvent {
   return Object.freeze({ ...definition });
