--- a/measure/retryBudget.ts
+++ b/measure/retryBudget.ts
@@ -9,7 +9,7 @@
   RetryFleetOptions,
   ServiceFailure,
 } from '../src/forwarding/testRetryFleet.js';
-import { playRetries, RETRY_FLEETS } from '../src/forwarding/testRetryFleet.js';
+import { simulateRetries, RETRY_FLEETS } from '../src/forwarding/testRetryFleet.js';
 import { CentralBudget } from './retryBudget/CentralBudget.js';
 import { OwingBudget } from './retryBudget/OwingBudget.js';
 import { ToldBudget } from './retryBudget/ToldBudget.js';
@@ -87,7 +87,7 @@
       TROUBLES.map((trouble) => {
         const createAccount = WAYS[way]!(fleet.daemons);
         const play = { ...fleet, trouble, failure, createAccount, seed: Number(this.seed) };
-        return { trouble, failure, ...playRetries(play) };
+        return { trouble, failure, ...simulateRetries(play) };
       }),
     );
     const sent = (failure: ServiceFailure, troubles: readonly FleetTrouble[]) => {
--- a/measure/retryBudget/WindowBudget.ts
+++ b/measure/retryBudget/WindowBudget.ts
@@ -3,7 +3,7 @@
  */
 import type { SharedRetryBudgetOptions } from '../../src/forwarding/SharedRetryBudget.js';
 import type { RetryAccount } from '../../src/forwarding/testRetryFleet.js';
-import { dropBefore } from '../../src/time/dropBefore.js';
+import { dropTimesBefore } from '../../src/time/dropTimesBefore.js';
 
 /** Part of a window's limit that is spent; what is on the way when a window ends has to fit too. */
 const SPENT_SHARE = 0.85;
@@ -38,8 +38,8 @@
    */
   take(_service: string, now: number): boolean {
     const { ratio, allowance, daemons, windowMilliseconds } = this.options;
-    dropBefore(this.requests, now - windowMilliseconds);
-    dropBefore(this.retries, now - windowMilliseconds);
+    dropTimesBefore(this.requests, now - windowMilliseconds);
+    dropTimesBefore(this.retries, now - windowMilliseconds);
     const limit = (ratio * this.requests.length + allowance / Math.max(1, daemons())) * SPENT_SHARE;
     if (this.retries.length + 1 > limit) return false;
     this.retries.push(now);
--- a/src/callers/forwardedHeaders.ts
+++ b/src/callers/forwardedHeaders.ts
@@ -6,7 +6,7 @@
  */
 import { validateHeaderName, validateHeaderValue } from 'node:http';
 
-import { CONNECTION_HEADERS, headerPairs } from '../http/connectionHeaders.js';
+import { HOP_BY_HOP_HEADERS, headerPairs } from '../http/connectionHeaders.js';
 import type { HeaderList } from '../http/connectionHeaders.js';
 import { CALLER_HEADERS } from './callerHeaders.js';
 
@@ -37,7 +37,7 @@
   const named = namedByConnection(headers);
   return headers
     .map(([name, value]): [string, string] => [name.toLowerCase(), value])
-    .filter(([name]) => !CONNECTION_HEADERS.has(name) && !named.has(name) && !dropped.has(name));
+    .filter(([name]) => !HOP_BY_HOP_HEADERS.has(name) && !named.has(name) && !dropped.has(name));
 }
 
 /**
--- a/src/directory/DirectoryDecisions.spec.ts
+++ b/src/directory/selectAddresses.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 
 import type { DaemonEntry } from '../sync/FleetStore.js';
-import { addressesFor } from './DirectoryDecisions.js';
+import { selectAddresses } from './selectAddresses.js';
 
 function daemonOf(name: string, dataCentre: string) {
   const port = name.charCodeAt(0);
@@ -30,7 +30,7 @@
   for (const dataCentre of DATA_CENTRES) {
     for (let index = 0; index < CALLERS_PER_DATA_CENTRE; index += 1) {
       const caller = `10.9.${dataCentre}.${index}`;
-      const addresses = addressesFor({ daemons, own: undefined, dataCentre, caller });
+      const addresses = selectAddresses({ daemons, own: undefined, dataCentre, caller });
       for (const address of addresses) {
         shares.set(address, (shares.get(address) ?? 0) + 1 / addresses.length);
       }
@@ -53,9 +53,9 @@
   });
 
   it('include some in other data centres, in case all in the caller’s own are lost', () => {
-    const addresses = addressesFor({ daemons: fleetOf(195), own: undefined, dataCentre: 'a' });
+    const addresses = selectAddresses({ daemons: fleetOf(195), own: undefined, dataCentre: 'a' });
     expect([addresses.length, new Set(addresses).size]).toEqual([33 + 16, 33 + 16]);
-    const many = addressesFor({ daemons: fleetOf(390), own: undefined, dataCentre: 'a' });
+    const many = selectAddresses({ daemons: fleetOf(390), own: undefined, dataCentre: 'a' });
     expect(many.length).toEqual(64);
   });
 
@@ -63,7 +63,7 @@
     // Guards against cut streams: callers close open connections to addresses that a new answer no longer contains.
     const daemons = fleetOf(195);
     const ask = (listed: readonly DaemonEntry[], own?: DaemonEntry) =>
-      addressesFor({ daemons: listed, own, dataCentre: 'b', caller: '10.9.0.1' });
+      selectAddresses({ daemons: listed, own, dataCentre: 'b', caller: '10.9.0.1' });
     const before = ask(daemons);
     expect(ask([...daemons].reverse(), daemons[7]).sort()).toEqual([...before].sort());
     for (const gone of daemons) {
@@ -79,14 +79,14 @@
 
   it('returns all daemons, those of the caller’s data centre first', () => {
     const question = { daemons, own: daemonOf('c', 'south'), dataCentre: 'south' };
-    expect(addressesFor(question)).toEqual(['10.0.0.1:99', '10.0.0.1:98', '10.0.0.1:97']);
+    expect(selectAddresses(question)).toEqual(['10.0.0.1:99', '10.0.0.1:98', '10.0.0.1:97']);
   });
 
   it('contains this daemon once, and not while it stops', () => {
     const own = daemonOf('a', 'north');
-    expect(addressesFor({ daemons, own, dataCentre: undefined }).length).toEqual(2);
+    expect(selectAddresses({ daemons, own, dataCentre: undefined }).length).toEqual(2);
     const others = daemons.slice(1);
-    expect(addressesFor({ daemons: others, own: undefined, dataCentre: 'north' })).toEqual([
+    expect(selectAddresses({ daemons: others, own: undefined, dataCentre: 'north' })).toEqual([
       '10.0.0.1:98',
     ]);
   });
@@ -103,7 +103,7 @@
 
   function placesFor(homeRegions: readonly string[] | undefined, region: string): string[] {
     const question = { daemons, own: undefined, dataCentre: undefined, regionOf };
-    const addresses = addressesFor({ ...question, homeRegions, region });
+    const addresses = selectAddresses({ ...question, homeRegions, region });
     return Object.keys(REGIONS).filter((place) => addresses.includes(portOf(place)));
   }
 
--- a/src/directory/DirectoryDecisions.ts
+++ b/src/directory/selectAddresses.ts
@@ -8,11 +8,11 @@
  * quarter of the requests enter in another data centre (calculated for 30 callers in each data centre).
  */
 import { rendezvousOrder, rendezvousPick } from '../routing/rendezvous.js';
-import type { HomeRegions } from '../routes/homes.js';
+import type { HomeRegions } from '../routes/homeRegions.js';
 import type { DaemonEntry } from '../sync/FleetStore.js';
 
 /** What a directory answer depends on. */
-export interface DirectoryQuestion {
+export interface DirectoryQuery {
   /** The registered daemons to select from; may include this daemon. */
   readonly daemons: readonly DaemonEntry[];
   /** This daemon's entry, or `undefined` while it accepts no new callers. */
@@ -77,7 +77,7 @@
  */
 function restrictToHomeRegions(
   daemons: readonly DaemonEntry[],
-  { homeRegions, region, regionOf = () => undefined }: DirectoryQuestion,
+  { homeRegions, region, regionOf = () => undefined }: DirectoryQuery,
 ): readonly DaemonEntry[] {
   if (homeRegions === undefined) return daemons;
   const allowed = new Set([...homeRegions, region]);
@@ -96,7 +96,7 @@
  * @param question - the daemons, and what is known of the caller.
  * @returns Caller addresses of the selected daemons, those of the caller's data centre first; empty if there are none.
  */
-export function addressesFor(question: DirectoryQuestion): string[] {
+export function selectAddresses(question: DirectoryQuery): string[] {
   const { daemons, own, dataCentre = '', caller = '' } = question;
   const others = daemons.filter(({ name }) => name !== own?.name);
   const all = restrictToHomeRegions(own ? [own, ...others] : others, question);
--- a/src/fleet/FleetState.ts
+++ b/src/fleet/FleetState.ts
@@ -18,9 +18,9 @@
 import type { RunnerState } from '../gates/gateTypes.js';
 import type { FleetRunner, PoolLoad } from './FleetView.js';
 import { FleetView } from './FleetView.js';
-import { PlacementLists } from './PlacementLists.js';
+import { PlacementCandidates } from './PlacementCandidates.js';
 import { poolLoadOf, poolLoadsOf } from './PoolLoads.js';
-import { RunnerBook } from './RunnerBook.js';
+import { RunnerIndex } from './RunnerIndex.js';
 
 /** What has changed; `gates` means that the gate of a runner or the home of a chat may have moved to another daemon. */
 export type FleetChange = 'members' | 'gates' | 'pools' | 'configuration' | 'runners';
@@ -56,7 +56,7 @@
 
   private readonly summaries = new Map<string, DataCentreSummary>();
 
-  private readonly runnerIndex = new RunnerBook();
+  private readonly runnerIndex = new RunnerIndex();
 
   private readonly listeners = new Set<FleetListener>();
 
@@ -73,7 +73,7 @@
   private policies = new Map<string, RoutingPolicy>();
 
   /** Built on first use, and discarded when a daemon comes, goes or moves. */
-  private placement: PlacementLists | undefined;
+  private placement: PlacementCandidates | undefined;
 
   private readonly gateCache = new Map<string, string | undefined>();
 
@@ -131,7 +131,7 @@
   }
 
   override runners(service: string): readonly FleetRunner[] {
-    return this.runnerIndex.of(service);
+    return this.runnerIndex.ofService(service);
   }
 
   /** @returns All runners of all services. */
@@ -244,7 +244,7 @@
   applyRunners(list: RunnerList, revision: number): void {
     if (revision < this.currentRunnersRevision) return;
     this.currentRunnersRevision = revision;
-    this.runnerIndex.replace(list.runners);
+    this.runnerIndex.replaceList(list.runners);
     this.gateCache.clear();
     this.notify('runners');
   }
@@ -257,7 +257,7 @@
    * @param state - the observed state; `leaving` is final for the incarnation.
    */
   reportRunner(runnerId: string, incarnation: bigint, state: RunnerState): void {
-    if (this.runnerIndex.report(runnerId, incarnation, state)) this.notify('runners');
+    if (this.runnerIndex.applyReport(runnerId, incarnation, state)) this.notify('runners');
   }
 
   /**
@@ -284,8 +284,8 @@
     return this.placementCandidates().pick(runnerId, region, dataCentre);
   }
 
-  private placementCandidates(): PlacementLists {
-    this.placement ??= new PlacementLists(this.memberById.values());
+  private placementCandidates(): PlacementCandidates {
+    this.placement ??= new PlacementCandidates(this.memberById.values());
     return this.placement;
   }
 
--- a/src/fleet/PlacementLists.ts
+++ b/src/fleet/PlacementCandidates.ts
@@ -20,7 +20,7 @@
 const ELIGIBLE_STATES: ReadonlySet<string> = new Set(['alive', 'suspect']);
 
 /** Holds the eligible daemons by location; rebuilt when a daemon comes, goes or moves. */
-export class PlacementLists {
+export class PlacementCandidates {
   private readonly byDataCentre = new Map<string, Candidate[]>();
 
   private readonly byRegion = new Map<string, Candidate[]>();
@@ -35,8 +35,8 @@
       if (!ELIGIBLE_STATES.has(state)) continue;
       const candidate = { id: daemonId };
       this.all.push(candidate);
-      PlacementLists.append(this.byRegion, region, candidate);
-      PlacementLists.append(this.byDataCentre, `${region}\n${dataCentre}`, candidate);
+      PlacementCandidates.append(this.byRegion, region, candidate);
+      PlacementCandidates.append(this.byDataCentre, `${region}\n${dataCentre}`, candidate);
     }
   }
 
--- a/src/fleet/RunnerBook.ts
+++ b/src/fleet/RunnerIndex.ts
@@ -18,7 +18,7 @@
 const MAXIMUM_REMEMBERED_LEAVING = 4_096;
 
 /** Indexes runners by name and by service. */
-export class RunnerBook {
+export class RunnerIndex {
   private byId = new Map<string, FleetRunner>();
 
   private byService = new Map<string, FleetRunner[]>();
@@ -36,7 +36,7 @@
    *
    * @param records - the records of all runners.
    */
-  replace(records: readonly RunnerRecord[]): void {
+  replaceList(records: readonly RunnerRecord[]): void {
     for (const { runnerId, state, incarnation } of records) {
       if (state === 'leaving') this.rememberLeaving(runnerId, incarnation);
     }
@@ -56,7 +56,7 @@
    * @param state - the observed state; `leaving` is final for the incarnation.
    * @returns Whether the runner's state changed.
    */
-  report(runnerId: string, incarnation: bigint, state: RunnerState): boolean {
+  applyReport(runnerId: string, incarnation: bigint, state: RunnerState): boolean {
     const runner = this.byId.get(runnerId);
     if (!runner || incarnation < runner.record.incarnation) return false;
     if (state === 'leaving') this.rememberLeaving(runnerId, incarnation);
@@ -98,7 +98,7 @@
    * @param service - the service's name.
    * @returns The service's runners in any state.
    */
-  of(service: string): readonly FleetRunner[] {
+  ofService(service: string): readonly FleetRunner[] {
     return this.byService.get(service) ?? [];
   }
 
--- a/src/forwarding/AnswerRelay.ts
+++ b/src/forwarding/AnswerRelay.ts
@@ -6,7 +6,7 @@
 import { passingHeaders } from './forwardedHeaders.js';
 
 /** An error answer that the daemon generates; it never has a runner's signature. */
-export interface OwnAnswer {
+export interface DaemonAnswer {
   readonly status: number;
   /** One-word reason for the caller and the log. */
   readonly reason: string;
@@ -15,7 +15,7 @@
 }
 
 /** A runner's answer that is buffered until it is complete. */
-export interface HeldAnswer {
+export interface BufferedAnswer {
   readonly answer: IncomingMessage;
   readonly chunks: Buffer[];
   bytes: number;
@@ -61,7 +61,7 @@
    *
    * @param own - status, reason and retry time.
    */
-  answerOwn(own: OwnAnswer): void {
+  sendDaemonAnswer(own: DaemonAnswer): void {
     if (this.done) return;
     this.done = true;
     if (this.hasHead) {
@@ -82,7 +82,7 @@
    *
    * @param held - buffered head and body.
    */
-  answerHeld({ answer, chunks, bytes }: HeldAnswer): void {
+  sendBuffered({ answer, chunks, bytes }: BufferedAnswer): void {
     if (this.done) return;
     this.done = true;
     const headers = passingHeaders(answer.rawHeaders, NOTHING);
--- a/src/forwarding/HeldAnswers.ts
+++ b/src/forwarding/BufferedAnswers.ts
@@ -4,7 +4,7 @@
  */
 import type { IncomingMessage } from 'node:http';
 
-import type { AnswerRelay, HeldAnswer } from './AnswerRelay.js';
+import type { AnswerRelay, BufferedAnswer } from './AnswerRelay.js';
 import type { RunnerAttempt } from './RunnerAttempt.js';
 
 /**
@@ -14,10 +14,10 @@
 const MAXIMUM_BUFFERED_BYTES = 262_144;
 
 /** Answers to one request, by attempt, that have not been sent to the caller yet. */
-export class HeldAnswers {
+export class BufferedAnswers {
   private readonly relay: AnswerRelay;
 
-  private readonly answersByAttempt = new Map<RunnerAttempt, HeldAnswer>();
+  private readonly answersByAttempt = new Map<RunnerAttempt, BufferedAnswer>();
 
   private passingAttempt: RunnerAttempt | undefined;
 
@@ -71,7 +71,7 @@
    * @param attempt - an attempt of the request.
    * @returns Its answer as far as it has arrived, or `undefined` before its head.
    */
-  of(attempt: RunnerAttempt): HeldAnswer | undefined {
+  of(attempt: RunnerAttempt): BufferedAnswer | undefined {
     return this.answersByAttempt.get(attempt);
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** Pauses the runner while the caller does not keep up; otherwise the whole answer would accumulate in memory. */
-  private pass({ answer }: HeldAnswer, chunks: readonly Buffer[]): void {
+  private pass({ answer }: BufferedAnswer, chunks: readonly Buffer[]): void {
     const keepsUp = chunks.map((chunk) => this.relay.pass(chunk)).every(Boolean);
     if (keepsUp) return;
     answer.pause();
--- a/src/forwarding/EventStreamCut.ts
+++ b/src/forwarding/EventStreamBuffer.ts
@@ -11,7 +11,7 @@
 const ID_FIELD = /^id: ?(.*)$/gmu;
 
 /** Accepts chunks of a stream and returns complete events. */
-export class EventStreamCut {
+export class EventStreamBuffer {
   private partialEvent: Buffer | undefined;
 
   private lastId: string | undefined;
--- a/src/forwarding/ForwardedRequest.ts
+++ b/src/forwarding/ForwardedRequest.ts
@@ -5,24 +5,24 @@
 import type { IncomingMessage } from 'node:http';
 
 import type { Choice } from '../runners/RunnerChoice.js';
-import type { AnswerRelay, HeldAnswer, OwnAnswer } from './AnswerRelay.js';
+import type { AnswerRelay, BufferedAnswer, DaemonAnswer } from './AnswerRelay.js';
 import type { AdmittedRequest, ForwardingContext } from './forwardingTypes.js';
-import { HeldAnswers } from './HeldAnswers.js';
-import { ownAnswerFor } from './ownAnswerFor.js';
+import { BufferedAnswers } from './BufferedAnswers.js';
+import { daemonAnswerFor } from './daemonAnswerFor.js';
 import { RequestRetries } from './RequestRetries.js';
 import type { AttemptVerdict } from './retryDecision.js';
 import type { AttemptFailure, RunnerAttempt } from './RunnerAttempt.js';
 import { AttemptObserver } from './RunnerAttempt.js';
-import { QuarantineGuard } from './QuarantineGuard.js';
+import { QuarantineSession } from './QuarantineSession.js';
 import { RequestReport } from './RequestReport.js';
 import { RequestTimer } from './RequestTimer.js';
-import { RunnerJudge } from './RunnerJudge.js';
+import { RunnerOutcomes } from './RunnerOutcomes.js';
 import { isEventStream, StreamedAnswer } from './StreamedAnswer.js';
 import { TriedRunners } from './TriedRunners.js';
 import type { EndEvent } from './RequestReport.js';
 import { requestDigest } from '../quarantine/requestDigest.js';
 import { createAttempt } from './createAttempt.js';
-import { nextCheck, quietAttempt, shouldHedge } from './patience.js';
+import { nextCheck, stalledAttempt, shouldHedge } from './waitLimits.js';
 
 const SERVER_ERROR = 500;
 
@@ -48,12 +48,12 @@
 
   private readonly tried = new TriedRunners();
 
-  private readonly bufferedAnswers: HeldAnswers;
+  private readonly bufferedAnswers: BufferedAnswers;
 
   private readonly stream: StreamedAnswer;
 
   /** Complete server error of a runner, sent to the caller if no other runner succeeds. */
-  private fallback: HeldAnswer | undefined;
+  private fallback: BufferedAnswer | undefined;
 
   /** Whether the selection of the next runner is in progress. */
   private isSelecting = false;
@@ -63,13 +63,13 @@
 
   private firstAnswerAt: number | undefined;
 
-  private readonly quarantine: QuarantineGuard;
+  private readonly quarantine: QuarantineSession;
 
   private readonly retries: RequestRetries;
 
   private readonly report: RequestReport;
 
-  private readonly outcomes: RunnerJudge;
+  private readonly outcomes: RunnerOutcomes;
 
   private readonly timer: RequestTimer;
 
@@ -82,19 +82,19 @@
     this.body = body;
     this.relay = relay;
     this.context = context;
-    this.bufferedAnswers = new HeldAnswers(relay);
+    this.bufferedAnswers = new BufferedAnswers(relay);
     this.stream = new StreamedAnswer(relay);
     this.timer = new RequestTimer({ clock: context.clock, onTime: () => this.check() });
     const digest = requestDigest({ ...request, body });
     this.report = new RequestReport({ request, context, digest });
-    this.quarantine = new QuarantineGuard({
+    this.quarantine = new QuarantineSession({
       quarantine: context.quarantine,
       digest,
       onQuarantined: () => this.onQuarantined(),
     });
     const { tried, quarantine, report } = this;
     this.retries = new RequestRetries({ request, context, tried, quarantine, report });
-    this.outcomes = new RunnerJudge({ context, report: this.report });
+    this.outcomes = new RunnerOutcomes({ context, report: this.report });
   }
 
   /** Sends the first attempt. */
@@ -169,7 +169,7 @@
     this.bufferedAnswers.drop(attempt);
     if (this.relay.isDone) return;
     this.outcomes.failed(attempt, failure);
-    this.tried.failedAt(attempt.runner.entry.life, failure);
+    this.tried.recordFailure(attempt.runner.entry.life, failure);
     this.quarantine.failed(attempt, failure);
     // The crash may have put the request into quarantine, which ends it.
     if (this.relay.isDone) return;
@@ -215,7 +215,7 @@
   private send(chosen: Choice): void {
     const { request, body, context, tried } = this;
     if (tried.count > 0) context.metrics.retries.increment();
-    tried.sentTo(chosen.runner.entry.life);
+    tried.recordAttempt(chosen.runner.entry.life);
     this.report.chosen(chosen);
     const resumesAfter = this.stream.lastEventId;
     const options = { chosen, request, body, context, tried, observer: this, resumesAfter };
@@ -227,14 +227,14 @@
   }
 
   private handleNoRunner(): void {
-    if (!this.fallback && this.tried.forgiveUnreached()) this.sendNext();
+    if (!this.fallback && this.tried.readmitUnreached()) this.sendNext();
     else this.giveUp(this.tried.mayHaveRun > 0 ? 'fail' : 'refuse');
   }
 
-  private answerBuffered(held: HeldAnswer): void {
+  private answerBuffered(held: BufferedAnswer): void {
     this.stopAttempts();
     this.firstAnswerAt ??= this.now();
-    this.relay.answerHeld(held);
+    this.relay.sendBuffered(held);
     this.end('answered', 'answered');
   }
 
@@ -243,7 +243,7 @@
    *
    * @returns Whether the request goes on; otherwise the error has to be sent to the caller.
    */
-  private retryAfterError(attempt: RunnerAttempt, held: HeldAnswer): boolean {
+  private retryAfterError(attempt: RunnerAttempt, held: BufferedAnswer): boolean {
     this.tried.mayHaveRun += 1;
     this.fallback = held;
     if (this.active.size > 0 || this.isSelecting) return true;
@@ -270,12 +270,12 @@
     const now = this.now();
     const isLate = now >= this.request.deadlineAt;
     const unavailability = this.context.unavailabilityOf(this.request, now);
-    this.endWith(ownAnswerFor({ verdict, failure, isLate, unavailability }));
+    this.endWith(daemonAnswerFor({ verdict, failure, isLate, unavailability }));
   }
 
-  private endWith(own: OwnAnswer): void {
+  private endWith(own: DaemonAnswer): void {
     this.stopAttempts();
-    this.relay.answerOwn(own);
+    this.relay.sendDaemonAnswer(own);
     this.end('notServed', own.reason);
   }
 
@@ -312,9 +312,9 @@
       return;
     }
     const progress = this.progress();
-    const stalled = quietAttempt(progress);
+    const stalled = stalledAttempt(progress);
     if (stalled) {
-      stalled.attempt.probe(() => quietAttempt(this.progress())?.ifAccepted ?? 'not_silent');
+      stalled.attempt.probe(() => stalledAttempt(this.progress())?.ifAccepted ?? 'not_silent');
     } else if (
       shouldHedge(progress) &&
       this.quarantine.mayHedge &&
--- a/src/forwarding/CallerFront.ts
+++ b/src/forwarding/ForwardingServer.ts
@@ -5,12 +5,12 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Server as PortServer, Socket } from 'node:net';
 
-import { listen, takeOver } from '../http/listen.js';
+import { listen, takeOverPort } from '../http/listen.js';
 import type { HostAndPort } from '../http/parseAddress.js';
 import type { CallerLimits } from '../routes/routeTypes.js';
 import { admitRequest } from './admitRequest.js';
 import { AnswerRelay } from './AnswerRelay.js';
-import type { OwnAnswer } from './AnswerRelay.js';
+import type { DaemonAnswer } from './AnswerRelay.js';
 import { forwardingLogEvents } from './forwardingFeature.js';
 import { ForwardedRequest } from './ForwardedRequest.js';
 import type { AdmittedRequest, ForwardingContext } from './forwardingTypes.js';
@@ -37,12 +37,12 @@
  */
 const CONFIGURATION_WAIT_MILLISECONDS = 200;
 
-const BODY_TOO_LARGE: OwnAnswer = { status: 413, reason: 'body_too_large' };
+const BODY_TOO_LARGE: DaemonAnswer = { status: 413, reason: 'body_too_large' };
 
 const BAD_REQUEST = '400 Bad Request';
 
 /** HTTP server with all connections from callers. */
-export class CallerFront {
+export class ForwardingServer {
   /** Number of requests whose answers are not complete. */
   inFlight = 0;
 
@@ -74,7 +74,7 @@
    * @returns Resolves once connections are accepted.
    */
   listen(address: HostAndPort, listener?: PortServer): Promise<unknown> {
-    if (listener) return takeOver(this.server, listener);
+    if (listener) return takeOverPort(this.server, listener);
     return listen(this.server, { ...address, backlog: LISTEN_BACKLOG });
   }
 
@@ -134,16 +134,20 @@
     request: IncomingMessage,
     response: ServerResponse,
     relay: AnswerRelay,
-    own: OwnAnswer,
+    own: DaemonAnswer,
   ): void {
     if (own.status === 413) response.shouldKeepAlive = false;
     request.resume();
     this.answerRejection(request, relay, own);
   }
 
-  private answerRejection({ headers }: IncomingMessage, relay: AnswerRelay, own: OwnAnswer): void {
+  private answerRejection(
+    { headers }: IncomingMessage,
+    relay: AnswerRelay,
+    own: DaemonAnswer,
+  ): void {
     const { status, reason } = own;
-    relay.answerOwn(own);
+    relay.sendDaemonAnswer(own);
     const { metrics, log, protocol, routes } = this.context;
     metrics.requests.increment({ route: 'none', outcome: reason });
     log.write(forwardingLogEvents.rejected, {
--- a/src/forwarding/LinkCheck.ts
+++ b/src/forwarding/LinkCheck.ts
@@ -24,14 +24,14 @@
 }
 
 /** Called with whether the runner is unresponsive while others are not; `false` also if that could not be determined. */
-export type DarkListener = (isDark: boolean) => void;
+export type LinkCheckListener = (isDark: boolean) => void;
 
 /** Number of reference runners that are probed at once; with a single one, its own failure would look like a failed link. */
 const REFERENCE_RUNNERS = 3;
 
 interface Check {
   /** Runners whose state the check has to determine. */
-  readonly asked: { readonly suspect: Runner; readonly done: DarkListener }[];
+  readonly asked: { readonly suspect: Runner; readonly done: LinkCheckListener }[];
   /** Reference runners whose probe has no result yet. */
   readonly pending: Set<Runner>;
 }
@@ -71,7 +71,7 @@
    * @param suspect - runner that did not accept a connection.
    * @param done - called once with the result, possibly at once.
    */
-  ask(suspect: Runner, done: DarkListener): void {
+  ask(suspect: Runner, done: LinkCheckListener): void {
     this.recordMissed(suspect);
     if (this.underWay) {
       this.underWay.asked.push({ suspect, done });
--- a/src/forwarding/QuarantineGuard.ts
+++ b/src/forwarding/QuarantineSession.ts
@@ -3,7 +3,7 @@
  * from which the quarantine recognises requests that crash runners.
  */
 import type { QuarantineListener, RequestQuarantine } from '../quarantine/RequestQuarantine.js';
-import type { OwnAnswer } from './AnswerRelay.js';
+import type { DaemonAnswer } from './AnswerRelay.js';
 import type { AttemptFailure, RunnerAttempt } from './RunnerAttempt.js';
 
 /** `Retry-After` while the same suspect request is in progress, in seconds; it is answered, or crashes its runner, within
@@ -13,8 +13,8 @@
 /** A runner's answer after the deadline has passed; the request may not have reached the point that crashes the runner. */
 const GATEWAY_TIMEOUT = 504;
 
-/** Options of a {@link QuarantineGuard}. */
-export interface QuarantineGuardOptions {
+/** Options of a {@link QuarantineSession}. */
+export interface QuarantineSessionOptions {
   quarantine: RequestQuarantine;
   /** Digest of the request. */
   digest: string;
@@ -23,7 +23,7 @@
 }
 
 /** Quarantine state of one request. */
-export class QuarantineGuard {
+export class QuarantineSession {
   /** Digest of the request; the same each time the caller sends it. */
   readonly digest: string;
 
@@ -34,7 +34,7 @@
   /**
    * @param options - the quarantine and the digest of the request.
    */
-  constructor({ quarantine, digest, onQuarantined }: QuarantineGuardOptions) {
+  constructor({ quarantine, digest, onQuarantined }: QuarantineSessionOptions) {
     this.quarantine = quarantine;
     this.digest = digest;
     this.onQuarantined = onQuarantined;
@@ -56,7 +56,7 @@
    *
    * @returns The refusal of a request that may not run now, or `undefined` if it has begun.
    */
-  begin(): OwnAnswer | undefined {
+  begin(): DaemonAnswer | undefined {
     const { quarantine, digest } = this;
     const standing = quarantine.standingOf(digest);
     if (standing === 'quarantined') return this.refusal;
@@ -69,7 +69,7 @@
   }
 
   /** @returns The refusal of a request in quarantine that no runner has received. */
-  get refusal(): OwnAnswer {
+  get refusal(): DaemonAnswer {
     const retryAfterSeconds = this.quarantine.retryAfterSeconds(this.digest);
     return { status: 503, reason: 'quarantined', retryAfterSeconds };
   }
--- a/src/forwarding/RequestRetries.ts
+++ b/src/forwarding/RequestRetries.ts
@@ -2,8 +2,8 @@
  * Decides whether one request may be retried at another runner.
  */
 import type { AdmittedRequest, ForwardingContext } from './forwardingTypes.js';
-import type { QuarantineGuard } from './QuarantineGuard.js';
-import { decideRetry, decideSecondOpinion } from './retryDecision.js';
+import type { QuarantineSession } from './QuarantineSession.js';
+import { decideRetry, decideRetryAfterError } from './retryDecision.js';
 import type { RetryDecision } from './retryDecision.js';
 import type { RequestReport } from './RequestReport.js';
 import type { AttemptFailure, RunnerAttempt } from './RunnerAttempt.js';
@@ -14,7 +14,7 @@
   request: AdmittedRequest;
   context: Pick<ForwardingContext, 'clock' | 'budget'>;
   tried: TriedRunners;
-  quarantine: QuarantineGuard;
+  quarantine: QuarantineSession;
   report: Pick<RequestReport, 'runnersError'>;
 }
 
@@ -59,7 +59,7 @@
   afterError(attempt: RunnerAttempt, status: number): boolean {
     const { request, tried, report } = this.options;
     const { route, deadlineAt } = request;
-    const decided = decideSecondOpinion({
+    const decided = decideRetryAfterError({
       kind: route.kind,
       resumable: route.resumable,
       mayHaveRun: tried.mayHaveRun,
--- a/src/forwarding/RunnerAttempt.ts
+++ b/src/forwarding/RunnerAttempt.ts
@@ -8,11 +8,11 @@
 import type { Runner } from '../runners/Runner.js';
 import type { Clock } from '../time/Clock.js';
 import type { LinkCheck } from './LinkCheck.js';
-import { isRunnersError, probeRunner } from './probeRunner.js';
+import { isRemoteError, probeRunner } from './probeRunner.js';
 import type { ProbeResult } from './probeRunner.js';
 import type { RunnerAgent } from './RunnerAgent.js';
 import type { RunnerProtocol } from './RunnerProtocol.js';
-import type { RunnerStatements } from './RunnerStatements.js';
+import type { RunnerNotices } from './RunnerNotices.js';
 
 /**
  * How an attempt failed.
@@ -31,7 +31,7 @@
  * runner may take over; `wait`: give up only if the runner accepts no connection; `give_up`: the request has waited too
  * long, even if the runner accepts connections.
  */
-export type SilenceQuestion = () => 'not_silent' | 'wait' | 'give_up';
+export type StallCheck = () => 'not_silent' | 'wait' | 'give_up';
 
 /** Receives the events of an attempt. `ended` or `failed` is the last one. */
 export abstract class AttemptObserver {
@@ -56,7 +56,7 @@
   protocol: RunnerProtocol;
   clock: Clock;
   /** Receives the head of each answer, which may contain the runner's shutdown notice or `Retry-After`. */
-  statements: Pick<RunnerStatements, 'take'>;
+  statements: Pick<RunnerNotices, 'take'>;
   /** Distinguishes an unresponsive runner from a saturated network link of this daemon. */
   link: Pick<LinkCheck, 'ask' | 'accepted'>;
   /** Timeout for opening a new connection, in ms. */
@@ -141,14 +141,14 @@
    *
    * @param checkStall - re-evaluates the request when the result of a probe is known, since data may have arrived.
    */
-  probe(checkStall: SilenceQuestion): void {
+  probe(checkStall: StallCheck): void {
     // Until the attempt is connected, the connect timeout applies and the request has not run.
     if (this.probing || !this.connected) return;
     this.probing = true;
     probeRunner(this.runner, (result) => this.handleProbeResult(result, checkStall));
   }
 
-  private handleProbeResult(result: ProbeResult, checkStall: SilenceQuestion): void {
+  private handleProbeResult(result: ProbeResult, checkStall: StallCheck): void {
     const { link, clock } = this.options;
     if (result === 'no_answer') {
       link.ask(this.runner, (isUnresponsive) =>
@@ -162,7 +162,7 @@
     else this.runner.lastHeardAt = clock.monotonicMilliseconds();
   }
 
-  private handleLinkCheckResult(isUnresponsive: boolean, checkStall: SilenceQuestion): void {
+  private handleLinkCheckResult(isUnresponsive: boolean, checkStall: StallCheck): void {
     this.probing = false;
     if (isUnresponsive && checkStall() !== 'not_silent') this.fail('silent');
   }
@@ -204,7 +204,7 @@
   /** A local error of this instance must not count against the runner, or every runner would look unresponsive in turn. */
   private failureOf({ code }: NodeJS.ErrnoException): AttemptFailure {
     if (this.connected) return 'broken';
-    return isRunnersError(code) ? 'not_connected' : 'connect_timeout';
+    return isRemoteError(code) ? 'not_connected' : 'connect_timeout';
   }
 
   private onConnect(): void {
--- a/src/forwarding/RunnerStatements.spec.ts
+++ b/src/forwarding/RunnerNotices.spec.ts
@@ -6,7 +6,7 @@
 import { Runner } from '../runners/Runner.js';
 import { TEST_RUNNER } from '../runners/testRunner.js';
 import { ManualClock } from '../time/ManualClock.js';
-import { RunnerStatements } from './RunnerStatements.js';
+import { RunnerNotices } from './RunnerNotices.js';
 import { TestProtocol } from './testProtocol.js';
 
 const RUNNER = new Runner(TEST_RUNNER);
@@ -16,7 +16,7 @@
 
 function reportsLeaving(statusCode: number, headers: Record<string, string>): boolean {
   let isLeaving = false;
-  const statements = new RunnerStatements({
+  const statements = new RunnerNotices({
     protocol: new TestProtocol(),
     clock: new ManualClock(),
     log: new SilentLog(),
@@ -28,7 +28,7 @@
   return isLeaving;
 }
 
-describe(RunnerStatements.name, () => {
+describe(RunnerNotices.name, () => {
   it('accepts a shutdown notice in an answer of any status that the runner itself sent', () => {
     for (const status of [200, 206, 400, 404, 429, 500, 503, 504]) {
       expect(reportsLeaving(status, { ...LEAVING, ...SIGNED })).toEqual(true);
@@ -44,7 +44,7 @@
       const runner = new Runner(RUNNER.entry);
       const protocol = new TestProtocol();
       const log = new SilentLog();
-      const statements = new RunnerStatements({ protocol, clock, log, onLeaving: () => undefined });
+      const statements = new RunnerNotices({ protocol, clock, log, onLeaving: () => undefined });
       statements.take(runner, { statusCode, headers });
       return runner.pausedUntil;
     };
--- a/src/forwarding/RunnerStatements.ts
+++ b/src/forwarding/RunnerNotices.ts
@@ -7,7 +7,7 @@
 import type { Log } from '../logging/Log.js';
 import type { Runner } from '../runners/Runner.js';
 import type { Clock } from '../time/Clock.js';
-import { askedPause } from './askedPause.js';
+import { parseRetryAfter } from './parseRetryAfter.js';
 import { forwardingLogEvents } from './forwardingFeature.js';
 import type { RunnerProtocol } from './RunnerProtocol.js';
 
@@ -23,8 +23,8 @@
 /** The head of an answer. */
 type AnswerHead = Pick<IncomingMessage, 'statusCode' | 'headers'>;
 
-/** Options of {@link RunnerStatements}. */
-export interface RunnerStatementsOptions {
+/** Options of {@link RunnerNotices}. */
+export interface RunnerNoticesOptions {
   protocol: RunnerProtocol;
   clock: Clock;
   log: Log;
@@ -33,13 +33,13 @@
 }
 
 /** Processes the head of each answer as soon as it has arrived. */
-export class RunnerStatements {
-  private readonly options: RunnerStatementsOptions;
+export class RunnerNotices {
+  private readonly options: RunnerNoticesOptions;
 
   /**
    * @param options - protocol, clock, log and callback.
    */
-  constructor(options: RunnerStatementsOptions) {
+  constructor(options: RunnerNoticesOptions) {
     this.options = options;
   }
 
@@ -61,7 +61,7 @@
 
   private applyPause(runner: Runner, retryAfter: string): void {
     const { clock, log } = this.options;
-    const { milliseconds, isCorrected } = askedPause(retryAfter);
+    const { milliseconds, isCorrected } = parseRetryAfter(retryAfter);
     const until = clock.monotonicMilliseconds() + milliseconds;
     runner.pauseUntil(until);
     const { id, service } = runner.entry;
--- a/src/forwarding/RunnerJudge.ts
+++ b/src/forwarding/RunnerOutcomes.ts
@@ -26,20 +26,20 @@
 /** A runner's answer after the deadline has passed; it does not count as a failure of the runner. */
 const GATEWAY_TIMEOUT = 504;
 
-/** Options of a {@link RunnerJudge}. */
-export interface RunnerJudgeOptions {
+/** Options of a {@link RunnerOutcomes}. */
+export interface RunnerOutcomesOptions {
   context: Pick<ForwardingContext, 'clock' | 'link'>;
   report: Pick<RequestReport, 'runnerPaused'>;
 }
 
 /** Records the outcomes of one request, and reports the runners that are ejected as a result. */
-export class RunnerJudge {
-  private readonly options: RunnerJudgeOptions;
+export class RunnerOutcomes {
+  private readonly options: RunnerOutcomesOptions;
 
   /**
    * @param options - clock, the check of the daemon's network link, and the report of the request.
    */
-  constructor(options: RunnerJudgeOptions) {
+  constructor(options: RunnerOutcomesOptions) {
     this.options = options;
   }
 
--- a/src/forwarding/SharedRetryBudget.spec.ts
+++ b/src/forwarding/SharedRetryBudget.spec.ts
@@ -5,7 +5,7 @@
 import { SharedRetryBudget } from './SharedRetryBudget.js';
 import type { SharedRetryBudgetOptions } from './SharedRetryBudget.js';
 import type { FleetTrouble, ServiceFailure } from './testRetryFleet.js';
-import { playRetries, RETRY_FLEETS, RETRY_WINDOW_MILLISECONDS } from './testRetryFleet.js';
+import { simulateRetries, RETRY_FLEETS, RETRY_WINDOW_MILLISECONDS } from './testRetryFleet.js';
 
 const LIMITS = {
   ratio: 0.2,
@@ -39,7 +39,7 @@
         ),
       );
       const broken = plays.flatMap((play) => {
-        const { excess } = playRetries(play);
+        const { excess } = simulateRetries(play);
         return excess > 0 ? [`${play.daemons} ${play.trouble} ${play.failure}: ${excess}`] : [];
       });
       expect(broken).toEqual([]);
@@ -76,7 +76,7 @@
 
   it('allows nearly all retries if one request in ten fails, in a fleet of any size', () => {
     const plays = RETRY_FLEETS.map((fleet) =>
-      playRetries({ ...fleet, trouble: 'none', failure: 'some', createAccount }),
+      simulateRetries({ ...fleet, trouble: 'none', failure: 'some', createAccount }),
     );
     const shares = plays.map(({ granted, wanted }) => granted / wanted);
     expect(Math.min(...shares) > 0.95).toEqual(true);
--- a/src/forwarding/SharedRetryBudget.ts
+++ b/src/forwarding/SharedRetryBudget.ts
@@ -9,7 +9,7 @@
  * every retry of the fleet in a window was earned within that window, or was in a bucket at its start. A restarted
  * process begins with an empty bucket, so the sum stays below the limit over any number of restarts.
  */
-import { dropBefore } from '../time/dropBefore.js';
+import { dropTimesBefore } from '../time/dropTimesBefore.js';
 
 /** Options of a {@link SharedRetryBudget}. */
 export interface SharedRetryBudgetOptions {
@@ -131,8 +131,8 @@
   private bucketOf(service: string, now: number): Bucket {
     const bucket = this.services.get(service) ?? this.createBucket(service);
     const start = now - this.options.windowMilliseconds;
-    dropBefore(bucket.requests, start);
-    dropBefore(bucket.retries, start);
+    dropTimesBefore(bucket.requests, start);
+    dropTimesBefore(bucket.retries, start);
     bucket.tokens = Math.min(bucket.tokens, this.capacityOf(bucket));
     return bucket;
   }
--- a/src/forwarding/StreamedAnswer.ts
+++ b/src/forwarding/StreamedAnswer.ts
@@ -5,7 +5,7 @@
 import type { IncomingMessage } from 'node:http';
 
 import type { AnswerRelay } from './AnswerRelay.js';
-import { EventStreamCut } from './EventStreamCut.js';
+import { EventStreamBuffer } from './EventStreamBuffer.js';
 import type { RunnerAttempt } from './RunnerAttempt.js';
 
 const SUCCESS = 200;
@@ -24,7 +24,7 @@
 export class StreamedAnswer {
   private readonly relay: AnswerRelay;
 
-  private readonly cut = new EventStreamCut();
+  private readonly cut = new EventStreamBuffer();
 
   private attempt: RunnerAttempt | undefined;
 
--- a/src/forwarding/TriedRunners.ts
+++ b/src/forwarding/TriedRunners.ts
@@ -68,7 +68,7 @@
    *
    * @param life - incarnation of the runner that gets the request.
    */
-  sentTo(life: string): void {
+  recordAttempt(life: string): void {
     this.count += 1;
     this.asked.add(life);
   }
@@ -79,7 +79,7 @@
    * @param life - incarnation of the runner.
    * @param failure - kind of failure.
    */
-  failedAt(life: string, failure: AttemptFailure): void {
+  recordFailure(life: string, failure: AttemptFailure): void {
     if (failure === 'broken') this.needsNewConnection = true;
     if (NOT_RUN.has(failure)) this.notRun += 1;
     else this.mayHaveRun += 1;
@@ -94,7 +94,7 @@
    *
    * @returns Whether there are such runners and the request may have run.
    */
-  forgiveUnreached(): boolean {
+  readmitUnreached(): boolean {
     const needsOne = this.mayHaveRun > 0 && this.unreached.size > 0;
     if (needsOne) this.unreached.clear();
     return needsOne;
--- a/src/forwarding/admitRequest.ts
+++ b/src/forwarding/admitRequest.ts
@@ -3,17 +3,17 @@
  */
 import type { IncomingMessage } from 'node:http';
 
-import { homesOf } from '../routes/homes.js';
+import { homeRegionsOf } from '../routes/homeRegions.js';
 import { RouteTable } from '../routes/RouteTable.js';
 import type { ClientAccount, Route } from '../routes/routeTypes.js';
-import type { OwnAnswer } from './AnswerRelay.js';
+import type { DaemonAnswer } from './AnswerRelay.js';
 import { passingHeaders } from './forwardedHeaders.js';
 import type { AdmittedRequest, ForwardingContext } from './forwardingTypes.js';
 
 /** The admitted request, or the error answer to a rejected one. */
 export type Admission =
   | { readonly kind: 'admitted'; readonly request: AdmittedRequest }
-  | { readonly kind: 'rejected'; readonly own: OwnAnswer };
+  | { readonly kind: 'rejected'; readonly own: DaemonAnswer };
 
 /** Share of a runner's connections that the daemons use; the rest is a margin, as a daemon may know of too few others. */
 const CONNECTION_SHARE = 0.8;
@@ -143,7 +143,7 @@
   if (!route) return rejected(404, 'no_route');
   const account = table.accountOf(firstValue(headers[names.key]) ?? '');
   if (table.requiresKeys && !route.anonymous && !account) return rejected(401, 'unknown_key');
-  const homeRegions = homesOf(route, account);
+  const homeRegions = homeRegionsOf(route, account);
   if (homeRegions?.length === 0)
     return rejected(503, 'no_common_home', NO_COMMON_HOME_RETRY_SECONDS);
   const deadline = Number.parseFloat(firstValue(headers[names.deadline]) ?? '');
--- a/src/forwarding/attemptHeaders.ts
+++ b/src/forwarding/attemptHeaders.ts
@@ -6,7 +6,7 @@
 import type { HeaderNames } from './RunnerProtocol.js';
 
 /** Options of {@link attemptHeaders}. */
-export interface AttemptHeadersQuestion {
+export interface AttemptHeadersOptions {
   readonly request: AdmittedRequest;
   readonly names: HeaderNames;
   readonly runnerId: string;
@@ -29,7 +29,7 @@
   return kept;
 }
 
-function hasBody({ request, body }: AttemptHeadersQuestion): boolean {
+function hasBody({ request, body }: AttemptHeadersOptions): boolean {
   return body !== undefined || request.method === 'POST' || request.method === 'PUT';
 }
 
@@ -37,7 +37,7 @@
  * @param options - the request and its runner.
  * @returns Flat list of alternating names and values.
  */
-export function attemptHeaders(options: AttemptHeadersQuestion): string[] {
+export function attemptHeaders(options: AttemptHeadersOptions): string[] {
   const { request, names, runnerId, cacheSource, remainingMilliseconds } = options;
   const { body, resumesAfter } = options;
   const deadline = Math.max(1, Math.floor(remainingMilliseconds));
--- a/src/forwarding/ownAnswerFor.ts
+++ b/src/forwarding/daemonAnswerFor.ts
@@ -2,7 +2,7 @@
  * Builds the daemon's error answer to a request that no runner has answered.
  */
 import type { Unavailability } from '../runners/unavailability.js';
-import type { OwnAnswer } from './AnswerRelay.js';
+import type { DaemonAnswer } from './AnswerRelay.js';
 import type { AttemptFailure } from './RunnerAttempt.js';
 
 /** Minimum `Retry-After`, in seconds; a slot at a runner becomes free within about this time. */
@@ -12,8 +12,8 @@
 const ROUNDING_MILLISECONDS = 100;
 const ROUNDING_STEPS_PER_SECOND = 10;
 
-/** Input of {@link ownAnswerFor}. */
-export interface OwnAnswerQuestion {
+/** Input of {@link daemonAnswerFor}. */
+export interface DaemonAnswerInput {
   /** `refuse`: no runner has run the request, and none will; `fail`: a runner may have run it. */
   readonly verdict: 'refuse' | 'fail';
   /** Failure of the last attempt; `undefined` if no runner was left for another attempt. */
@@ -28,7 +28,7 @@
  * @param question - state of the request.
  * @returns Answer for the caller.
  */
-export function ownAnswerFor(question: OwnAnswerQuestion): OwnAnswer {
+export function daemonAnswerFor(question: DaemonAnswerInput): DaemonAnswer {
   const { verdict, failure, isLate, unavailability } = question;
   const { reason: unavailable, pauseMilliseconds = 0 } = unavailability;
   const reason = failure ?? unavailable;
--- a/src/forwarding/decisions.spec.ts
+++ b/src/forwarding/decisions.spec.ts
@@ -2,14 +2,14 @@
 
 import { expect } from 'earl';
 
-import { EventStreamCut } from './EventStreamCut.js';
+import { EventStreamBuffer } from './EventStreamBuffer.js';
 import { passingHeaders } from './forwardedHeaders.js';
-import type { NoRetryReason, RetryQuestion, RetryVerdict } from './retryDecision.js';
+import type { NoRetryReason, RetryInput, RetryVerdict } from './retryDecision.js';
 import { decideRetry } from './retryDecision.js';
 import { SharedRetryBudget } from './SharedRetryBudget.js';
 
 describe('decideRetry', () => {
-  const base: RetryQuestion = {
+  const base: RetryInput = {
     kind: 'idempotent',
     resumable: false,
     failure: 'broken',
@@ -20,7 +20,7 @@
     takeBudget: () => true,
   };
 
-  const cases: readonly [string, Partial<RetryQuestion>, RetryVerdict, NoRetryReason?][] = [
+  const cases: readonly [string, Partial<RetryInput>, RetryVerdict, NoRetryReason?][] = [
     ['an idempotent request whose connection broke', {}, 'retry'],
     ['one whose attempts are used up', { mayHaveRun: 2 }, 'fail', 'attempts_used_up'],
     ['one without budget', { takeBudget: () => false }, 'fail', 'budget_empty'],
@@ -108,7 +108,7 @@
 
   it('returns the same bytes however they are split, and only complete events', () => {
     for (let cut = 1; cut < events.length; cut += 1) {
-      const stream = new EventStreamCut();
+      const stream = new EventStreamBuffer();
       const parts = [events.slice(0, cut), events.slice(cut)].map((part) =>
         stream.push(Buffer.from(part)),
       );
@@ -120,7 +120,7 @@
   });
 
   it('drops the incomplete event of a runner whose stream broke off', () => {
-    const stream = new EventStreamCut();
+    const stream = new EventStreamBuffer();
     stream.push(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: ha'));
     stream.drop();
     expect(stream.push(Buffer.from('id: 2\ndata: b\n\n'))?.toString()).toEqual(
--- a/src/forwarding/forwardingTypes.ts
+++ b/src/forwarding/forwardingTypes.ts
@@ -3,7 +3,7 @@
  */
 import type { Log } from '../logging/Log.js';
 import type { RequestQuarantine } from '../quarantine/RequestQuarantine.js';
-import type { HomeRegions } from '../routes/homes.js';
+import type { HomeRegions } from '../routes/homeRegions.js';
 import type { RouteTable } from '../routes/RouteTable.js';
 import type { Route } from '../routes/routeTypes.js';
 import type { RunnerSelector } from '../runners/RunnerSelector.js';
@@ -13,7 +13,7 @@
 import type { LinkCheck } from './LinkCheck.js';
 import type { RunnerConnections } from './RunnerConnections.js';
 import type { RunnerProtocol } from './RunnerProtocol.js';
-import type { RunnerStatements } from './RunnerStatements.js';
+import type { RunnerNotices } from './RunnerNotices.js';
 import type { SharedRetryBudget } from './SharedRetryBudget.js';
 
 /** Dependencies and state that all requests of a daemon share. */
@@ -27,7 +27,7 @@
   readonly budget: SharedRetryBudget;
   readonly link: LinkCheck;
   readonly quarantine: RequestQuarantine;
-  readonly statements: RunnerStatements;
+  readonly statements: RunnerNotices;
   /** Determines why no runner can take a request. `now` is in monotonic ms. */
   readonly unavailabilityOf: (
     request: Pick<AdmittedRequest, 'service' | 'homeRegions'>,
--- a/src/forwarding/askedPause.spec.ts
+++ b/src/forwarding/parseRetryAfter.spec.ts
@@ -2,12 +2,12 @@
 
 import { expect } from 'earl';
 
-import { askedPause } from './askedPause.js';
+import { parseRetryAfter } from './parseRetryAfter.js';
 
-describe(askedPause.name, () => {
+describe(parseRetryAfter.name, () => {
   it('accepts whole and fractional seconds', () => {
     const texts = ['0', '4', ' 2 ', '0.25', '60'];
-    const pauses = texts.map((text) => askedPause(text));
+    const pauses = texts.map((text) => parseRetryAfter(text));
     expect(pauses.map(({ milliseconds }) => milliseconds)).toEqual([0, 4_000, 2_000, 250, 60_000]);
     expect(pauses.some(({ isCorrected }) => isCorrected)).toEqual(false);
   });
@@ -23,8 +23,8 @@
       'Wed, 21 Oct 2026 07:28:00 GMT',
     ];
     for (const text of unreadable) {
-      expect(askedPause(text)).toEqual({ milliseconds: 1_000, isCorrected: true });
+      expect(parseRetryAfter(text)).toEqual({ milliseconds: 1_000, isCorrected: true });
     }
-    expect(askedPause('86400')).toEqual({ milliseconds: 60_000, isCorrected: true });
+    expect(parseRetryAfter('86400')).toEqual({ milliseconds: 60_000, isCorrected: true });
   });
 });
--- a/src/forwarding/askedPause.ts
+++ b/src/forwarding/parseRetryAfter.ts
@@ -3,7 +3,7 @@
  */
 
 /** How long to send the runner no requests, and whether this differs from the value of the header. */
-export interface AskedPause {
+export interface RetryAfterPause {
   readonly milliseconds: number;
   readonly isCorrected: boolean;
 }
@@ -22,7 +22,7 @@
  * @param value - value of the header.
  * @returns The pause, from 0 to the maximum.
  */
-export function askedPause(value: string): AskedPause {
+export function parseRetryAfter(value: string): RetryAfterPause {
   const trimmed = value.trim();
   if (!SECONDS_PATTERN.test(trimmed))
     return { milliseconds: UNREADABLE_PAUSE_MILLISECONDS, isCorrected: true };
--- a/src/forwarding/probeRunner.ts
+++ b/src/forwarding/probeRunner.ts
@@ -33,7 +33,7 @@
  * @param code - error code of a connection to a runner.
  * @returns Whether the runner's instance caused the error, rather than this one.
  */
-export function isRunnersError(code: string | undefined): boolean {
+export function isRemoteError(code: string | undefined): boolean {
   return code !== undefined && code in RESULT_BY_ERROR_CODE;
 }
 
--- a/src/forwarding/retryDecision.ts
+++ b/src/forwarding/retryDecision.ts
@@ -29,7 +29,7 @@
 }
 
 /** Input of {@link decideRetry}. */
-export interface RetryQuestion {
+export interface RetryInput {
   readonly kind: CallKind;
   readonly resumable: boolean;
   readonly failure: AttemptFailure;
@@ -65,7 +65,7 @@
  * so it is retried until its deadline. Otherwise a stream that may have run would end without an answer after half a
  * second, because no runner accepts a connection while this daemon's network link is saturated.
  */
-function hasExhaustedRunners(question: RetryQuestion): boolean {
+function hasExhaustedRunners(question: RetryInput): boolean {
   const { failure, mayHaveRun, notRun, hasFallback = false } = question;
   if (notRun < MAXIMUM_NOT_RUN) return false;
   return failure === 'refused' || mayHaveRun === 0 || hasFallback;
@@ -80,7 +80,7 @@
   return kind === 'idempotent' || (kind === 'stream' && resumable);
 }
 
-function noRetryReason(question: RetryQuestion): NoRetryReason | undefined {
+function noRetryReason(question: RetryInput): NoRetryReason | undefined {
   const { kind, resumable, failure, mayHaveRun, maximumAttempts } = question;
   if (question.remainingMilliseconds < MINIMUM_REMAINING_MILLISECONDS) return 'no_time';
   if (hasExhaustedRunners(question)) return 'too_many_not_run';
@@ -93,13 +93,13 @@
   return question.takeBudget() ? undefined : 'budget_empty';
 }
 
-/** Input of {@link decideSecondOpinion}. */
-export type ErrorQuestion = Pick<
-  RetryQuestion,
+/** Input of {@link decideRetryAfterError}. */
+export type ErrorRetryInput = Pick<
+  RetryInput,
   'kind' | 'resumable' | 'mayHaveRun' | 'maximumAttempts' | 'remainingMilliseconds' | 'takeBudget'
 >;
 
-function noErrorRetryReason(question: ErrorQuestion): NoRetryReason | undefined {
+function noErrorRetryReason(question: ErrorRetryInput): NoRetryReason | undefined {
   if (!isRepeatable(question.kind, question.resumable)) return 'not_repeatable';
   if (question.mayHaveRun >= question.maximumAttempts) return 'attempts_used_up';
   if (question.remainingMilliseconds <= 0) return 'no_time';
@@ -110,7 +110,7 @@
  * @param question - request that a runner has answered with a server error.
  * @returns Whether to retry the request at another runner, and if not, why.
  */
-export function decideSecondOpinion(question: ErrorQuestion): RetryDecision {
+export function decideRetryAfterError(question: ErrorRetryInput): RetryDecision {
   const reason = noErrorRetryReason(question);
   return reason === undefined ? { verdict: 'retry' } : { verdict: 'fail', reason };
 }
@@ -119,7 +119,7 @@
  * @param question - request and the failure of its last attempt.
  * @returns Whether to retry the request, and if not, why.
  */
-export function decideRetry(question: RetryQuestion): RetryDecision {
+export function decideRetry(question: RetryInput): RetryDecision {
   const reason = noRetryReason(question);
   if (reason === undefined) return { verdict: 'retry' };
   return { verdict: question.mayHaveRun > 0 ? 'fail' : 'refuse', reason };
--- a/src/forwarding/testRequest.ts
+++ b/src/forwarding/testRequest.ts
@@ -28,7 +28,7 @@
 import { LinkCheck } from './LinkCheck.js';
 import { RunnerAgent } from './RunnerAgent.js';
 import { RunnerConnections } from './RunnerConnections.js';
-import { RunnerStatements } from './RunnerStatements.js';
+import { RunnerNotices } from './RunnerNotices.js';
 import { SharedRetryBudget } from './SharedRetryBudget.js';
 import { HangingPort } from './testHangingPort.js';
 import { TestProtocol } from './testProtocol.js';
@@ -159,7 +159,7 @@
       metrics,
       link: new LinkCheck({ runners: () => runners.list(), clock, log, metrics }),
       selector: new LocalSelector(choice),
-      statements: new RunnerStatements({
+      statements: new RunnerNotices({
         protocol: new TestProtocol(),
         clock,
         log,
--- a/src/forwarding/testRetryFleet.ts
+++ b/src/forwarding/testRetryFleet.ts
@@ -35,7 +35,7 @@
 /** How requests fail. `some`: one in ten; `most`: nearly all; `bursts`: repeatedly, all that are in progress at one moment. */
 export type ServiceFailure = 'some' | 'most' | 'bursts';
 
-/** Options of {@link playRetries}. */
+/** Options of {@link simulateRetries}. */
 export interface RetryFleetOptions {
   daemons: number;
   trouble: FleetTrouble;
@@ -311,7 +311,7 @@
  * @param options - the fleet, its disruption, and the retry budget of each process.
  * @returns The retries that were wanted and granted, and the excess over the limit.
  */
-export function playRetries({
+export function simulateRetries({
   seed = 1,
   requestsPerSecond = 9,
   ratio = 0.2,
--- a/src/forwarding/patience.spec.ts
+++ b/src/forwarding/waitLimits.spec.ts
@@ -3,20 +3,24 @@
 import { expect } from 'earl';
 
 import type { AdmittedRequest } from './forwardingTypes.js';
-import type { PatienceView } from './patience.js';
-import { nextCheck, quietAttempt, shouldHedge } from './patience.js';
+import type { RequestProgress } from './waitLimits.js';
+import { nextCheck, stalledAttempt, shouldHedge } from './waitLimits.js';
 import type { RunnerAttempt } from './RunnerAttempt.js';
 
 /** When the last event arrived, monotonic ms. */
 const LAST_EVENT_AT = 1_000;
 
-interface ProgressChanges extends Partial<Omit<PatienceView, 'request' | 'attempts'>> {
+interface ProgressChanges extends Partial<Omit<RequestProgress, 'request' | 'attempts'>> {
   route?: object;
   /** When the runner last sent data for any request, monotonic ms. */
   heardAt?: number;
 }
 
-function progressOf({ route = {}, heardAt = 0, ...changes }: ProgressChanges = {}): PatienceView {
+function progressOf({
+  route = {},
+  heardAt = 0,
+  ...changes
+}: ProgressChanges = {}): RequestProgress {
   const common = { kind: 'stream', resumable: true, maximumAttempts: 2 };
   const request = {
     route: { ...common, targetLatencyMilliseconds: 1_000, ...route },
@@ -37,7 +41,7 @@
 }
 
 function actionAt(quiet: number, changes: ProgressChanges = {}): string | undefined {
-  return quietAttempt(progressOf({ now: LAST_EVENT_AT + quiet, ...changes }))?.ifAccepted;
+  return stalledAttempt(progressOf({ now: LAST_EVENT_AT + quiet, ...changes }))?.ifAccepted;
 }
 
 describe('wait limits of a stalled stream', () => {
--- a/src/forwarding/patience.ts
+++ b/src/forwarding/waitLimits.ts
@@ -6,7 +6,7 @@
 import type { RunnerAttempt } from './RunnerAttempt.js';
 
 /** Progress of a request and its attempts. */
-export interface PatienceView {
+export interface RequestProgress {
   readonly request: AdmittedRequest;
   /** Current time, monotonic ms. */
   readonly now: number;
@@ -55,30 +55,30 @@
  */
 const RECHECK_MILLISECONDS = 150;
 
-function isHedgeable({ request, attempts, mayHaveRun }: PatienceView): boolean {
+function isHedgeable({ request, attempts, mayHaveRun }: RequestProgress): boolean {
   const { kind, maximumAttempts } = request.route;
   return kind === 'idempotent' && attempts.size === 1 && mayHaveRun + 1 < maximumAttempts;
 }
 
-function hedgeAt({ request, lastProgressAt }: PatienceView): number {
+function hedgeAt({ request, lastProgressAt }: RequestProgress): number {
   return lastProgressAt + request.route.targetLatencyMilliseconds * HEDGE_SHARE;
 }
 
-function isResumableStream({ request }: PatienceView): boolean {
+function isResumableStream({ request }: RequestProgress): boolean {
   return request.route.kind === 'stream' && request.route.resumable;
 }
 
-function mayRetryElsewhere({ request, mayHaveRun, hasBudget }: PatienceView): boolean {
+function mayRetryElsewhere({ request, mayHaveRun, hasBudget }: RequestProgress): boolean {
   return mayHaveRun + 1 < request.route.maximumAttempts && hasBudget();
 }
 
-function stallLimit({ request, hasEvents }: PatienceView): number {
+function stallLimit({ request, hasEvents }: RequestProgress): number {
   if (hasEvents) return MAXIMUM_EVENT_GAP_MILLISECONDS;
   const share = request.route.targetLatencyMilliseconds * FIRST_EVENT_SHARE;
   return Math.max(MINIMUM_FIRST_EVENT_MILLISECONDS, share);
 }
 
-function notBeforeRecheck(time: number, { now }: PatienceView): number {
+function notBeforeRecheck(time: number, { now }: RequestProgress): number {
   return time > now ? time : now + RECHECK_MILLISECONDS;
 }
 
@@ -86,7 +86,7 @@
  * @param view - progress of the request.
  * @returns When to check the request again, monotonic ms.
  */
-export function nextCheck(view: PatienceView): number {
+export function nextCheck(view: RequestProgress): number {
   const { deadlineAt } = view.request;
   if (isHedgeable(view)) return Math.min(deadlineAt, notBeforeRecheck(hedgeAt(view), view));
   if (!isResumableStream(view)) return deadlineAt;
@@ -98,12 +98,12 @@
  * @param view - progress of the request.
  * @returns Whether the request should be hedged: sent to a second runner while the first is still working on it.
  */
-export function shouldHedge(view: PatienceView): boolean {
+export function shouldHedge(view: RequestProgress): boolean {
   return isHedgeable(view) && !view.isLinkSuspect && view.now >= hedgeAt(view);
 }
 
 /** The attempt of a stalled stream, and what to do about it. */
-export interface Quiet {
+export interface StalledAttempt {
   readonly attempt: RunnerAttempt;
   /**
    * What to do if the runner still accepts connections: `wait` for it, or `give_up` because it has kept the request too
@@ -124,7 +124,7 @@
  * @param view - progress of the request.
  * @returns The stalled attempt, or `undefined` if there is nothing to do.
  */
-export function quietAttempt(view: PatienceView): Quiet | undefined {
+export function stalledAttempt(view: RequestProgress): StalledAttempt | undefined {
   const [attempt] = view.attempts;
   if (!attempt || !isResumableStream(view)) return undefined;
   const quietMilliseconds = view.now - view.lastProgressAt;
--- a/src/http/connectionHeaders.ts
+++ b/src/http/connectionHeaders.ts
@@ -6,7 +6,7 @@
 export type HeaderList = readonly (readonly [string, string])[];
 
 /** Headers that apply to a single connection (RFC 9110, section 7.6.1), in lower case. */
-export const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
--- a/src/http/listen.ts
+++ b/src/http/listen.ts
@@ -32,6 +32,6 @@
  * @param listener - a server that listens and has accepted no connection; its port is used by `server` from now on.
  * @returns The address of the port.
  */
-export function takeOver(server: Server, listener: Server): Promise<AddressInfo> {
+export function takeOverPort(server: Server, listener: Server): Promise<AddressInfo> {
   return listenOn(server, listener);
 }
--- a/src/logging/ConsolaLog.spec.ts
+++ b/src/logging/ConsolaLog.spec.ts
@@ -64,7 +64,7 @@
     const sink = new (class extends MemoryLineSink {
       private dropped = 7;
 
-      override takeDropped(): number {
+      override takeDroppedCount(): number {
         const { dropped } = this;
         this.dropped = 0;
         return dropped;
@@ -111,8 +111,8 @@
       void sink.flush();
     }
     expect(stream.writableLength <= 1000).toEqual(true);
-    expect(sink.takeDropped()).toEqual(90);
-    expect(sink.takeDropped()).toEqual(0);
+    expect(sink.takeDroppedCount()).toEqual(90);
+    expect(sink.takeDroppedCount()).toEqual(0);
     stream.destroy();
   });
 
@@ -129,6 +129,6 @@
     await closed;
     sink.write('b');
     await sink.flush();
-    expect(sink.takeDropped()).toEqual(1);
+    expect(sink.takeDroppedCount()).toEqual(1);
   });
 });
--- a/src/logging/ConsolaLog.ts
+++ b/src/logging/ConsolaLog.ts
@@ -90,7 +90,7 @@
   }
 
   private reportDropped(): void {
-    const lines = this.sink.takeDropped();
+    const lines = this.sink.takeDroppedCount();
     if (lines === 0 || !this.droppedEvent) return;
     const event = this.droppedEvent;
     this.consola[event.level]({ message: event.text, event, fields: { lines } });
--- a/src/logging/LineSink.ts
+++ b/src/logging/LineSink.ts
@@ -21,7 +21,7 @@
    *
    * @returns Number of lines dropped since the last call.
    */
-  abstract takeDropped(): number;
+  abstract takeDroppedCount(): number;
 }
 
 /** Keeps lines in memory, for tests. */
@@ -37,7 +37,7 @@
     return Promise.resolve();
   }
 
-  override takeDropped(): number {
+  override takeDroppedCount(): number {
     return 0;
   }
 }
--- a/src/logging/LimitedLog.ts
+++ b/src/logging/RateLimitedLog.ts
@@ -9,8 +9,8 @@
 import type { LogFields } from './Log.js';
 import type { LogEvent } from './logEvent.js';
 
-/** Options of a {@link LimitedLog}. */
-export interface LimitedLogOptions {
+/** Options of a {@link RateLimitedLog}. */
+export interface RateLimitedLogOptions {
   log: Log;
   clock: Clock;
   /** Largest number of lines per second, apart from errors. */
@@ -22,8 +22,8 @@
 const WINDOW_MILLISECONDS = 1_000;
 
 /** Passes events to another log, up to a number of lines per second. */
-export class LimitedLog extends Log {
-  private readonly options: LimitedLogOptions;
+export class RateLimitedLog extends Log {
+  private readonly options: RateLimitedLogOptions;
 
   private windowStart = 0;
 
@@ -34,7 +34,7 @@
   /**
    * @param options - the log to write to, and the limit.
    */
-  constructor(options: LimitedLogOptions) {
+  constructor(options: RateLimitedLogOptions) {
     super();
     this.options = options;
   }
--- a/src/logging/StreamSink.ts
+++ b/src/logging/StreamSink.ts
@@ -84,7 +84,7 @@
     });
   }
 
-  override takeDropped(): number {
+  override takeDroppedCount(): number {
     const { dropped } = this;
     this.dropped = 0;
     return dropped;
--- a/src/metrics/Gauge.ts
+++ b/src/metrics/Gauge.ts
@@ -36,7 +36,7 @@
    * @param source - returns the current value; must not throw.
    * @param labels - the label values of the series.
    */
-  follow(source: () => number, ...[labels]: LabelArguments<Label>): void {
+  readFrom(source: () => number, ...[labels]: LabelArguments<Label>): void {
     this.cellOf(labels).source = source;
   }
 
--- a/src/metrics/MetricRegistry.spec.ts
+++ b/src/metrics/MetricRegistry.spec.ts
@@ -37,7 +37,7 @@
     });
     requests.increment({ outcome: 'completed' });
     requests.add(2, { outcome: 'a "quoted"\nname\\' });
-    registry.gauge({ name: 'queued', help: 'Waiting now.', unit: 'tokens' }).follow(() => 7);
+    registry.gauge({ name: 'queued', help: 'Waiting now.', unit: 'tokens' }).readFrom(() => 7);
     const wait = waitHistogram(registry);
     for (let value = 1; value <= 100; value += 1) wait.record(value / 100);
     expect(formatScrapePage(registry.snapshot())).toEqual(
--- a/src/quarantine/QuarantineTask.ts
+++ b/src/quarantine/QuarantineTask.ts
@@ -68,7 +68,7 @@
     const { decisions } = quarantine;
     registry
       .gauge({ name: 'quarantined_requests', help: 'Requests that are sent to no runner.' })
-      .follow(() => decisions.quarantinedCount);
+      .readFrom(() => decisions.quarantinedCount);
     this.page = new QuarantinePage({ quarantine, clock });
     this.keeper = new QuarantineKeeper({ store, quarantine, clock, log, isFirst: options.isFirst });
     this.relay = new CrashRelay({
--- a/src/router/CallerDirectory.ts
+++ b/src/router/CallerDirectory.ts
@@ -2,15 +2,15 @@
  * Answers callers that ask which daemons to connect to, from this daemon's view of the fleet.
  */
 import type { FleetCoordination } from '../coordination/FleetCoordination.js';
-import { addressesFor } from '../directory/DirectoryDecisions.js';
-import type { DirectoryQuestion } from '../directory/DirectoryDecisions.js';
+import { selectAddresses } from '../directory/selectAddresses.js';
+import type { DirectoryQuery } from '../directory/selectAddresses.js';
 import type { FleetKnowledge } from '../sync/FleetKnowledge.js';
 import type { DaemonEntry } from '../sync/FleetStore.js';
 import { regionOfDataCentre } from './routerFeature.js';
 import type { RouterSettings } from './routerFeature.js';
 
 /** What a caller says about itself when it asks the directory for addresses. */
-export interface CallerPlace extends Pick<DirectoryQuestion, 'dataCentre' | 'region' | 'caller'> {
+export interface CallerLocation extends Pick<DirectoryQuery, 'dataCentre' | 'region' | 'caller'> {
   /** The host name that the caller's requests will carry. */
   readonly host?: string | undefined;
 }
@@ -38,15 +38,15 @@
    * @param own - this daemon's entry, or `undefined` while it accepts no new callers.
    * @returns Caller addresses of daemons, those near the caller first.
    */
-  addressesFor(location: CallerPlace, own: DaemonEntry | undefined): string[] {
+  addressesFor(location: CallerLocation, own: DaemonEntry | undefined): string[] {
     const { settings, knowledge, coordination } = this.options;
     const availableDaemons = coordination.livingOthers();
     // If every daemon seems unavailable, all listed ones are given: a caller without any address can reach nobody, whereas
     // one that gets the address of a dead daemon tries the next address.
     const daemons =
       own || availableDaemons.length > 0 ? availableDaemons : coordination.otherDaemons();
-    const homeRegions = knowledge.routes?.homesOfHost(location.host ?? '');
+    const homeRegions = knowledge.routes?.homeRegionsOfHost(location.host ?? '');
     const regionOf = (dataCentre: string) => regionOfDataCentre(settings, dataCentre);
-    return addressesFor({ daemons, own, homeRegions, regionOf, ...location });
+    return selectAddresses({ daemons, own, homeRegions, regionOf, ...location });
   }
 }
--- a/src/router/KnowledgeReactions.spec.ts
+++ b/src/router/KnowledgeChangeHandler.spec.ts
@@ -7,7 +7,7 @@
 import type { RunnerEntry } from '../runners/Runner.js';
 import { WarmPlaces } from '../runners/WarmPlaces.js';
 import { syncLogEvents } from '../sync/syncFeature.js';
-import { KnowledgeReactions } from './KnowledgeReactions.js';
+import { KnowledgeChangeHandler } from './KnowledgeChangeHandler.js';
 
 function runnerOf(index: number): RunnerEntry {
   const id = `runner-${index}`;
@@ -15,20 +15,20 @@
   return { id, life: id, service: 'chat', state: 'ready', ...place };
 }
 
-describe(KnowledgeReactions.name, () => {
+describe(KnowledgeChangeHandler.name, () => {
   let log: MemoryLog;
-  let reactions: KnowledgeReactions;
+  let reactions: KnowledgeChangeHandler;
 
   beforeEach(() => {
     log = new MemoryLog();
-    reactions = new KnowledgeReactions({
+    reactions = new KnowledgeChangeHandler({
       dataCentres: ['north'],
       connections: new RunnerConnections(),
       warmPlaces: new WarmPlaces(),
       log,
       revision: () => 7,
-      takeLeaving: () => undefined,
-      takeQuarantine: () => undefined,
+      applyLeavingRunners: () => undefined,
+      applyQuarantine: () => undefined,
       applyLimits: () => undefined,
       onUpdate: () => undefined,
     });
--- a/src/router/KnowledgeReactions.ts
+++ b/src/router/KnowledgeChangeHandler.ts
@@ -10,8 +10,8 @@
 import type { KnowledgeListener } from '../sync/knowledgeTypes.js';
 import { syncLogEvents } from '../sync/syncFeature.js';
 
-/** Options of a {@link KnowledgeReactions}. */
-export interface KnowledgeReactionsOptions {
+/** Options of a {@link KnowledgeChangeHandler}. */
+export interface KnowledgeChangeHandlerOptions {
   connections: RunnerConnections;
   warmPlaces: WarmPlaces;
   log: Log;
@@ -20,9 +20,9 @@
   /** The store revision up to which the daemon has applied changes. */
   revision: () => number;
   /** Takes the incarnations of runners that announced to another daemon that they are leaving. */
-  takeLeaving: (incarnations: readonly string[]) => void;
+  applyLeavingRunners: (incarnations: readonly string[]) => void;
   /** Takes the list of quarantined requests in the form in which the store holds it. */
-  takeQuarantine: (page: string) => void;
+  applyQuarantine: (page: string) => void;
   /** Applies the limits for callers from a configuration that has come into force. */
   applyLimits: (limits: CallerLimits) => void;
   /** Called after all changes of one read of the store have been applied. */
@@ -48,8 +48,8 @@
 }
 
 /** Logs changes once per read, and forwards each of them to the part concerned. */
-export class KnowledgeReactions implements KnowledgeListener {
-  private readonly options: KnowledgeReactionsOptions;
+export class KnowledgeChangeHandler implements KnowledgeListener {
+  private readonly options: KnowledgeChangeHandlerOptions;
 
   /** Names of daemons that were listed or removed since the last log line about daemons. */
   private changedDaemons: Record<'listed' | 'gone', string[]> = { listed: [], gone: [] };
@@ -60,7 +60,7 @@
   /**
    * @param options - the parts to which changes are passed on.
    */
-  constructor(options: KnowledgeReactionsOptions) {
+  constructor(options: KnowledgeChangeHandlerOptions) {
     this.options = options;
   }
 
@@ -117,12 +117,12 @@
 
   /** @param incarnations - incarnations of runners that announced to another daemon that they are leaving. */
   runnersLeaving(incarnations: readonly string[]): void {
-    this.options.takeLeaving(incarnations);
+    this.options.applyLeavingRunners(incarnations);
   }
 
   /** @param page - the list of quarantined requests, as another daemon saved it in the store. */
   quarantineKept(page: string): void {
-    this.options.takeQuarantine(page);
+    this.options.applyQuarantine(page);
   }
 
   /** Called after all changes of one read have been reported: writes the log lines. */
--- a/src/router/RouterDaemon.ts
+++ b/src/router/RouterDaemon.ts
@@ -6,7 +6,7 @@
 
 import { FleetCoordination } from '../coordination/FleetCoordination.js';
 import { GrantLedger } from '../coordination/GrantLedger.js';
-import { CallerFront } from '../forwarding/CallerFront.js';
+import { ForwardingServer } from '../forwarding/ForwardingServer.js';
 import type { StopPhase } from '../forwarding/forwardingTypes.js';
 import { RunnerConnections } from '../forwarding/RunnerConnections.js';
 import type { RunnerProtocol } from '../forwarding/RunnerProtocol.js';
@@ -32,13 +32,13 @@
 import type { Clock } from '../time/Clock.js';
 import { SystemClock } from '../time/SystemClock.js';
 import { CallerDirectory } from './CallerDirectory.js';
-import type { CallerPlace } from './CallerDirectory.js';
-import { createChoice } from './createChoice.js';
-import { createFollower } from './createFollower.js';
+import type { CallerLocation } from './CallerDirectory.js';
+import { createRunnerChoice } from './createRunnerChoice.js';
+import { createStoreFollower } from './createStoreFollower.js';
 import { createForwardingContext } from './createForwardingContext.js';
-import { KnowledgeReactions } from './KnowledgeReactions.js';
-import { plannedStop } from './plannedStop.js';
-import { entryOf, routerLogEvents } from './routerFeature.js';
+import { KnowledgeChangeHandler } from './KnowledgeChangeHandler.js';
+import { runPlannedStop } from './runPlannedStop.js';
+import { daemonEntryOf, routerLogEvents } from './routerFeature.js';
 import type { RouterSettings } from './routerFeature.js';
 
 /**
@@ -98,7 +98,7 @@
 
   private readonly warmPlacesKeeper: WarmPlacesKeeper;
 
-  private readonly front: CallerFront;
+  private readonly front: ForwardingServer;
 
   private readonly follower: StoreFollower;
 
@@ -131,7 +131,7 @@
     this.knowledge = new FleetKnowledge({ listener: this.createChangeHandler() });
     const { name, addresses, seeds } = settings;
     const gatherMilliseconds = GATHER_SHARE * Math.min(...settings.changeBoundsMilliseconds);
-    this.entry = entryOf(settings);
+    this.entry = daemonEntryOf(settings);
     this.news = this.createNews();
     const { knowledge, entry, registry } = this;
     this.coordination = this.createCoordination(gatherMilliseconds);
@@ -152,7 +152,7 @@
       clock,
       mayAsk: (host) => this.peers.mayAsk(host),
     });
-    this.follower = createFollower({
+    this.follower = createStoreFollower({
       ...{ daemon: name, store, knowledge, clock, log, gatherMilliseconds, coordination },
       listings: this.listings,
     });
@@ -182,7 +182,7 @@
       name,
       daemons: () => coordination.namesOfInformed(),
     });
-    this.front = new CallerFront(
+    this.front = new ForwardingServer(
       createForwardingContext({
         ...{ settings, protocol, clock, log, knowledge, registry, coordination },
         connections: this.connections,
@@ -208,7 +208,7 @@
    * @param location - the caller's data centre, region, address and host, as far as they are known.
    * @returns Caller addresses of daemons, those near the caller first.
    */
-  addressesFor(location: CallerPlace): string[] {
+  addressesFor(location: CallerLocation): string[] {
     const own = this.isReady ? this.entry : undefined;
     return this.directory.addressesFor(location, own);
   }
@@ -251,7 +251,12 @@
       this.phase = phase;
     };
     const withdrawn = this.registration.stop();
-    await plannedStop({ front: this.front, clock: this.clock, setPhase, settings: this.settings });
+    await runPlannedStop({
+      front: this.front,
+      clock: this.clock,
+      setPhase,
+      settings: this.settings,
+    });
     await withdrawn;
     this.follower.stop();
     this.coordination.liveness.stop();
@@ -269,7 +274,7 @@
 
   private createCoordination(gatherMilliseconds: number): FleetCoordination {
     const { knowledge, store, clock, log, entry, grants, settings } = this;
-    const { admission, choice } = createChoice({
+    const { admission, choice } = createRunnerChoice({
       ...{ settings, knowledge, clock },
       warmPlaces: this.warmPlaces,
       foreignLoad: (life) => this.foreignLoads.of(life) + grants.of(life),
@@ -314,18 +319,18 @@
     });
   }
 
-  private createChangeHandler(): KnowledgeReactions {
+  private createChangeHandler(): KnowledgeChangeHandler {
     const { connections, warmPlaces, log, settings } = this;
     const { dataCentre, dataCentreRegions } = settings;
-    return new KnowledgeReactions({
+    return new KnowledgeChangeHandler({
       dataCentres: [dataCentre, ...Object.keys(dataCentreRegions)],
       connections,
       warmPlaces,
       log,
       revision: () => this.knowledge.revision,
       applyLimits: (limits) => this.front.applyLimits(limits),
-      takeLeaving: (lives) => this.coordination.leaveNotices.learn(lives, 'peer'),
-      takeQuarantine: (page) => this.quarantineTask.takeKept(page),
+      applyLeavingRunners: (lives) => this.coordination.leaveNotices.learn(lives, 'peer'),
+      applyQuarantine: (page) => this.quarantineTask.takeKept(page),
       onUpdate: () => {
         this.news.tellChange();
         this.listings.updated();
--- a/src/router/createForwardingContext.ts
+++ b/src/router/createForwardingContext.ts
@@ -5,7 +5,7 @@
 import { createForwardingMetrics } from '../forwarding/ForwardingMetrics.js';
 import type { ForwardingContext } from '../forwarding/forwardingTypes.js';
 import { LinkCheck } from '../forwarding/LinkCheck.js';
-import { RunnerStatements } from '../forwarding/RunnerStatements.js';
+import { RunnerNotices } from '../forwarding/RunnerNotices.js';
 import { SharedRetryBudget } from '../forwarding/SharedRetryBudget.js';
 import type { MetricRegistry } from '../metrics/MetricRegistry.js';
 import { unavailabilityOf } from '../runners/unavailability.js';
@@ -44,10 +44,10 @@
   const metrics = createForwardingMetrics(registry);
   registry
     .gauge({ name: 'daemons_out', help: 'Listed daemons that are dead or stop.' })
-    .follow(() => coordination.liveness.outCount);
+    .readFrom(() => coordination.liveness.outCount);
   registry
     .gauge({ name: 'data_centres_evacuated', help: 'Evacuated data centres.' })
-    .follow(() => knowledge.evacuated.length);
+    .readFrom(() => knowledge.evacuated.length);
   const retryRoom = registry.gauge({
     name: 'retry_budget_room',
     help: 'Requests to a service that may be sent once more at this moment.',
@@ -60,12 +60,12 @@
     daemons,
     startedAt: clock.monotonicMilliseconds(),
     onService: (service, roomAt) =>
-      retryRoom.follow(() => roomAt(clock.monotonicMilliseconds()), { service }),
+      retryRoom.readFrom(() => roomAt(clock.monotonicMilliseconds()), { service }),
   });
   const runners = () => knowledge.runners.list();
   registry
     .gauge({ name: 'runners_cold', help: 'Runners that bear a few requests a second only.' })
-    .follow(() => {
+    .readFrom(() => {
       const now = clock.monotonicMilliseconds();
       return runners().filter((runner) => admission.isCold(runner, now)).length;
     });
@@ -75,7 +75,7 @@
     metrics,
     link: new LinkCheck({ runners, clock, log, metrics }),
     selector: coordination.selector,
-    statements: new RunnerStatements({
+    statements: new RunnerNotices({
       protocol,
       clock,
       log,
--- a/src/router/createChoice.ts
+++ b/src/router/createRunnerChoice.ts
@@ -11,8 +11,8 @@
 import { regionOfDataCentre } from './routerFeature.js';
 import type { RouterSettings } from './routerFeature.js';
 
-/** Options of {@link createChoice}. */
-export interface CreateChoiceOptions extends Pick<
+/** Options of {@link createRunnerChoice}. */
+export interface CreateRunnerChoiceOptions extends Pick<
   RunnerChoiceOptions,
   'warmPlaces' | 'foreignLoad' | 'onWarmPlace'
 > {
@@ -27,13 +27,13 @@
  * @param options - the settings, and the parts of the daemon that the choice depends on.
  * @returns The admission rule for runners, and the choice among those that it admits.
  */
-export function createChoice({
+export function createRunnerChoice({
   settings,
   knowledge,
   clock,
   deciders,
   ...parts
-}: CreateChoiceOptions): { admission: RunnerAdmission; choice: RunnerChoice } {
+}: CreateRunnerChoiceOptions): { admission: RunnerAdmission; choice: RunnerChoice } {
   const { name: daemon, dataCentre } = settings;
   const sharedMilliseconds = settings.retryBudget.windowSeconds * 1_000;
   const regionOf = (place: string) => regionOfDataCentre(settings, place);
--- a/src/router/createFollower.ts
+++ b/src/router/createStoreFollower.ts
@@ -8,8 +8,8 @@
 import { StoreFollower } from '../sync/StoreFollower.js';
 import type { StoreFollowerOptions } from '../sync/StoreFollower.js';
 
-/** Options of {@link createFollower}. */
-export interface CreateFollowerOptions extends Pick<
+/** Options of {@link createStoreFollower}. */
+export interface CreateStoreFollowerOptions extends Pick<
   StoreFollowerOptions,
   'store' | 'knowledge' | 'clock' | 'log' | 'gatherMilliseconds'
 > {
@@ -23,12 +23,12 @@
  * @param options - the parts of the daemon that the follower depends on.
  * @returns A follower that reads the store, or leaves that to other daemons as long as they relay its changes.
  */
-export function createFollower({
+export function createStoreFollower({
   daemon,
   coordination,
   listings,
   ...parts
-}: CreateFollowerOptions): StoreFollower {
+}: CreateStoreFollowerOptions): StoreFollower {
   const { knowledge, clock, log } = parts;
   const { relay, liveness } = coordination;
   const bootstrap = new FleetBootstrap({
--- a/src/router/routerFeature.ts
+++ b/src/router/routerFeature.ts
@@ -91,7 +91,7 @@
  * @param settings - the settings of this daemon.
  * @returns The entry under which the daemon registers itself for the other daemons.
  */
-export function entryOf({
+export function daemonEntryOf({
   name,
   dataCentre,
   addresses,
--- a/src/router/plannedStop.ts
+++ b/src/router/runPlannedStop.ts
@@ -8,14 +8,14 @@
  */
 import { setTimeout as wait } from 'node:timers/promises';
 
-import type { CallerFront } from '../forwarding/CallerFront.js';
+import type { ForwardingServer } from '../forwarding/ForwardingServer.js';
 import type { StopPhase } from '../forwarding/forwardingTypes.js';
 import type { Clock } from '../time/Clock.js';
 import type { RouterSettings } from './routerFeature.js';
 
-/** Options of {@link plannedStop}. */
+/** Options of {@link runPlannedStop}. */
 export interface PlannedStopOptions {
-  front: Pick<CallerFront, 'inFlight' | 'close'>;
+  front: Pick<ForwardingServer, 'inFlight' | 'close'>;
   clock: Clock;
   setPhase: (phase: StopPhase) => void;
   settings: Pick<RouterSettings, 'stopSeconds'>;
@@ -36,7 +36,7 @@
  * @param options - the callers' side, the clock, and what sets the phase of the stop.
  * @returns Resolves once no request is in progress or the time is up.
  */
-export async function plannedStop({
+export async function runPlannedStop({
   front,
   clock,
   setPhase,
--- a/src/routes/RouteTable.ts
+++ b/src/routes/RouteTable.ts
@@ -6,8 +6,8 @@
 
 import murmurhash from 'murmurhash';
 
-import { commonHomes } from './homes.js';
-import type { HomeRegions } from './homes.js';
+import { intersectHomeRegions } from './homeRegions.js';
+import type { HomeRegions } from './homeRegions.js';
 import type {
   ClientAccount,
   Route,
@@ -93,10 +93,10 @@
    * @param host - the host name without a port.
    * @returns The home regions that all routes of the host with home regions have in common; `undefined` if no route has any.
    */
-  homesOfHost(host: string): HomeRegions {
+  homeRegionsOfHost(host: string): HomeRegions {
     const routes = [...(this.routes.get(host.toLowerCase())?.values() ?? [])];
     return routes.reduce<HomeRegions>(
-      (homes, route) => commonHomes(homes, route.homeRegions),
+      (homes, route) => intersectHomeRegions(homes, route.homeRegions),
       undefined,
     );
   }
--- a/src/routes/homes.spec.ts
+++ b/src/routes/homeRegions.spec.ts
@@ -2,7 +2,7 @@
 
 import { expect } from 'earl';
 
-import { homesOf } from './homes.js';
+import { homeRegionsOf } from './homeRegions.js';
 import { RouteTable } from './RouteTable.js';
 import type { Route, RoutingConfiguration } from './routeTypes.js';
 
@@ -23,16 +23,16 @@
   const account = { name: 'account', keyDigests: [] };
 
   it('are unrestricted if neither the route nor the client account has any', () => {
-    expect(homesOf(routeOf('/a/'), undefined)).toEqual(undefined);
-    expect(homesOf(routeOf('/a/'), account)).toEqual(undefined);
+    expect(homeRegionsOf(routeOf('/a/'), undefined)).toEqual(undefined);
+    expect(homeRegionsOf(routeOf('/a/'), account)).toEqual(undefined);
   });
 
   it('are those that both the route and the client account allow', () => {
     const route = routeOf('/a/', ['north', 'south']);
-    expect(homesOf(route, account)).toEqual(['north', 'south']);
-    expect(homesOf(route, { ...account, homeRegions: ['south', 'west'] })).toEqual(['south']);
-    expect(homesOf(routeOf('/a/'), { ...account, homeRegions: ['west'] })).toEqual(['west']);
-    expect(homesOf(route, { ...account, homeRegions: ['west'] })).toEqual([]);
+    expect(homeRegionsOf(route, account)).toEqual(['north', 'south']);
+    expect(homeRegionsOf(route, { ...account, homeRegions: ['south', 'west'] })).toEqual(['south']);
+    expect(homeRegionsOf(routeOf('/a/'), { ...account, homeRegions: ['west'] })).toEqual(['west']);
+    expect(homeRegionsOf(route, { ...account, homeRegions: ['west'] })).toEqual([]);
   });
 });
 
@@ -43,8 +43,8 @@
       routeOf('/b/'),
       routeOf('/c/', ['south', 'west']),
     );
-    expect(table.homesOfHost('A.example')).toEqual(['south']);
-    expect(table.homesOfHost('b.example')).toEqual(undefined);
-    expect(tableOf(routeOf('/b/')).homesOfHost('a.example')).toEqual(undefined);
+    expect(table.homeRegionsOfHost('A.example')).toEqual(['south']);
+    expect(table.homeRegionsOfHost('b.example')).toEqual(undefined);
+    expect(tableOf(routeOf('/b/')).homeRegionsOfHost('a.example')).toEqual(undefined);
   });
 });
--- a/src/routes/homes.ts
+++ b/src/routes/homeRegions.ts
@@ -13,7 +13,7 @@
  * @param other - the second restriction.
  * @returns Regions that both allow; empty if they have none in common.
  */
-export function commonHomes(one: HomeRegions, other: HomeRegions): HomeRegions {
+export function intersectHomeRegions(one: HomeRegions, other: HomeRegions): HomeRegions {
   if (one === undefined || other === undefined) return one ?? other;
   return one.filter((region) => other.includes(region));
 }
@@ -23,6 +23,6 @@
  * @param account - the client account of its caller, if there is one.
  * @returns Regions in which the request may be run, allowed by both the route and the account.
  */
-export function homesOf(route: Route, account: ClientAccount | undefined): HomeRegions {
-  return commonHomes(route.homeRegions, account?.homeRegions);
+export function homeRegionsOf(route: Route, account: ClientAccount | undefined): HomeRegions {
+  return intersectHomeRegions(route.homeRegions, account?.homeRegions);
 }
--- a/src/runners/RunnerAdmission.ts
+++ b/src/runners/RunnerAdmission.ts
@@ -1,7 +1,7 @@
 /**
  * Whether a runner that takes new work may get this request now, and why not.
  */
-import type { HomeRegions } from '../routes/homes.js';
+import type { HomeRegions } from '../routes/homeRegions.js';
 import type { ColdStarts } from './ColdStarts.js';
 import type { Runner } from './Runner.js';
 
--- a/src/runners/unavailability.ts
+++ b/src/runners/unavailability.ts
@@ -1,7 +1,7 @@
 /**
  * Why a service has no runner for a request, and when its caller should come back.
  */
-import type { HomeRegions } from '../routes/homes.js';
+import type { HomeRegions } from '../routes/homeRegions.js';
 import type { RunnerAdmission } from './RunnerAdmission.js';
 import type { RunnerTable } from './RunnerTable.js';
 
--- a/src/time/dropBefore.ts
+++ b/src/time/dropTimesBefore.ts
@@ -8,7 +8,7 @@
  * @param times - times in ascending order; changed in place.
  * @param start - start of the window, by the same clock.
  */
-export function dropBefore(times: number[], start: number): void {
+export function dropTimesBefore(times: number[], start: number): void {
   const keep = times.findIndex((time) => time >= start);
   times.splice(0, keep === -1 ? times.length : keep);
 }
--- a/src/upstreams/forwardedHeaders.ts
+++ b/src/upstreams/forwardedHeaders.ts
@@ -1,7 +1,7 @@
 /**
  * Which headers pass between a caller and a runner, and which belong to one connection only.
  */
-import { CONNECTION_HEADERS, headerPairs } from '../http/connectionHeaders.js';
+import { HOP_BY_HOP_HEADERS, headerPairs } from '../http/connectionHeaders.js';
 import type { HeaderList } from '../http/connectionHeaders.js';
 import {
   ATTEMPT_ID_HEADER,
@@ -14,7 +14,7 @@
 
 /** Headers of one connection (RFC 9110, section 7.6.1), and those that this program writes itself. */
 const OWN_HEADERS: ReadonlySet<string> = new Set([
-  ...CONNECTION_HEADERS,
+  ...HOP_BY_HOP_HEADERS,
   'host',
   'content-length',
   'expect',
--- a/standIns/site/StandInSite.ts
+++ b/standIns/site/StandInSite.ts
@@ -2,7 +2,7 @@
  * A small site on loopback: a store, runners, and daemons that forward directly, in this process.
  */
 import { PlatformRunnerProtocol } from '../../platform/headers.js';
-import { servePlatformRoles } from '../../platform/PlatformRoles.js';
+import { servePlatformEndpoints } from '../../platform/servePlatformEndpoints.js';
 import { StoreClient } from '../../platform/StoreClient.js';
 import type { Log } from '../../src/logging/Log.js';
 import { SilentLog } from '../../src/logging/Log.js';
@@ -206,7 +206,7 @@
     const protocol = new PlatformRunnerProtocol();
     const daemon = new RouterDaemon({ settings, store, protocol, log: this.log });
     await daemon.start();
-    const servers = await servePlatformRoles(daemon, settings);
+    const servers = await servePlatformEndpoints(daemon, settings);
     const closeRoles = () => servers.forEach((server) => server.close());
     const made = { daemon, settings, closeRoles };
     this.daemons.push(made);
