--- a/src/forwarding/decisions.spec.ts
+++ b/src/forwarding/decisions.spec.ts
@@ -103,7 +103,7 @@
   });
 });
 
-describe('EventStreamCut', () => {
+describe('EventStreamBuffer', () => {
   const events = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n';
 
   it('returns the same bytes however they are split, and only complete events', () => {
