--- a/src/coordination/ChoiceServer.ts
+++ b/src/coordination/ChoiceServer.ts
@@ -1,5 +1,6 @@
 /**
- * Answers other daemons' questions for runners, by what all daemons have told.
+ * Answers other daemons' requests for a runner on behalf of a coordinator, using the load that all daemons have
+ * reported.
  */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 
@@ -25,21 +26,26 @@
   clock: Clock;
 }
 
-/** Any daemon answers, whether it takes itself for a coordinator or not: lists differ for seconds. */
+/**
+ * Chooses runners for other daemons. Every daemon answers, whether or not it counts itself among the coordinators:
+ * lists of daemons differ for a few seconds after a change.
+ */
 export class ChoiceServer {
   private readonly options: ChoiceServerOptions;
 
   /**
-   * @param options - what decides, and where answers go.
+   * @param options - the choice, the ledger of grants and the socket that answers are sent on.
    */
   constructor(options: ChoiceServerOptions) {
     this.options = options;
   }
 
   /**
-   * @param message - a question.
+   * Chooses a runner and sends the answer to the address that the question names.
+   *
+   * @param message - an encoded `RunnerQuestion`.
    */
-  take(message: Uint8Array): void {
+  handleQuestion(message: Uint8Array): void {
     const question = fromBinary(RunnerQuestionSchema, message);
     const answer = toBinary(RunnerAnswerSchema, this.answerTo(question));
     this.options.socket.send(MessageKind.RUNNER_ANSWER, answer, [parseAddress(question.address)]);
--- a/src/coordination/ColdRunnerOwners.ts
+++ b/src/coordination/ColdRunnerOwners.ts
@@ -1,45 +1,49 @@
 /**
- * Which daemons decide about a cold runner: some of those that choose for others, or of all daemons of a small fleet, the
- * same ones by everybody's list.
+ * Assigns each cold runner to a few owner daemons, which alone admit requests to it. The owners are taken from the
+ * coordinators, or from all daemons of a small fleet, by rendezvous hashing, so that daemons with the same list agree
+ * on them.
  */
 import { rendezvousOrder } from '../routing/rendezvous.js';
 import type { ColdOwnership } from '../runners/ColdStarts.js';
 import type { Clock } from '../time/Clock.js';
 
 /**
- * With one of them, only the prompts that it chooses for would find the runner. Each may send at the same moment as the
- * others, so that their number adds to what a runner gets within a second.
+ * Owners of one cold runner. With a single owner, only the prompts that this daemon chooses for could use the runner.
+ * All owners may send at the same moment, so each one adds to what a runner receives within a second.
  */
 const MAXIMUM_OWNERS = 4;
 
-/** Lives that are remembered; the fleet has fewer cold runners at a time. */
-const MAXIMUM_SHARES = 5_000;
+/** Incarnations whose share is cached; a fleet has fewer cold runners at a time. */
+const MAXIMUM_CACHED_SHARES = 5_000;
 
 /** Options of a {@link ColdRunnerOwners}. */
 export interface ColdRunnerOwnersOptions {
   /** This daemon's name. */
   daemon: string;
   clock: Clock;
-  /** Names of the daemons that choose runners. */
+  /** Names of the daemons that choose runners, from which owners are taken. */
   deciders: () => readonly string[];
-  /** How many of them decide about a runner, at most. */
-  owners?: number;
+  /** Maximum number of owners of one runner. */
+  maximumOwners?: number;
 }
 
-/** Knows since when the same daemons decide. */
+/**
+ * Computes this daemon's share of each cold runner, and for how long the set of eligible daemons has been unchanged.
+ */
 export class ColdRunnerOwners {
   private readonly options: ColdRunnerOwnersOptions;
 
-  private deciders = '';
+  /** Sorted names of the eligible daemons, to detect changes. */
+  private eligibleNames = '';
 
-  /** When the deciders last changed, monotonic ms. */
+  /** When the set of eligible daemons last changed, monotonic ms. */
   private changedAt: number;
 
-  /** This daemon's share by life of a runner, while the same daemons decide. */
+  /** This daemon's share, by incarnation of a runner; valid while the set of eligible daemons is unchanged. */
   private readonly shares = new Map<string, number>();
 
   /**
-   * @param options - this daemon, and who decides.
+   * @param options - this daemon's name and the daemons that may be owners.
    */
   constructor(options: ColdRunnerOwnersOptions) {
     this.options = options;
@@ -47,23 +51,25 @@
   }
 
   /**
-   * @param life - of a runner.
-   * @returns Whether this daemon decides about it.
+   * Returns this daemon's share of a runner's cold rate and how long that share has been stable.
+   *
+   * @param life - the runner's incarnation.
+   * @returns This daemon's ownership; its share is 0 where it is not an owner.
    */
   ownershipOf(life: string): ColdOwnership {
     const names = this.options.deciders();
     const now = this.options.clock.monotonicMilliseconds();
-    this.followDeciders(names, now);
+    this.trackEligibleDaemons(names, now);
     const share = this.shares.get(life) ?? this.shareOf(life, names);
-    if (this.shares.size >= MAXIMUM_SHARES) this.shares.clear();
+    if (this.shares.size >= MAXIMUM_CACHED_SHARES) this.shares.clear();
     this.shares.set(life, share);
-    return { share, settledMilliseconds: now - this.changedAt };
+    return { share, stableMilliseconds: now - this.changedAt };
   }
 
-  private followDeciders(names: readonly string[], now: number): void {
-    const deciders = [...names].sort().join();
-    if (deciders === this.deciders) return;
-    this.deciders = deciders;
+  private trackEligibleDaemons(names: readonly string[], now: number): void {
+    const eligibleNames = [...names].sort().join();
+    if (eligibleNames === this.eligibleNames) return;
+    this.eligibleNames = eligibleNames;
     this.changedAt = now;
     this.shares.clear();
   }
@@ -71,7 +77,7 @@
   private shareOf(life: string, names: readonly string[]): number {
     const named = names.map((id) => ({ id }));
     const ordered = rendezvousOrder(life, named);
-    const owners = ordered.slice(0, this.options.owners ?? MAXIMUM_OWNERS);
+    const owners = ordered.slice(0, this.options.maximumOwners ?? MAXIMUM_OWNERS);
     return owners.some(({ id }) => id === this.options.daemon) ? 1 / owners.length : 0;
   }
 }
--- a/src/coordination/CoordinatedSelector.spec.ts
+++ b/src/coordination/CoordinatedSelector.spec.ts
@@ -25,7 +25,7 @@
   return { name, dataCentre: 'here', ...addresses };
 }
 
-/** Keeps questions, and hands answers over. */
+/** Keeps the questions that are sent, and delivers answers on demand. */
 class ScriptedSocket extends FleetSocket {
   readonly questions: RunnerQuestion[] = [];
 
@@ -63,7 +63,7 @@
     coordinators = [daemonOf('coordinator')];
     const coldStarts = new ColdStarts({
       rateOf: () => 10,
-      ownershipOf: () => ({ share: 0, settledMilliseconds: 0 }),
+      ownershipOf: () => ({ share: 0, stableMilliseconds: 0 }),
       daemons: () => 10,
     });
     const admission = new RunnerAdmission({ coldStarts });
@@ -91,26 +91,26 @@
     });
   }
 
-  it('sends a request to the runner that the coordinator names, and says so in its counts', async () => {
+  it('sends a request to the runner that the coordinator names, and acknowledges the grant', async () => {
     const chosen = select();
     socket.answer(1, 'runner-2', 7);
     expect((await chosen)?.runner.entry.id).toEqual('runner-2');
     expect(selector.countedGrants()).toEqual([{ coordinator: 'coordinator', grant: 7 }]);
   });
 
-  it('chooses by itself where no answer comes, and leaves the coordinator alone after two of them', async () => {
-    // Symptom: requests hang while a coordinator is frozen. Sequence: it is asked and says nothing. Cause: a daemon
-    // that can choose by itself waited for one that could not answer.
+  it('chooses locally without an answer, and skips the coordinator after two timeouts', async () => {
+    // Guards against requests that hang while a coordinator is frozen: a daemon that can choose by itself must not
+    // wait for a coordinator that does not answer.
     expect((await select())?.runner === undefined).toEqual(false);
     expect((await select())?.runner === undefined).toEqual(false);
-    expect(log.of(coordinationLogEvents.coordinatorSilent).length).toEqual(1);
+    expect(log.of(coordinationLogEvents.coordinatorUnresponsive).length).toEqual(1);
     await select();
     expect(socket.questions.length).toEqual(2);
   });
 
-  it('takes no runner that it had tried, that drains, or that it does not know', async () => {
-    // Symptom: a request goes back to the runner that failed it, or to one that has announced its end. Sequence: the
-    // coordinator has not heard of it yet. Cause: its answer was taken without a look at what is known here.
+  it("rejects a coordinator's choice that was tried, is draining, or is unknown to this daemon", async () => {
+    // Guards against requests that return to the runner that failed them, or that go to a draining one. It happens
+    // when the coordinator has not learnt of the failure or the drain yet and its answer is used unchecked.
     const again = select(questionOf(['runner-2']));
     socket.answer(1, 'runner-2');
     expect((await again)?.runner.entry.id).toEqual('runner-1');
@@ -124,14 +124,14 @@
     expect((await draining)?.runner.entry.id).toEqual('runner-1');
   });
 
-  it('takes no runner that has said that it leaves since the question was sent', async () => {
+  it('rejects a runner that has announced its shutdown since the question was sent', async () => {
     const chosen = select();
     runners.markLeaving('runner-2');
     socket.answer(1, 'runner-2');
     expect((await chosen)?.runner.entry.id).toEqual('runner-1');
   });
 
-  it('takes a cold runner only from a coordinator that has counted the request against what it bears', async () => {
+  it('accepts a cold runner only from a coordinator that has counted the request against its cold rate', async () => {
     const entry = runners.get('runner-2')?.entry;
     if (entry) runners.put({ ...entry, coldMilliseconds: 3_000 });
     const uncounted = select();
@@ -142,13 +142,13 @@
     expect((await counted)?.runner.entry.id).toEqual('runner-2');
   });
 
-  it('tells a coordinator what must not be chosen: runners that had the request or fail here', () => {
+  it('excludes runners that were tried, and those that fail requests of this daemon, in its question', () => {
     runners.get('runner-1')?.health.record(0, 'unreachable');
     void select(questionOf(['runner-2']));
     expect(socket.questions[0]?.excludedLives).toEqual(['runner-2', 'runner-1']);
   });
 
-  it('asks nobody in a small fleet', async () => {
+  it('asks no coordinator in a small fleet', async () => {
     coordinators = [];
     expect((await select())?.reason).toEqual('first_place');
     expect(socket.questions).toEqual([]);
--- a/src/coordination/CoordinatedSelector.ts
+++ b/src/coordination/CoordinatedSelector.ts
@@ -1,5 +1,6 @@
 /**
- * Asks the coordinator of a request's prompt for a runner, and chooses by itself where none answers in time.
+ * Selects a runner by asking the coordinator that is responsible for a request's prompt. Falls back to this daemon's
+ * own choice when no coordinator answers in time.
  */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 
@@ -22,66 +23,74 @@
 import type { Clock } from '../time/Clock.js';
 import { coordinationLogEvents } from './coordinationFeature.js';
 import { CoordinatorHealth } from './CoordinatorHealth.js';
-import { askedInOrder } from './coordinatorsOf.js';
+import { coordinatorsInOrder } from './coordinatorsOf.js';
 
 /** Options of a {@link CoordinatedSelector}. */
 export interface CoordinatedSelectorOptions {
-  /** This daemon as others know it. */
+  /** This daemon's entry in the list of daemons. */
   daemon: DaemonEntry;
   socket: FleetSocket;
   choice: RunnerChoice;
-  /** Which runners may get a request. */
+  /** Decides which runners may get a request. */
   admission: RunnerAdmission;
   runners: RunnerTable;
   clock: Clock;
   log: Log;
-  /** The coordinators; none in a small fleet. */
+  /** The current coordinators; empty in a small fleet. */
   coordinators: () => readonly DaemonEntry[];
 }
 
 /**
- * A coordinator answers within a round trip of at most 6 ms and a wait for its processor; a choice made alone is
- * better than one that comes after a third of the time that the shortest requests have; in ms.
+ * How long a coordinator's answer is awaited, in ms. An answer takes a round trip of at most 6 ms plus queueing for
+ * the coordinator's processor. A local choice is better than an answer that uses up a third of the time that the
+ * shortest requests have.
  */
 const TIMEOUT_MILLISECONDS = 30;
 
-/** A datagram holds this many lives; more runners than that never fail at once for one request. */
+/**
+ * Maximum number of incarnations excluded in one question: as many as fit in a datagram. More runners than that never
+ * fail at once for one request.
+ */
 const MAXIMUM_EXCLUDED = 12;
 
-interface Waiting {
+interface PendingQuestion {
   readonly question: ChoiceQuestion;
   readonly coordinator: string;
   readonly done: ChoiceListener;
   readonly timer: NodeJS.Timeout;
 }
 
-/** Owns the questions under way. */
+/** Keeps the pending questions to coordinators and passes each answer, or the local choice, to its caller. */
 export class CoordinatedSelector extends RunnerSelector {
   private readonly options: CoordinatedSelectorOptions;
 
   private readonly health = new CoordinatorHealth();
 
-  private readonly waiting = new Map<number, Waiting>();
+  private readonly pending = new Map<number, PendingQuestion>();
 
-  /** By coordinator, the latest grant that this daemon's counts include. */
-  private readonly grants = new Map<string, number>();
+  /** The latest grant of each coordinator that this daemon's request counts include, by coordinator name. */
+  private readonly latestGrants = new Map<string, number>();
 
   private lastNumber = 0;
 
   /**
-   * @param options - whom to ask, and what to do without an answer.
+   * @param options - the coordinators, and the local choice that is used without an answer.
    */
   constructor(options: CoordinatedSelectorOptions) {
     super();
     this.options = options;
     options.socket.handle(MessageKind.RUNNER_ANSWER, (message) =>
-      this.takeAnswer(fromBinary(RunnerAnswerSchema, message)),
+      this.handleAnswer(fromBinary(RunnerAnswerSchema, message)),
     );
   }
 
-  /** @returns By coordinator, the latest grant that this daemon has acted on or dropped. */
+  /**
+   * Returns the grants that this daemon acknowledges in its load reports.
+   *
+   * @returns The latest grant of each coordinator whose request this daemon has counted or dropped.
+   */
   countedGrants(): { coordinator: string; grant: number }[] {
-    return [...this.grants].map(([coordinator, grant]) => ({ coordinator, grant }));
+    return [...this.latestGrants].map(([coordinator, grant]) => ({ coordinator, grant }));
   }
 
   override select(question: ChoiceQuestion, done: ChoiceListener): void {
@@ -93,19 +102,21 @@
     }
     this.lastNumber += 1;
     const number = this.lastNumber;
-    const timer = setTimeout(() => this.giveUp(number), TIMEOUT_MILLISECONDS);
-    this.waiting.set(number, { question, coordinator: coordinator.name, done, timer });
-    this.ask(number, question, coordinator);
+    const timer = setTimeout(() => this.handleTimeout(number), TIMEOUT_MILLISECONDS);
+    this.pending.set(number, { question, coordinator: coordinator.name, done, timer });
+    this.sendQuestion(number, question, coordinator);
   }
 
   private coordinatorFor({ sharedParts, service, now }: ChoiceQuestion): DaemonEntry | undefined {
     const coordinators = this.options.coordinators();
     if (coordinators.length === 0) return undefined;
     const key = sharedParts.length > 0 ? sharedParts.join() : service;
-    return askedInOrder(coordinators, key).find(({ name }) => this.health.isUsable(name, now));
+    return coordinatorsInOrder(coordinators, key).find(({ name }) =>
+      this.health.isUsable(name, now),
+    );
   }
 
-  private ask(number: number, question: ChoiceQuestion, coordinator: DaemonEntry): void {
+  private sendQuestion(number: number, question: ChoiceQuestion, coordinator: DaemonEntry): void {
     const { daemon, socket } = this.options;
     const { service, sharedParts, homeRegions = [] } = question;
     const message = create(RunnerQuestionSchema, {
@@ -116,13 +127,13 @@
       service,
       sharedParts: [...sharedParts],
       homeRegions: [...homeRegions],
-      excludedLives: this.excluded(question),
+      excludedLives: this.excludedLives(question),
     });
     const recipients = [parseAddress(coordinator.newsAddress)];
     socket.send(MessageKind.RUNNER_QUESTION, toBinary(RunnerQuestionSchema, message), recipients);
   }
 
-  private excluded({ tried, service, now }: ChoiceQuestion): string[] {
+  private excludedLives({ tried, service, now }: ChoiceQuestion): string[] {
     const unusable = this.options.runners
       .readyOf(service)
       .filter(({ health, pausedUntil }) => !health.isUsable(now) || pausedUntil > now)
@@ -130,47 +141,55 @@
     return [...new Set([...tried, ...unusable])].slice(0, MAXIMUM_EXCLUDED);
   }
 
-  private takeAnswer(answer: RunnerAnswer): void {
+  private handleAnswer(answer: RunnerAnswer): void {
     const { coordinator, grant, number } = answer;
-    this.health.answered(coordinator);
-    // Also where the answer comes too late: the request is counted where it went instead.
-    this.grants.set(coordinator, Math.max(grant, this.grants.get(coordinator) ?? 0));
-    const waiting = this.waiting.get(number);
-    if (waiting?.coordinator !== coordinator) return;
-    this.finish(number, waiting, this.choiceOf(answer, waiting.question));
+    this.health.recordAnswer(coordinator);
+    // Recorded for a late answer too: its request is already counted at the runner that was chosen instead.
+    this.latestGrants.set(coordinator, Math.max(grant, this.latestGrants.get(coordinator) ?? 0));
+    const pendingQuestion = this.pending.get(number);
+    if (pendingQuestion?.coordinator !== coordinator) return;
+    this.finish(number, pendingQuestion, this.acceptableChoice(answer, pendingQuestion.question));
   }
 
-  /** A coordinator may know runners that this daemon does not know yet, or not know that one drains. */
-  private choiceOf(answer: RunnerAnswer, question: ChoiceQuestion): Choice | undefined {
+  /**
+   * Checks a coordinator's choice against what this daemon knows: the coordinator may know runners that this daemon
+   * does not know yet, or may not know yet that a runner is draining.
+   */
+  private acceptableChoice(answer: RunnerAnswer, question: ChoiceQuestion): Choice | undefined {
     const { runners, choice, admission } = this.options;
     const runner = runners.ofLife(answer.life);
-    // A coordinator that does not know that the runner is cold has not counted this request against what it bears.
-    const isFit =
+    // A coordinator that does not know that the runner is cold has not counted this request against the runner's cold
+    // rate.
+    const isAcceptable =
       runner !== undefined &&
       runners.takesNewWork(runner) &&
-      admission.obstacleTo(runner, question) === undefined &&
+      admission.rejectionReasonFor(runner, question) === undefined &&
       (answer.isCold || !admission.isCold(runner, question.now));
-    if (!isFit || !isChoiceReason(answer.reason)) return choice.choose(question);
-    choice.adopt(question.sharedParts, answer.life);
+    if (!isAcceptable || !isChoiceReason(answer.reason)) return choice.choose(question);
+    choice.rememberChoice(question.sharedParts, answer.life);
     const { reason, load, meanLoad } = answer;
     return { runner, reason, load, meanLoad, cacheSource: runners.ofLife(answer.sourceLife) };
   }
 
-  private giveUp(number: number): void {
-    const waiting = this.waiting.get(number);
-    if (!waiting) return;
+  private handleTimeout(number: number): void {
+    const pendingQuestion = this.pending.get(number);
+    if (!pendingQuestion) return;
     const { clock, log, choice } = this.options;
-    const { coordinator, question } = waiting;
+    const { coordinator, question } = pendingQuestion;
     const now = clock.monotonicMilliseconds();
-    if (this.health.missed(coordinator, question.now, now)) {
-      log.write(coordinationLogEvents.coordinatorSilent, { coordinator });
+    if (this.health.recordTimeout(coordinator, question.now, now)) {
+      log.write(coordinationLogEvents.coordinatorUnresponsive, { coordinator });
     }
-    this.finish(number, waiting, choice.choose({ ...question, now }));
+    this.finish(number, pendingQuestion, choice.choose({ ...question, now }));
   }
 
-  private finish(number: number, { timer, done }: Waiting, choice: Choice | undefined): void {
+  private finish(
+    number: number,
+    { timer, done }: PendingQuestion,
+    choice: Choice | undefined,
+  ): void {
     clearTimeout(timer);
-    this.waiting.delete(number);
+    this.pending.delete(number);
     done(choice);
   }
 }
--- a/src/coordination/CoordinatorHealth.ts
+++ b/src/coordination/CoordinatorHealth.ts
@@ -1,64 +1,76 @@
 /**
- * Leaves a coordinator alone that does not answer.
+ * Failure detection for coordinators: stops asking a coordinator that does not answer, with exponential backoff.
  *
- * What goes wrong without it: a coordinator dies or freezes, and each request waits for it in vain until the
- * failure detector has dropped it, some two seconds later; one would see first answers later by the same time in a
- * quarter of the requests. The next one in order takes its place meanwhile.
+ * What goes wrong without it: a coordinator crashes or freezes, and each request waits for its answer in vain until
+ * the failure detector drops it, some two seconds later; a quarter of the requests would have their first answer
+ * delayed by that wait. Meanwhile the next coordinator in rendezvous order is asked instead.
  */
 
-/** One lost datagram or one pause of the other process is chance. */
-const MISSES = 2;
+/**
+ * Consecutive timeouts before a coordinator is skipped. One may be due to a lost datagram or to a short pause of the
+ * coordinator's process.
+ */
+const TIMEOUTS_UNTIL_SKIPPED = 2;
 
-/** First time that it is left alone, in ms; doubled with each further miss. */
-const FIRST_PAUSE_MILLISECONDS = 500;
+/** First backoff, in ms; it doubles with each further timeout. */
+const FIRST_BACKOFF_MILLISECONDS = 500;
 
-/** Longest time, in ms: a dead one is no coordinator any more by then, and one that is back is asked soon. */
-const LONGEST_PAUSE_MILLISECONDS = 3_000;
+/**
+ * Longest backoff, in ms. By then the failure detector has removed a dead coordinator, and one that has recovered is
+ * asked again soon.
+ */
+const LONGEST_BACKOFF_MILLISECONDS = 3_000;
 
-interface Silence {
-  readonly misses: number;
-  /** When the last miss was noticed, monotonic ms. */
-  readonly missedAt: number;
-  readonly until: number;
+interface TimeoutRecord {
+  readonly timeouts: number;
+  /** When the last timeout was recorded, monotonic ms. */
+  readonly lastTimeoutAt: number;
+  /** The coordinator is skipped until then, monotonic ms. */
+  readonly skippedUntil: number;
 }
 
-/** What questions that were not answered say of coordinators. */
+/** Keeps the consecutive timeouts of each coordinator and decides whether it is asked. */
 export class CoordinatorHealth {
-  private readonly silences = new Map<string, Silence>();
+  private readonly timeouts = new Map<string, TimeoutRecord>();
 
   /**
-   * @param name - of a coordinator.
-   * @param now - monotonic milliseconds.
-   * @returns Whether it is worth asking.
+   * Tells whether a coordinator should be asked now.
+   *
+   * @param name - the coordinator's name.
+   * @param now - current time, monotonic ms.
+   * @returns Whether it is not in backoff.
    */
   isUsable(name: string, now: number): boolean {
-    return now >= (this.silences.get(name)?.until ?? 0);
+    return now >= (this.timeouts.get(name)?.skippedUntil ?? 0);
   }
 
   /**
-   * @param name - of a coordinator that has answered, in time or not.
+   * Clears the timeouts of a coordinator that has answered, in time or late.
+   *
+   * @param name - the coordinator's name.
    */
-  answered(name: string): void {
-    this.silences.delete(name);
+  recordAnswer(name: string): void {
+    this.timeouts.delete(name);
   }
 
   /**
-   * Questions of the same moment count as one: a pause of this process, or a link that is full for a moment, holds up the
-   * answers to all of them, and would have it leave every coordinator alone one after the other.
+   * Records that a coordinator did not answer in time. Questions sent before the last recorded timeout do not count
+   * again: a pause of this process or a congested link delays the answers to all of them, and would otherwise put
+   * every coordinator into backoff, one after the other.
    *
-   * @param name - of a coordinator that has not answered in time.
-   * @param askedAt - when it was asked, monotonic ms.
-   * @param now - monotonic milliseconds.
-   * @returns Whether it is left alone from now on.
+   * @param name - the coordinator's name.
+   * @param askedAt - when the question was sent, monotonic ms.
+   * @param now - current time, monotonic ms.
+   * @returns Whether the coordinator is in backoff from now on.
    */
-  missed(name: string, askedAt: number, now: number): boolean {
-    const before = this.silences.get(name);
-    if (before && askedAt < before.missedAt) return false;
-    const misses = (before?.misses ?? 0) + 1;
-    const pause = FIRST_PAUSE_MILLISECONDS * 2 ** (misses - MISSES);
-    const isSilent = misses >= MISSES;
-    const until = isSilent ? now + Math.min(LONGEST_PAUSE_MILLISECONDS, pause) : 0;
-    this.silences.set(name, { misses, missedAt: now, until });
-    return isSilent;
+  recordTimeout(name: string, askedAt: number, now: number): boolean {
+    const previous = this.timeouts.get(name);
+    if (previous && askedAt < previous.lastTimeoutAt) return false;
+    const timeouts = (previous?.timeouts ?? 0) + 1;
+    const backoff = FIRST_BACKOFF_MILLISECONDS * 2 ** (timeouts - TIMEOUTS_UNTIL_SKIPPED);
+    const isSkipped = timeouts >= TIMEOUTS_UNTIL_SKIPPED;
+    const skippedUntil = isSkipped ? now + Math.min(LONGEST_BACKOFF_MILLISECONDS, backoff) : 0;
+    this.timeouts.set(name, { timeouts, lastTimeoutAt: now, skippedUntil });
+    return isSkipped;
   }
 }
--- a/src/coordination/FleetCoordination.spec.ts
+++ b/src/coordination/FleetCoordination.spec.ts
@@ -19,12 +19,12 @@
 
 const STEP_MILLISECONDS = 100;
 
-/** Within which a dead daemon has to be found out, in ms. */
-const AIM_MILLISECONDS = 3_000;
+/** Time within which a dead daemon has to be detected, in ms. */
+const DETECTION_MILLISECONDS = 3_000;
 
 const LONGEST_PAUSE_MILLISECONDS = 1_000;
 
-/** Others at their addresses: the dead ones refuse, the others answer and hear the dead ones no more. */
+/** Other daemons: the dead ones refuse probes, and the others answer them and report the dead ones as unresponsive. */
 class ScriptedPeers extends LivenessPeers {
   readonly dead = new Set<string>();
 
@@ -45,9 +45,9 @@
 }
 
 describe(FleetCoordination.name, () => {
-  // Symptom: after a daemon has died, what the first daemon of the list does for all is done by nobody, requests wait
-  // for a coordinator that is not there, and a daemon in an outage asks dead ones. Cause: the store's list was taken for
-  // the list of those that live, as in the directory.
+  // Guards against using the store's list of daemons as the list of those that are alive, as the directory did. Once a
+  // daemon has died, nothing does the first daemon's work for all, requests wait for a coordinator that is gone, and a
+  // daemon asks dead ones during an outage of the store.
   let clock: ManualClock;
   let log: MemoryLog;
   let peers: ScriptedPeers;
@@ -85,7 +85,7 @@
       log,
       readMilliseconds: 800,
       readStore: () => undefined,
-      fetchConfiguration: () => Promise.reject(new Error('nobody has one')),
+      fetchConfiguration: () => Promise.reject(new Error('no test daemon has a configuration')),
       isLeaving: () => false,
       livenessPeers: peers,
       connections: { release: () => undefined },
@@ -103,16 +103,16 @@
     for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
       clock.advance(STEP_MILLISECONDS);
       mock.timers.tick(STEP_MILLISECONDS);
-      // Answers of the scripted peers arrive within the step.
+      // Lets the answers of the scripted peers arrive within the step.
       for (let turn = 0; turn < 5; turn += 1) await Promise.resolve();
     }
   }
 
-  it('lets the next daemon act for all where the first one has died', async () => {
+  it('lets the next daemon act for the fleet when the first one has died', async () => {
     const coordination = start(5);
     peers.dead.add('daemon-00').add('daemon-01');
     expect(coordination.isFirst).toEqual(false);
-    await pass(AIM_MILLISECONDS);
+    await pass(DETECTION_MILLISECONDS);
     expect(coordination.isFirst).toEqual(true);
     expect(coordination.namesOfInformed()).toEqual(['daemon-02', 'daemon-03', 'daemon-04']);
     expect(log.of(livenessLogEvents.daemonsOut).flatMap(({ daemons }) => daemons)).toEqual([
@@ -121,28 +121,28 @@
     ]);
   });
 
-  it('asks only those that live, and tells also those that it does not hear', async () => {
+  it('asks only live daemons, and sends load reports to unresponsive ones too', async () => {
     const coordination = start(5);
     peers.dead.add('daemon-04');
-    await pass(AIM_MILLISECONDS);
+    await pass(DETECTION_MILLISECONDS);
     const names = ['daemon-00', 'daemon-01', 'daemon-03'];
     expect(coordination.livingOthers().map(({ name }) => name)).toEqual(names);
     expect(coordination.newsRecipients().length).toEqual(4);
   });
 
-  it('has the next daemon in order coordinate where a coordinator has died, and the same when it is back', async () => {
+  it('replaces a dead coordinator by the next daemon in order, and reinstates it when it is back', async () => {
     const coordination = start(20);
     const before = coordination.coordinators.map(({ name }) => name);
     const [first] = before.filter((name) => name !== 'daemon-02');
     peers.dead.add(first ?? '');
-    await pass(AIM_MILLISECONDS);
+    await pass(DETECTION_MILLISECONDS);
     const isDead = (name: string) => peers.dead.has(name);
     const daemons = Array.from({ length: 20 }, (_, index) => daemonOf(index));
     const expected = coordinatorsOf(daemons, isDead).map(({ name }) => name);
     expect(coordination.coordinators.map(({ name }) => name)).toEqual(expected);
     expect(expected.length).toEqual(before.length);
     peers.dead.clear();
-    await pass(AIM_MILLISECONDS);
+    await pass(DETECTION_MILLISECONDS);
     expect(coordination.coordinators.map(({ name }) => name)).toEqual(before);
     expect(log.of(livenessLogEvents.daemonsBack).length).toEqual(1);
   });
--- a/src/coordination/FleetCoordination.ts
+++ b/src/coordination/FleetCoordination.ts
@@ -1,6 +1,6 @@
 /**
- * Puts the parts of coordination together: who coordinates now, what this daemon does for the others, and what they
- * do for it.
+ * Connects the parts of fleet coordination: determines which daemons coordinate, what this daemon does for the others,
+ * and what they do for it.
  */
 import type { RunnerConnections } from '../forwarding/RunnerConnections.js';
 import { MessageKind } from '../generated/baobabdock/v1/news_pb.js';
@@ -21,7 +21,7 @@
 import type { Clock } from '../time/Clock.js';
 import { ChoiceServer } from './ChoiceServer.js';
 import { CoordinatedSelector } from './CoordinatedSelector.js';
-import { coordinatorsAmong, readersOf, tellersOf, watchersOf } from './coordinatorsOf.js';
+import { coordinatorsAmong, storeReadersOf, tellersOf, watchersOf } from './coordinatorsOf.js';
 import type { GrantLedger } from './GrantLedger.js';
 import { LeaveNotices } from './LeaveNotices.js';
 import { livenessDuties } from './livenessDuties.js';
@@ -29,7 +29,7 @@
 
 /** Options of a {@link FleetCoordination}. */
 export interface FleetCoordinationOptions {
-  /** This daemon as others know it. */
+  /** This daemon's entry in the list of daemons. */
   daemon: DaemonEntry;
   knowledge: FleetKnowledge;
   choice: RunnerChoice;
@@ -38,70 +38,70 @@
   store: FleetStore;
   clock: Clock;
   log: Log;
-  /** Longest time between two reads of the store by a reader, in ms. */
+  /** Longest time between two reads of the store by a store reader, in ms. */
   readMilliseconds: number;
-  /** Reads the store once: what has changed since the last read, or everything. */
+  /** Reads the store once: the changes since the last read, or everything. */
   readStore: (what: 'changes' | 'everything') => void;
-  /** Asks another daemon for its configuration. */
+  /** Fetches the configuration of another daemon. */
   fetchConfiguration: (peerAddress: string) => Promise<RoutingConfiguration>;
-  /** Kept to runners. */
+  /** Connections to runners; those to a leaving runner are released once their requests have ended. */
   connections: Pick<RunnerConnections, 'release'>;
-  /** Whether this daemon is in a planned stop. */
+  /** Whether this daemon is shutting down as planned. */
   isLeaving: () => boolean;
-  /** Calls other daemons about who is alive; replaced by tests. */
+  /** Calls other daemons for probes and indirect probes; replaced by tests. */
   livenessPeers?: LivenessPeers;
-  /** Longest pause between two messages of a daemon with its news, in ms. */
+  /** Longest pause between two load reports of a daemon, in ms. */
   longestPauseMilliseconds: () => number;
 }
 
 /**
- * What readers tell is good for this many times the longest pause between their reads: a read takes up to a third of it
- * longer, and with the pause at 0.4 of the time in which changes must be in force, a daemon that hears of none any
- * more still reads the store itself in time.
+ * How long relayed store changes count as current, as a multiple of the longest pause between two reads of a store
+ * reader. A read takes up to a third of that pause longer. With the pause at 0.4 of the time in which changes must be
+ * in force, a daemon that receives no more changes still reads the store itself in time.
  */
 const FRESH_READS = 1.5;
 
-/** Versions of the configuration are read at most this often, as a share of the time between reads. */
+/** Shortest time between two reads of the configuration, as a share of the time between reads of the store. */
 const CONFIGURATION_SHARE = 0.5;
 
 /**
- * Of a daemon that others read for: they notice the store's return and tell it. Every call has its price, those to a
- * store that is away too.
+ * Backoff of a daemon that others read the store for, in ms. It may be long: the store readers notice that the store
+ * is back and broadcast it, and calls cost the store something even while it is unavailable.
  */
 const FOLLOWER_PAUSES: StorePauses = { firstMilliseconds: 500, longestMilliseconds: 3_000 };
 
-/** See the module's comment. */
+/** Owns the coordination parts of one daemon, and derives its roles from the list of daemons and from who is alive. */
 export class FleetCoordination {
   readonly selector: CoordinatedSelector;
 
   readonly relay: StoreRelay;
 
-  /** Which runners may get a request. */
+  /** Decides which runners may get a request. */
   readonly admission: RunnerAdmission;
 
-  /** Which runners have said that they leave. */
+  /** Tracks the runners that have announced their shutdown. */
   readonly leaveNotices: LeaveNotices;
 
-  /** Answers other daemons' questions about who is alive. */
+  /** Answers other daemons' probes and indirect probes. */
   readonly livenessPeers: LivenessPeers;
 
-  /** Which of the listed daemons are alive. */
+  /** Failure detector for the listed daemons. */
   readonly liveness: LivenessTask;
 
   private readonly options: FleetCoordinationOptions;
 
-  private keptWatchers: readonly DaemonEntry[] = [];
+  private cachedMonitors: readonly DaemonEntry[] = [];
 
-  private keptCoordinators: readonly DaemonEntry[] = [];
+  private cachedCoordinators: readonly DaemonEntry[] = [];
 
-  /** How often the list of daemons, and who of them is alive, had changed when these were taken from it. */
-  private keptAtChange = '';
+  /** Version of the list of daemons and of the failure detector's results that the cached roles were derived from. */
+  private cachedAtVersion = '';
 
-  private readonly parsed = new Map<string, HostAndPort>();
+  private readonly parsedAddresses = new Map<string, HostAndPort>();
 
   /**
-   * @param options - of the daemon.
-   * @param socket - by which daemons exchange datagrams.
+   * @param options - this daemon, the fleet state and the store.
+   * @param socket - exchanges datagrams with other daemons.
    */
   constructor(options: FleetCoordinationOptions, socket: FleetSocket) {
     this.options = options;
@@ -109,7 +109,7 @@
     const { daemon, knowledge, choice, admission, grants, store, clock, log } = options;
     const { fetchConfiguration } = options;
     const { readMilliseconds, readStore, isLeaving, longestPauseMilliseconds } = options;
-    const others = () => this.addressesOf(knowledge.daemons.values());
+    const others = () => this.addressesOfOthers(knowledge.daemons.values());
     this.livenessPeers =
       options.livenessPeers ??
       new LivenessPeers({
@@ -129,7 +129,7 @@
         livenessDuties({
           daemon: daemon.name,
           listed: [...knowledge.daemons.values()],
-          watchers: this.watchers,
+          monitors: this.monitors,
         }),
       others,
       longestPauseMilliseconds,
@@ -150,11 +150,11 @@
       connections: options.connections,
       socket,
       log,
-      reportTo: () => this.newsRecipients(),
-      tellTo: () => this.tellRecipients(),
+      reportRecipients: () => this.newsRecipients(),
+      broadcastRecipients: () => this.tellRecipients(),
     });
     const server = new ChoiceServer({ daemon: daemon.name, socket, choice, grants, clock });
-    socket.handle(MessageKind.RUNNER_QUESTION, (message) => server.take(message));
+    socket.handle(MessageKind.RUNNER_QUESTION, (message) => server.handleQuestion(message));
     this.relay = new StoreRelay({
       daemon: daemon.name,
       socket,
@@ -165,8 +165,8 @@
       isReader: () => this.isReader,
       hasReaders: () => this.coordinators.length > 0,
       others,
-      onHeard: (name) => this.liveness.heard(name),
-      onTold: () => this.liveness.toldOtherwise(),
+      onMessage: (name) => this.liveness.heard(name),
+      onBroadcast: () => this.liveness.toldOtherwise(),
       readStore,
       fetchConfiguration,
       freshMilliseconds: readMilliseconds * FRESH_READS,
@@ -174,44 +174,56 @@
     });
   }
 
-  /** @returns The coordinators; none in a small fleet. */
+  /** @returns The coordinators; empty in a small fleet. */
   get coordinators(): readonly DaemonEntry[] {
-    this.takeRoles();
-    return this.keptCoordinators;
+    this.updateRoles();
+    return this.cachedCoordinators;
   }
 
-  /** @returns Those that all daemons send their news; none in a small fleet, where all tell all. */
-  private get watchers(): readonly DaemonEntry[] {
-    this.takeRoles();
-    return this.keptWatchers;
+  /**
+   * @returns The monitors, to which all daemons send their load reports; empty in a small fleet, where every daemon
+   * sends to every other one.
+   */
+  private get monitors(): readonly DaemonEntry[] {
+    this.updateRoles();
+    return this.cachedMonitors;
   }
 
-  /** @returns Whether this daemon reads the store for all others of a large fleet. */
+  /** @returns Whether this daemon reads the store on behalf of all others in a large fleet. */
   get isReader(): boolean {
-    return readersOf(this.coordinators).some(({ name }) => name === this.options.daemon.name);
+    return storeReadersOf(this.coordinators).some(({ name }) => name === this.options.daemon.name);
   }
 
   /**
-   * Those that are out of use are told too in a small fleet: one that this daemon does not hear may hear it.
+   * Returns the recipients of this daemon's load reports. In a small fleet unavailable daemons are included: a daemon
+   * that this one cannot receive from may still receive from it.
    *
-   * @returns Who is told what this daemon has at runners.
+   * @returns Addresses of the recipients.
    */
   newsRecipients(): HostAndPort[] {
-    const { watchers } = this;
+    const { monitors } = this;
     const { knowledge } = this.options;
-    return this.addressesOf(watchers.length > 0 ? watchers : knowledge.daemons.values());
+    return this.addressesOfOthers(monitors.length > 0 ? monitors : knowledge.daemons.values());
   }
 
-  /** @returns Whom this daemon tells what others have reported to it; nobody in a small fleet, where all hear all. */
+  /**
+   * Returns the recipients of what other daemons have reported to this one.
+   *
+   * @returns Addresses of all other daemons if this daemon broadcasts; empty otherwise, and in a small fleet, where
+   * every daemon sends to every other one.
+   */
   tellRecipients(): HostAndPort[] {
-    const isTeller = tellersOf(this.watchers).some(({ name }) => name === this.options.daemon.name);
-    return isTeller ? this.addressesOf(this.options.knowledge.daemons.values()) : [];
+    const isBroadcaster = tellersOf(this.monitors).some(
+      ({ name }) => name === this.options.daemon.name,
+    );
+    return isBroadcaster ? this.addressesOfOthers(this.options.knowledge.daemons.values()) : [];
   }
 
   /**
-   * The first of them acts for all, so that a dead one must not be among them.
+   * Returns the daemons that know where all shared prompts are cached. The first of them acts for all, so a dead
+   * daemon must not be among them.
    *
-   * @returns Names of the daemons that know where all shared prompts are cached.
+   * @returns Their names.
    */
   namesOfInformed(): string[] {
     const { coordinators } = this;
@@ -221,20 +233,23 @@
     return living.length > 0 ? living : [daemon.name];
   }
 
-  /** @returns Whether this daemon is listed and comes first by name among those that live: it acts for all. */
+  /**
+   * @returns Whether this daemon acts for the whole fleet: it is listed and has the lowest name of all available
+   * daemons.
+   */
   get isFirst(): boolean {
     const { daemon, knowledge } = this.options;
     if (!knowledge.daemons.has(daemon.name)) return false;
     return this.livingOthers().every(({ name }) => daemon.name < name);
   }
 
-  /** @returns All listed daemons but this one. */
+  /** @returns All listed daemons except this one. */
   otherDaemons(): DaemonEntry[] {
     const { daemon, knowledge } = this.options;
     return [...knowledge.daemons.values()].filter(({ name }) => name !== daemon.name);
   }
 
-  /** @returns Those of the other daemons that are not known to have died or to stop. */
+  /** @returns The other daemons that are not known to be dead or shutting down. */
   livingOthers(): DaemonEntry[] {
     return this.otherDaemons().filter(({ name }) => !this.liveness.isOut(name));
   }
@@ -246,32 +261,37 @@
   }
 
   /**
-   * @param news - of a daemon that counts its requests.
+   * Handles a load report: notes that its sender is alive and which grants of this daemon it has counted.
+   *
+   * @param news - the load report of another daemon.
    */
   takeNews({ daemon, grants, isLeaving }: DaemonNews): void {
     this.liveness.heard(daemon, isLeaving);
     const own = grants.find(({ coordinator }) => coordinator === this.options.daemon.name);
-    if (own) this.options.grants.counted(daemon, own.grant);
+    if (own) this.options.grants.acknowledge(daemon, own.grant);
   }
 
-  /** Each request and each message asks for the coordinators, and ordering 195 daemons takes 0.28 ms. */
-  private takeRoles(): void {
+  /**
+   * Derives the roles again when the list or the liveness of daemons has changed. They are cached because each request
+   * and each message asks for the coordinators, and ordering 195 daemons takes 0.28 ms.
+   */
+  private updateRoles(): void {
     const { knowledge } = this.options;
     const { liveness } = this;
     const state = `${knowledge.daemonChanges} ${liveness.changes}`;
-    if (this.keptAtChange === state) return;
-    this.keptAtChange = state;
+    if (this.cachedAtVersion === state) return;
+    this.cachedAtVersion = state;
     const listed = [...knowledge.daemons.values()];
     const isOut = (name: string) => liveness.isOut(name);
-    this.keptWatchers = watchersOf(listed, isOut);
-    this.keptCoordinators = coordinatorsAmong(this.keptWatchers, listed);
+    this.cachedMonitors = watchersOf(listed, isOut);
+    this.cachedCoordinators = coordinatorsAmong(this.cachedMonitors, listed);
   }
 
-  private addressesOf(daemons: Iterable<DaemonEntry>): HostAndPort[] {
+  private addressesOfOthers(daemons: Iterable<DaemonEntry>): HostAndPort[] {
     const others = [...daemons].filter(({ name }) => name !== this.options.daemon.name);
     return others.map(({ newsAddress }) => {
-      const known = this.parsed.get(newsAddress) ?? parseAddress(newsAddress);
-      this.parsed.set(newsAddress, known);
+      const known = this.parsedAddresses.get(newsAddress) ?? parseAddress(newsAddress);
+      this.parsedAddresses.set(newsAddress, known);
       return known;
     });
   }
--- a/src/coordination/GrantLedger.ts
+++ b/src/coordination/GrantLedger.ts
@@ -1,13 +1,16 @@
 /**
- * Requests that this coordinator has given runners to and that their daemons do not count yet.
+ * Requests that this coordinator has assigned to runners and that the asking daemons have not reported yet.
  *
- * What goes wrong without it: between a coordinator's answer and the asking daemon's next message the request is
- * counted nowhere. A burst of requests for one prompt within that time all go to the same runner; one would see a
- * runner with several times the mean just when a prompt becomes popular.
+ * What goes wrong without it: between a coordinator's answer and the asking daemon's next load report, a request is
+ * counted nowhere. A burst of requests for one prompt within that time all goes to the same runner, which then has
+ * several times the mean load just when a prompt becomes popular.
  */
 
-/** A grant whose daemon never counts it: the answer came too late, or the daemon has died; in ms. */
-const LIFE_MILLISECONDS = 1_000;
+/**
+ * Lifetime of a grant, in ms. It covers a grant that its daemon never reports because the answer came too late or the
+ * daemon has died.
+ */
+const GRANT_LIFETIME_MILLISECONDS = 1_000;
 
 interface Grant {
   readonly number: number;
@@ -15,68 +18,74 @@
   readonly at: number;
 }
 
-/** Grants by daemon, the oldest first. */
+/** Keeps the outstanding grants of each daemon, the oldest first, and their number per runner. */
 export class GrantLedger {
   private readonly byDaemon = new Map<string, Grant[]>();
 
-  private readonly totals = new Map<string, number>();
+  private readonly outstanding = new Map<string, number>();
 
   private lastNumber = 0;
 
   /**
-   * @param daemon - that asked.
-   * @param life - of the runner that it was told.
-   * @param now - monotonic milliseconds.
-   * @returns Names the grant in that daemon's news.
+   * Records that a daemon was given a runner.
+   *
+   * @param daemon - name of the asking daemon.
+   * @param life - incarnation of the chosen runner.
+   * @param now - current time, monotonic ms.
+   * @returns The grant's number, which the daemon's load reports refer to.
    */
   grant(daemon: string, life: string, now: number): number {
     this.lastNumber += 1;
     const grants = this.byDaemon.get(daemon) ?? [];
     grants.push({ number: this.lastNumber, life, at: now });
     this.byDaemon.set(daemon, grants);
-    this.totals.set(life, this.of(life) + 1);
+    this.outstanding.set(life, this.of(life) + 1);
     return this.lastNumber;
   }
 
   /**
-   * @param daemon - whose news count its requests from now on.
-   * @param number - of the latest grant among them.
+   * Drops the grants that a daemon's load reports include from now on.
+   *
+   * @param daemon - name of the reporting daemon.
+   * @param number - its latest grant that the load report includes.
    */
-  counted(daemon: string, number: number): void {
+  acknowledge(daemon: string, number: number): void {
     this.drop(daemon, (grant) => grant.number <= number);
   }
 
   /**
-   * Forgets grants that were never taken up.
+   * Drops grants that their daemons never reported.
    *
-   * @param now - monotonic milliseconds.
+   * @param now - current time, monotonic ms.
    */
   expire(now: number): void {
     for (const daemon of this.byDaemon.keys()) {
-      this.drop(daemon, ({ at }) => now - at > LIFE_MILLISECONDS);
+      this.drop(daemon, ({ at }) => now - at > GRANT_LIFETIME_MILLISECONDS);
     }
   }
 
   /**
-   * @param life - of a runner.
-   * @returns Requests given to it that nobody else counts.
+   * Counts the outstanding grants of a runner.
+   *
+   * @param life - the runner's incarnation.
+   * @returns Requests assigned to the runner that no load report includes yet.
    */
   of(life: string): number {
-    return this.totals.get(life) ?? 0;
+    return this.outstanding.get(life) ?? 0;
   }
 
-  private drop(daemon: string, isOver: (grant: Grant) => boolean): void {
+  private drop(daemon: string, isEnded: (grant: Grant) => boolean): void {
     const grants = this.byDaemon.get(daemon);
     if (!grants) return;
-    const kept = grants.filter((grant) => !isOver(grant));
-    for (const grant of grants) if (isOver(grant)) this.release(grant.life);
+    const kept = grants.filter((grant) => !isEnded(grant));
+    for (const grant of grants) if (isEnded(grant)) this.release(grant.life);
     if (kept.length > 0) this.byDaemon.set(daemon, kept);
     else this.byDaemon.delete(daemon);
   }
 
   private release(life: string): void {
     const total = this.of(life) - 1;
-    if (total === 0) this.totals.delete(life);
-    else this.totals.set(life, total);
+    if (total === 0) this.outstanding.delete(life);
+    else this.outstanding.set(life, total);
   }
 }
--- a/src/coordination/LeaveNotices.spec.ts
+++ b/src/coordination/LeaveNotices.spec.ts
@@ -14,7 +14,7 @@
 
 const LIFE = 'runner-1@1';
 
-/** Rounds of messages until nothing is left to send. */
+/** Rounds of message delivery, after which nothing is left to send. */
 const ROUNDS = 12;
 
 function daemonOf(index: number): DaemonEntry {
@@ -23,8 +23,8 @@
   return { name: `daemon-${index}`, dataCentre: 'here', ...addresses };
 }
 
-/** Tells one daemon that a runner leaves; returns how many daemons know of it in the end. */
-function knowing(count: number, loss: number): number {
+/** Notifies one daemon that a runner leaves, and returns how many daemons know of it in the end. */
+function countInformed(count: number, loss: number): number {
   const random = seededRandom(count);
   const listed = Array.from({ length: count }, (_, index) => daemonOf(index));
   const watchers = watchersOf(listed);
@@ -41,7 +41,7 @@
       entries
         .filter((entry) => entry.name !== name)
         .map((entry) => parseAddress(entry.newsAddress));
-    const isTeller = tellersOf(watchers).some((teller) => teller.name === name);
+    const isBroadcaster = tellersOf(watchers).some((teller) => teller.name === name);
     const runners = new RunnerTable();
     const leaving = new LeaveNotices({
       daemon: name,
@@ -52,8 +52,8 @@
         send: (_kind, message, recipients) => send(message, recipients),
       },
       log: new SilentLog(),
-      reportTo: () => others(watchers.length > 0 ? watchers : listed),
-      tellTo: () => (isTeller ? others(listed) : []),
+      reportRecipients: () => others(watchers.length > 0 ? watchers : listed),
+      broadcastRecipients: () => (isBroadcaster ? others(listed) : []),
       later: (call) => calls.push(call),
     });
     return { runners, leaving };
@@ -69,8 +69,8 @@
 
 describe(LeaveNotices.name, () => {
   for (const count of [2, 9, 20, 66, 195, 390]) {
-    it(`tells all daemons what one has heard, though messages get lost: ${count} daemons`, () => {
-      expect(knowing(count, 0.05)).toEqual(count);
+    it(`forwards a notice from one daemon to all others in spite of message loss: ${count} daemons`, () => {
+      expect(countInformed(count, 0.05)).toEqual(count);
     });
   }
 });
--- a/src/coordination/LeaveNotices.ts
+++ b/src/coordination/LeaveNotices.ts
@@ -1,6 +1,6 @@
 /**
- * Runners that have said in their answers that they leave: they get no more requests from any daemon, whatever the store
- * lists.
+ * Runners that have announced their shutdown in an answer. No daemon sends them further requests, whatever state the
+ * store lists them in.
  */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 
@@ -22,25 +22,25 @@
   connections: Pick<RunnerConnections, 'release'>;
   socket: Pick<FleetSocket, 'handle' | 'send'>;
   log: Log;
-  /** Those that all daemons tell. */
-  reportTo: () => readonly HostAndPort[];
-  /** Those that this daemon tells what others have told it. */
-  tellTo: () => readonly HostAndPort[];
-  /** Calls later; replaced by tests. */
+  /** Daemons that every daemon reports to. */
+  reportRecipients: () => readonly HostAndPort[];
+  /** Daemons that this daemon forwards others' reports to. */
+  broadcastRecipients: () => readonly HostAndPort[];
+  /** Schedules a call; replaced by tests. */
   later?: Later;
 }
 
-/** Lives that fit into a datagram of 1,400 bytes. */
+/** Incarnations that fit into a datagram of 1,400 bytes. */
 const LIVES_IN_DATAGRAM = 24;
 
-/** Takes the word of runners and of other daemons, and passes it on. */
+/** Marks leaving runners, learnt from the runners themselves or from other daemons, and forwards the notices. */
 export class LeaveNotices {
   private readonly options: LeaveNoticesOptions;
 
   private readonly news: RepeatedNews;
 
   /**
-   * @param options - runners, and who is told.
+   * @param options - the runners and the daemons to notify.
    */
   constructor(options: LeaveNoticesOptions) {
     const { daemon, socket, later } = options;
@@ -53,40 +53,44 @@
   }
 
   /**
-   * @param life - of a runner that has told this daemon that it leaves.
+   * Records a notice that this daemon received from the runner itself.
+   *
+   * @param life - incarnation of the leaving runner.
    */
   heard(life: string): void {
     this.mark(life);
   }
 
   /**
-   * @param lives - of runners that have told another daemon.
-   * @param teller - that daemon.
+   * Records notices that another daemon has sent.
+   *
+   * @param lives - incarnations of the leaving runners.
+   * @param sender - name of the daemon that sent the notices.
    */
-  learn(lives: readonly string[], teller: string): void {
-    for (const life of lives) this.mark(life, teller);
+  learn(lives: readonly string[], sender: string): void {
+    for (const life of lives) this.mark(life, sender);
   }
 
-  /** Tells others no more. */
+  /** Stops sending notices. */
   stop(): void {
     this.news.stop();
   }
 
-  private mark(life: string, teller?: string): void {
+  private mark(life: string, sender?: string): void {
     const { runners, connections, log } = this.options;
     if (!runners.markLeaving(life)) return;
     connections.release(life);
-    log.write(coordinationLogEvents.runnerLeaves, { life, toldBy: teller ?? 'runner' });
-    this.news.add({ key: life, isSeen: teller === undefined });
+    log.write(coordinationLogEvents.runnerLeaves, { life, toldBy: sender ?? 'runner' });
+    this.news.add({ key: life, isSeen: sender === undefined });
   }
 
   private send(news: readonly WaitingNews[]): void {
-    const { reportTo, tellTo } = this.options;
+    const { reportRecipients, broadcastRecipients } = this.options;
     this.sendTo(
       news.filter(({ isSeen }) => isSeen),
-      reportTo(),
+      reportRecipients(),
     );
-    this.sendTo(news, tellTo());
+    this.sendTo(news, broadcastRecipients());
   }
 
   private sendTo(news: readonly WaitingNews[], recipients: readonly HostAndPort[]): void {
--- a/src/coordination/StoreRelay.spec.ts
+++ b/src/coordination/StoreRelay.spec.ts
@@ -10,7 +10,9 @@
 import { ManualClock } from '../time/ManualClock.js';
 import { StoreRelay } from './StoreRelay.js';
 
+/** How long a broadcast counts as current, in ms. */
 const FRESH_MILLISECONDS = 1_500;
+/** More facts than fit into two datagrams. */
 const FACTS = 12;
 
 function runnerOf(index: number): RunnerEntry {
@@ -19,8 +21,8 @@
   return { id, life: id, service: 'chat', state: 'ready', ...place };
 }
 
-/** Hands messages over without a network. */
-class HandedSocket extends FleetSocket {
+/** Captures messages, which the test delivers without a network. */
+class CapturingSocket extends FleetSocket {
   readonly sent: Uint8Array[] = [];
 
   constructor() {
@@ -32,7 +34,7 @@
   }
 }
 
-/** One daemon's beliefs with its relay. */
+/** Creates the fleet state of one daemon and its relay. */
 function createDaemon(
   name: string,
   clock: ManualClock,
@@ -40,7 +42,7 @@
   later: (call: () => void) => void = setImmediate,
 ) {
   const { knowledge } = createTestKnowledge();
-  const socket = new HandedSocket();
+  const socket = new CapturingSocket();
   const reads: string[] = [];
   let take: (message: Uint8Array) => void = () => undefined;
   socket.handle = (_kind, handler) => {
@@ -57,7 +59,7 @@
     hasReaders: () => true,
     others: () => [],
     readStore: (what) => reads.push(what),
-    fetchConfiguration: () => Promise.reject(new Error('nobody answers')),
+    fetchConfiguration: () => Promise.reject(new Error('no test daemon answers')),
     freshMilliseconds: FRESH_MILLISECONDS,
     configurationMilliseconds: 100,
     later,
@@ -99,15 +101,15 @@
     coordinator.knowledge.applyChanges({ revision, facts: [fact] }, clock.monotonicMilliseconds());
   }
 
-  it('leaves a daemon that has read the store itself to the readers for as long as after their word', () => {
-    // Guards against a second read by each daemon that starts, before the readers had the time to tell.
+  it('counts a read of its own as current for as long as a broadcast of the store readers', () => {
+    // Guards against a second read by each daemon that starts, before the store readers had time to broadcast.
     follower.relay.readDone();
     expect(follower.relay.isFresh).toEqual(true);
     clock.advance(FRESH_MILLISECONDS);
     expect(follower.relay.isFresh).toEqual(false);
   });
 
-  it('tells changes, and that there are none, for as long as it reads', () => {
+  it('broadcasts after each read, whether or not anything has changed', () => {
     coordinator.relay.readDone();
     coordinator.sent.forEach(follower.take);
     expect(follower.relay.isFresh).toEqual(true);
@@ -120,7 +122,7 @@
     expect(follower.reads).toEqual([]);
   });
 
-  it('tells more changes than a datagram holds in several', () => {
+  it('splits changes that exceed one datagram', () => {
     for (let index = 1; index <= FACTS; index += 1) change(index, 5 + index);
     coordinator.relay.readDone();
     expect(coordinator.sent.length).toEqual(3);
@@ -129,34 +131,34 @@
     expect([follower.relay.isFresh, follower.reads]).toEqual([true, []]);
   });
 
-  it('lets many datagrams follow each other at a pace', () => {
-    // Symptom: half of 195 daemons hear two seconds late that runners leave. Sequence: 20 daemons lose their leases at
-    // the same moment and register anew; ten coordinators tell of it in up to eight datagrams to each daemon, all at
-    // once. Cause: queues on the way were full, and dropped them, with what else they told.
+  it('paces a broadcast of many datagrams', () => {
+    // Guards against late notices of leaving runners: half of 195 daemons got them two seconds late. When 20 daemons
+    // lost their leases at the same moment and registered again, ten coordinators each sent up to eight datagrams to
+    // every daemon at once. Queues on the network path overflowed and dropped them along with other news.
     const later: (() => void)[] = [];
-    const teller = createDaemon('daemon-1', clock, true, (call) => later.push(call));
-    teller.knowledge.applyAll({ revision: 5, facts: [{ kind: 'runner', runner: runnerOf(0) }] }, 0);
-    teller.knowledge.changeLog.restart(5);
+    const reader = createDaemon('daemon-1', clock, true, (call) => later.push(call));
+    reader.knowledge.applyAll({ revision: 5, facts: [{ kind: 'runner', runner: runnerOf(0) }] }, 0);
+    reader.knowledge.changeLog.restart(5);
     const facts = Array.from({ length: 35 }, (_, index) => {
       const revision = 6 + index;
       return { kind: 'runner', runner: runnerOf(1 + index), revision } as const;
     });
-    teller.knowledge.applyChanges({ revision: 40, facts }, 0);
-    teller.relay.readDone();
-    const sent = [teller.sent.length];
+    reader.knowledge.applyChanges({ revision: 40, facts }, 0);
+    reader.relay.readDone();
+    const sent = [reader.sent.length];
     while (later.length > 0) {
       later.shift()?.();
-      sent.push(teller.sent.length);
+      sent.push(reader.sent.length);
     }
     expect(sent).toEqual([3, 6, 7]);
-    teller.sent.forEach(follower.take);
+    reader.sent.forEach(follower.take);
     expect([lives().length, follower.relay.isFresh, follower.reads]).toEqual([36, true, []]);
   });
 
-  it('tells changes in the order of their revisions, in whatever order it learnt of them', () => {
-    // Symptom: a daemon keeps a runner that all others have dropped. Sequence: a coordinator reads everything anew, and
-    // learns of changes with revisions that lie before others. Cause: a datagram with older changes that comes behind
-    // a newer one is taken for old news.
+  it('broadcasts changes in the order of their revisions, whatever order it learnt them in', () => {
+    // Guards against a daemon that keeps a runner which all others have dropped. A coordinator that reads everything
+    // again learns of changes out of order, and a datagram with older changes that follows a newer one is ignored as
+    // outdated.
     const facts = [30, 29, 28, 27, 26, 25, 24, 23, 22, 21, 20, 19].map(
       (revision) => ({ kind: 'runner', runner: runnerOf(revision), revision }) as const,
     );
@@ -166,9 +168,9 @@
     expect(lives().length).toEqual(13);
   });
 
-  it('has the store read where a datagram was lost and its changes are told no more', () => {
-    // Symptom: a daemon sends requests to a runner that has left, seconds after all others stopped. Sequence: the
-    // datagram that told of it is lost, and later ones say only what came after. Cause: the gap was not looked for.
+  it('reads the store after the loss of a datagram whose changes are no longer broadcast', () => {
+    // Guards against requests to a runner that has left, seconds after all other daemons stopped sending them. The
+    // datagram with that change is lost, later ones carry only later changes, and the gap goes unnoticed.
     change(1, 6);
     coordinator.relay.readDone();
     coordinator.sent.length = 0;
@@ -180,9 +182,10 @@
     expect(follower.relay.isFresh).toEqual(false);
   });
 
-  it('reads everything anew where its list stays another one', () => {
-    // Symptom: one daemon keeps a runner that is gone for good. Sequence: a coordinator drops an entry that did not
-    // come back after an outage, at a revision that the daemon had reached. Cause: the change was too old to be taken.
+  it('reads everything when its listing keeps differing', () => {
+    // Guards against a daemon that keeps a removed runner for good. A coordinator drops an entry that did not come
+    // back after an outage, at a revision that the daemon had already reached, so the daemon ignores the change as
+    // outdated.
     coordinator.knowledge.applyChanges(
       { revision: 5, facts: [{ kind: 'runner_gone', id: 'runner-0', revision: 5 }] },
       0,
@@ -193,11 +196,11 @@
     expect(follower.relay.isFresh).toEqual(false);
   });
 
-  it('drops a runner that one coordinator takes for gone and another one only for missing', () => {
-    // Symptom: a daemon that was never cut off sends requests to a runner 4.1 s after it left. Sequence: a coordinator
-    // returns from a cut and keeps the runner, whose entry is gone, as one that may be back; it tells the revision that
-    // it has reached; then a coordinator that was in touch all the while tells that the runner is gone. Cause: the
-    // daemon had reached that revision already, and took the removal for old news.
+  it('drops a runner that one coordinator reports as gone and another one as missing', () => {
+    // Guards against requests to a runner 4.1 s after it left, from a daemon that was never cut off. A coordinator
+    // returns from a network cut, keeps the runner, whose entry is gone, as one that may come back, and broadcasts the
+    // revision that it has reached. A coordinator that was connected all the while then broadcasts the removal, but
+    // the daemon has already reached that revision and ignores it as outdated.
     const returned = createDaemon('daemon-3', clock, true);
     returned.knowledge.applyAll(
       { revision: 5, facts: [{ kind: 'runner', runner: runnerOf(0) }] },
@@ -220,9 +223,9 @@
     expect(follower.relay.isFresh).toEqual(true);
   });
 
-  it('waits with its coordinators for runners whose entries lapsed with the store', () => {
-    // What would go wrong: a daemon that others read for has noticed no outage, and would drop all runners at the
-    // first word of their missing entries, for the two seconds until they are back.
+  it('keeps runners whose entries expired during a store outage, as its coordinators do', () => {
+    // Guards against a daemon that others read the store for and that has noticed no outage: it would drop all runners
+    // at the first broadcast without their entries, for the two seconds until these are back.
     coordinator.knowledge.storeServed(0);
     clock.advance(4_000);
     coordinator.knowledge.storeFailed();
@@ -240,18 +243,18 @@
     expect(lives()).toEqual(['runner-0 ready']);
   });
 
-  it('counts as informed by a coordinator that lists the same and has read a little earlier', () => {
-    // Symptom: after a start of all daemons at once each of them reads the store for eight seconds more, although
-    // coordinators read it for them. Sequence: all read at the same moments; runners' heartbeats go on, so that each
-    // read gives a newer revision than the one just before. Cause: what a coordinator told of an older revision was
-    // not looked at, also where it lists the same.
+  it('counts as current by the broadcast of a coordinator that has read the same listing a little earlier', () => {
+    // Guards against needless reads after all daemons start together: each read the store for eight seconds more
+    // although coordinators read it for them. All read at the same moments, and heartbeats of runners give each read a
+    // newer revision than the one just before, so broadcasts of an older revision were ignored even if the listing was
+    // the same.
     coordinator.relay.readDone();
     follower.knowledge.applyChanges({ revision: 6, facts: [] }, 0);
     coordinator.sent.forEach(follower.take);
     expect([follower.relay.isFresh, follower.reads]).toEqual([true, []]);
   });
 
-  it('takes nothing from a coordinator that knows less', () => {
+  it('ignores changes from a coordinator with an older revision', () => {
     coordinator.relay.readDone();
     const [old] = coordinator.sent;
     const gone = { kind: 'runner_gone', id: 'runner-0', revision: 6 } as const;
--- a/src/coordination/StoreRelay.ts
+++ b/src/coordination/StoreRelay.ts
@@ -1,10 +1,10 @@
 /**
- * Tells what the store says to the daemons of a large fleet, so that a few read it for all.
+ * Relays what the store says to the daemons of a large fleet, so that a few daemons read it for all.
  *
- * What goes wrong without it: runners' heartbeats end every watch at once, so that each daemon reads the store once
- * a second whether anything has changed or not. With 80 daemons these calls cost more than everything else, and one
- * would see the store refuse calls when it is needed. Readers, a few of the coordinators, send what they have read to
- * all others; a daemon that hears of none for a while reads the store itself.
+ * What goes wrong without it: heartbeats of runners end every watch at once, so that each daemon reads the store once
+ * a second whether or not anything has changed. With 80 daemons these calls cost more than everything else, and the
+ * store refuses calls when it is needed. Instead the store readers, a few of the coordinators, broadcast what they
+ * have read; a daemon that receives no broadcast for a while reads the store itself.
  */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 
@@ -34,50 +34,56 @@
   isReader: () => boolean;
   /** Whether any daemon reads the store for others. */
   hasReaders: () => boolean;
-  /** All other daemons. */
+  /** Addresses of all other daemons. */
   others: () => readonly HostAndPort[];
-  /** Another daemon has told something. */
-  onHeard?: (daemon: string) => void;
-  /** This daemon has told all others. */
-  onTold?: () => void;
-  /** Reads the store once: what has changed since the last read, or everything. */
+  /** Called for each message, with the name of the daemon that sent it. */
+  onMessage?: (daemon: string) => void;
+  /** Called after this daemon has broadcast to all others. */
+  onBroadcast?: () => void;
+  /** Reads the store once: the changes since the last read, or everything. */
   readStore: (what: 'changes' | 'everything') => void;
-  /** Asks another daemon for its configuration. */
+  /** Fetches the configuration of another daemon. */
   fetchConfiguration: (peerAddress: string) => Promise<RoutingConfiguration>;
-  /** What is told is good for this long, in ms. */
+  /** How long a broadcast counts as current, in ms. */
   freshMilliseconds: number;
-  /** Between two reads of the configuration, in ms: versions may follow each other faster than they matter. */
+  /**
+   * Shortest time between two reads of the configuration, in ms: versions may change faster than is worth following.
+   */
   configurationMilliseconds: number;
-  /** Calls later; replaced by tests. */
+  /** Schedules a call; replaced by tests. */
   later?: (call: () => void, milliseconds: number) => void;
 }
 
 /**
- * Datagrams that go to all others at once, and the pause before the next ones, in ms: queues on the way drop what comes
- * faster.
+ * Datagrams that go to all others at once. Those that follow are delayed by the pause below, in ms, since queues on
+ * the network path drop datagrams that arrive faster.
  */
 const DATAGRAMS_AT_ONCE = 3;
 
+/** Pause after each group of datagrams, in ms. */
 const PACE_MILLISECONDS = 30;
 
-/** Facts that fit into a datagram of 1,400 bytes beside the rest; one has about 220 bytes as JSON. */
+/** Facts that fit into a datagram of 1,400 bytes beside its other fields; a fact has about 220 bytes as JSON. */
 const FACTS_IN_DATAGRAM = 5;
 
 /**
- * Messages in a row with another listing before everything is read: coordinators differ for a moment while entries
- * that lapsed with the store come back.
+ * Consecutive broadcasts with a different digest before everything is read. Coordinators differ briefly while entries
+ * that expired during a store outage come back.
  */
-const DIFFERENCES = 3;
+const DIFFERENCES_BEFORE_FULL_READ = 3;
 
-/** Between two reads of the store for something that was missed, in ms: the first one has to come back before. */
+/**
+ * Shortest time between two reads of the store after a missed message, in ms: the first read has to complete before
+ * the next.
+ */
 const CATCH_UP_MILLISECONDS = 400;
 
-/** What one datagram says. */
-interface ToldPart {
+/** The content of one datagram. */
+interface BroadcastPart {
   readonly since: number;
   readonly revision: number;
   readonly changes: readonly LoggedChange[];
-  /** Of the whole list, in the last part only. */
+  /** Digest of the whole listing; in the last part only. */
   readonly digest?: number;
 }
 
@@ -89,51 +95,51 @@
   return chunks;
 }
 
-function revisionOf(changes: readonly LoggedChange[]): number {
+function latestRevisionOf(changes: readonly LoggedChange[]): number {
   return Math.max(...changes.map(({ revision }) => revision));
 }
 
-/** Sends what this daemon has read, and takes what others have. */
+/** Broadcasts what this daemon has read from the store, and applies what other daemons broadcast. */
 export class StoreRelay {
   private readonly options: Required<StoreRelayOptions>;
 
-  /** When a coordinator last told what this daemon lists too, monotonic ms. */
-  private agreedAt = Number.NEGATIVE_INFINITY;
+  /** When a store reader's broadcast last matched this daemon's listing, monotonic ms. */
+  private confirmedAt = Number.NEGATIVE_INFINITY;
 
   private wasFresh = false;
 
-  private differences = 0;
+  private consecutiveDifferences = 0;
 
-  /** The newest version of the configuration that anybody has told of, and who did last. */
+  /** The newest configuration version in any broadcast, and the daemon that sent the latest one. */
   private toldVersion = 0;
 
   private toldBy = '';
 
   private isReadingConfiguration = false;
 
-  private caughtUpAt = Number.NEGATIVE_INFINITY;
+  private lastCatchUpAt = Number.NEGATIVE_INFINITY;
 
   private configurationReadAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * @param options - beliefs, and who is told.
+   * @param options - the fleet state, the store and the recipients of broadcasts.
    */
   constructor(options: StoreRelayOptions) {
     this.options = {
       later: setTimeout,
-      onHeard: () => undefined,
-      onTold: () => undefined,
+      onMessage: () => undefined,
+      onBroadcast: () => undefined,
       ...options,
     };
     options.socket.handle(MessageKind.STORE_CHANGES, (message) =>
-      this.take(fromBinary(StoreChangesSchema, message)),
+      this.handleBroadcast(fromBinary(StoreChangesSchema, message)),
     );
   }
 
-  /** @returns Whether coordinators read the store for this daemon. */
+  /** @returns Whether this daemon can rely on broadcasts instead of reading the store itself. */
   get isFresh(): boolean {
     const { clock, freshMilliseconds, isReader, log } = this.options;
-    const age = clock.monotonicMilliseconds() - this.agreedAt;
+    const age = clock.monotonicMilliseconds() - this.confirmedAt;
     const isFresh = !isReader() && age < freshMilliseconds;
     if (isFresh !== this.wasFresh) {
       const { relayFound, relayLost } = coordinationLogEvents;
@@ -143,42 +149,42 @@
     return isFresh;
   }
 
-  /** What this daemon lists is as new as what a reader tells. */
+  /** Notes that this daemon's listing is as current as the store readers' listing. */
   learntList(): void {
-    this.agreedAt = this.options.clock.monotonicMilliseconds();
+    this.confirmedAt = this.options.clock.monotonicMilliseconds();
   }
 
-  /** This daemon has read the store: its changes are told where it does so for others. */
+  /** Handles a completed read of the store: a store reader broadcasts the changes. */
   readDone(): void {
     const { isReader, hasReaders } = this.options;
     this.followConfiguration();
-    if (isReader()) this.tell();
+    if (isReader()) this.broadcast();
     else if (hasReaders()) this.learntList();
   }
 
-  private tell(): void {
+  private broadcast(): void {
     const { knowledge, clock } = this.options;
     const { sinceRevision, changes } = knowledge.changeLog.recent(clock.monotonicMilliseconds());
-    const parts: ToldPart[] = [];
+    const parts: BroadcastPart[] = [];
     let since = sinceRevision;
     for (const chunk of chunksOf(changes)) {
-      const revision = revisionOf(chunk);
+      const revision = latestRevisionOf(chunk);
       parts.push({ since, revision, changes: chunk });
       since = revision;
     }
     const last = parts.pop() ?? { since, changes: [] };
     const { revision, listingDigest: digest } = knowledge;
     this.sendPaced([...parts, { ...last, revision, digest }]);
-    this.options.onTold();
+    this.options.onBroadcast();
   }
 
-  private sendPaced(parts: readonly ToldPart[]): void {
+  private sendPaced(parts: readonly BroadcastPart[]): void {
     for (const part of parts.slice(0, DATAGRAMS_AT_ONCE)) this.send(part);
     const rest = parts.slice(DATAGRAMS_AT_ONCE);
     if (rest.length > 0) this.options.later(() => this.sendPaced(rest), PACE_MILLISECONDS);
   }
 
-  private send(part: ToldPart): void {
+  private send(part: BroadcastPart): void {
     const { daemon, socket, knowledge, others } = this.options;
     const message = create(StoreChangesSchema, {
       daemon,
@@ -191,16 +197,16 @@
     socket.send(MessageKind.STORE_CHANGES, toBinary(StoreChangesSchema, message), others());
   }
 
-  private take(message: StoreChanges): void {
-    const { daemon, knowledge, clock, onHeard } = this.options;
-    if (message.daemon !== daemon) onHeard(message.daemon);
-    // Before the first read of its own a daemon lists nothing that changes could be added to.
+  private handleBroadcast(message: StoreChanges): void {
+    const { daemon, knowledge, clock, onMessage } = this.options;
+    if (message.daemon !== daemon) onMessage(message.daemon);
+    // Before its own first read a daemon has no listing that changes could be applied to.
     if (message.daemon === daemon || knowledge.revision === 0) return;
     this.toldVersion = Math.max(this.toldVersion, Number(message.configurationVersion));
     this.toldBy = message.daemon;
     this.followConfiguration();
     const now = clock.monotonicMilliseconds();
-    // A reader tells right after a read of its own.
+    // A store reader broadcasts right after its own read, so the store has just answered.
     knowledge.storeServed(now);
     const revision = Number(message.revision);
     if (revision < knowledge.revision) {
@@ -218,43 +224,46 @@
   }
 
   /**
-   * What a reader lists at an older revision says nothing against this daemon's list, but may confirm it.
+   * Compares a broadcast of an older revision: a matching digest confirms this daemon's listing, while a different one
+   * proves nothing.
    *
-   * What goes wrong otherwise: daemons that started at once read at the same moments. Each knows a revision that is a
-   * few heartbeats newer than the one that the readers have read just before, takes none of their messages, and
-   * reads the store itself.
+   * What goes wrong without it: daemons that start together read at the same moments. Each knows a revision that is a
+   * few heartbeats newer than the one that the store readers read just before, so it would ignore all their broadcasts
+   * and read the store itself.
    */
   private compareOlder(digest: number | undefined, now: number): void {
-    if (this.options.knowledge.listingDigest === digest) this.agreedAt = now;
+    if (this.options.knowledge.listingDigest === digest) this.confirmedAt = now;
   }
 
   private compare(coordinator: string, digest: number, now: number): void {
     if (this.options.knowledge.listingDigest === digest) {
-      this.agreedAt = now;
-      this.differences = 0;
+      this.confirmedAt = now;
+      this.consecutiveDifferences = 0;
       return;
     }
-    this.differences += 1;
-    if (this.differences >= DIFFERENCES) this.catchUp('everything', coordinator);
+    this.consecutiveDifferences += 1;
+    if (this.consecutiveDifferences >= DIFFERENCES_BEFORE_FULL_READ)
+      this.catchUp('everything', coordinator);
   }
 
-  /** A datagram was lost: the store has what it said. */
+  /** Reads from the store what a lost datagram would have said. */
   private catchUp(what: 'changes' | 'everything', coordinator: string): void {
     const { knowledge, clock, log, readStore } = this.options;
     const now = clock.monotonicMilliseconds();
-    if (now - this.caughtUpAt < CATCH_UP_MILLISECONDS) return;
-    this.caughtUpAt = now;
-    this.differences = 0;
+    if (now - this.lastCatchUpAt < CATCH_UP_MILLISECONDS) return;
+    this.lastCatchUpAt = now;
+    this.consecutiveDifferences = 0;
     const { revision } = knowledge;
     log.write(coordinationLogEvents.listingDiffers, { coordinator, revision, reads: what });
     readStore(what);
   }
 
   /**
-   * Asks who has told of a newer configuration for it, and the store where that fails.
+   * Fetches a newer configuration from the daemon that announced it, or from the store where that fails.
    *
-   * What goes wrong otherwise: a daemon has learnt from another that the store has reached a revision, and reads only
-   * what came after it. A version that lay before would never be in force there; so it is read until it is known.
+   * What goes wrong without it: a daemon learns from a broadcast that the store has reached some revision, and from
+   * then on reads only later changes. A configuration version written before that revision would never be in force
+   * there, so it is fetched until it is known.
    */
   private followConfiguration(): void {
     const { knowledge, clock, configurationMilliseconds } = this.options;
@@ -273,7 +282,8 @@
     const { knowledge, log, store, fetchConfiguration } = this.options;
     const address = knowledge.daemons.get(this.toldBy)?.peerAddress;
     try {
-      if (address === undefined) throw new Error('it is not listed');
+      if (address === undefined)
+        throw new Error('the daemon that announced the configuration is not listed');
       knowledge.applyConfiguration(await fetchConfiguration(address));
     } catch (error) {
       log.write(syncLogEvents.peerFailed, { address, error: (error as Error).message });
--- a/src/coordination/coldRunners.spec.ts
+++ b/src/coordination/coldRunners.spec.ts
@@ -2,25 +2,29 @@
 
 import { expect } from 'earl';
 
-import { COLD_RATE, playColdStarts } from './testColdFleet.js';
+import { COLD_RATE, simulateColdStarts } from './testColdFleet.js';
 import type { ColdOptions } from './testColdFleet.js';
 
-/** What a cold runner may get in any second: the operators' factor over its rate, and their allowance. */
+/**
+ * Most requests that a cold runner may get in any second: 1.5 times its cold rate, plus an allowance of 5, both set by
+ * the operators.
+ */
 const BOUND = COLD_RATE * 1.5 + 5;
 
-const RUNNERS_A_DAEMON = 0.47;
+/** Runners per daemon. */
+const RUNNERS_PER_DAEMON = 0.47;
 
-/** Requests a second at each runner, as if all were warm. */
+/** Requests per second for each runner, counted as if all were warm. */
 const LOAD = 9;
 
 function optionsFor(daemons: number): Pick<ColdOptions, 'daemons' | 'runners'> {
-  return { daemons, runners: Math.max(8, Math.round(daemons * RUNNERS_A_DAEMON)) };
+  return { daemons, runners: Math.max(8, Math.round(daemons * RUNNERS_PER_DAEMON)) };
 }
 
-function play(daemons: number, options: Partial<ColdOptions>) {
+function simulate(daemons: number, options: Partial<ColdOptions>) {
   const { runners } = optionsFor(daemons);
   const base = { seed: 1, coldShare: 1 / 3, hotShare: 0.05, requestsPerSecond: runners * LOAD };
-  return playColdStarts({ ...base, ...optionsFor(daemons), ...options });
+  return simulateColdStarts({ ...base, ...optionsFor(daemons), ...options });
 }
 
 const CASES: Readonly<Record<string, Partial<ColdOptions>>> = {
@@ -30,34 +34,34 @@
     hotShare: 0.4,
   },
   'all runners are cold, as in a fleet that has just started': { coldShare: 1 },
-  'a third of the daemons hears of no coordinator': { hotShare: 0.2, aloneShare: 0.35 },
-  'no daemon hears of a coordinator, and all runners are cold': { coldShare: 1, aloneShare: 1 },
-  'all daemons end and start again': { coldShare: 1, hotShare: 0.2, restartMilliseconds: 1_100 },
-  'all daemons end and start again before any of them decides': {
+  'a third of the daemons knows no coordinator': { hotShare: 0.2, isolatedShare: 0.35 },
+  'no daemon knows a coordinator, and all runners are cold': { coldShare: 1, isolatedShare: 1 },
+  'all daemons restart': { coldShare: 1, hotShare: 0.2, restartMilliseconds: 1_100 },
+  'all daemons restart before any of them may send as an owner': {
     coldShare: 1,
     restartMilliseconds: 600,
   },
-  'daemons differ in who decides': { coldShare: 0.5, hotShare: 0.2, listsDiffer: true },
+  'daemons disagree about the owners': { coldShare: 0.5, hotShare: 0.2, listsDiffer: true },
 };
 
 describe('cold runners', () => {
   for (const [what, options] of Object.entries(CASES)) {
-    it(`get no more than they bear within a second while ${what}`, () => {
+    it(`get no more requests than their limit within a second while ${what}`, () => {
       for (const daemons of [9, 90, 195, 390]) {
-        expect(play(daemons, options).peak <= BOUND).toEqual(true);
+        expect(simulate(daemons, options).peak <= BOUND).toEqual(true);
       }
     });
   }
 
-  it('would get more than they bear from daemons that do not count', () => {
-    // Guards the cases above: their load has to break the bound where nobody keeps it.
+  it('would exceed their limit without admission control', () => {
+    // Guards the cases above: their load has to exceed the limit when no daemon enforces it.
     const hot = { coldShare: 0.5, hotShare: 0.4, policy: 'unlimited' } as const;
-    expect(play(90, hot).peak > BOUND).toEqual(true);
+    expect(simulate(90, hot).peak > BOUND).toEqual(true);
   });
 
-  it('cost no request where warm ones are left', () => {
+  it('cause no refused request while warm runners are left', () => {
     for (const daemons of [9, 90, 195]) {
-      expect(play(daemons, { coldShare: 0.5, hotShare: 0.4 }).refused).toEqual(0);
+      expect(simulate(daemons, { coldShare: 0.5, hotShare: 0.4 }).refused).toEqual(0);
     }
   });
 });
--- a/src/coordination/coordinatorsOf.ts
+++ b/src/coordination/coordinatorsOf.ts
@@ -1,87 +1,92 @@
 /**
- * Which daemons of a large fleet coordinate the others: they count requests, choose runners and read the store for
- * them. Everything that they do any daemon does by itself while it hears of none.
+ * Assigns the roles of a large fleet: coordinators count requests, choose runners and read the store for all other
+ * daemons. A daemon that receives nothing from them does all of this itself.
  *
- * The load that it answers: in a large fleet a daemon has less than one request at a runner, and counts that all tell all
- * are a second old. Daemons would choose the same few runners at the same moment, and each would read the store.
+ * Why they exist: in a large fleet a daemon has less than one request at a runner, and if every daemon reports to
+ * every other one, the reported counts are a second old. Daemons would choose the same few runners at the same moment,
+ * and each of them would read the store.
  */
 import { rendezvousOrder } from '../routing/rendezvous.js';
 import type { DaemonEntry } from '../sync/FleetStore.js';
 
 /**
- * Daemons up to which all tell all what they have: there a daemon tells the others each 100 to 200 ms, which is as
- * good as a coordinator's count, and a request waits for nobody.
+ * Largest fleet without coordinators, in daemons. Up to this size every daemon reports to every other one each 100 to
+ * 200 ms, which is as good as a coordinator's count, and no request waits for a coordinator.
  */
-const LARGEST_FLEET_WITHOUT = 16;
+const LARGEST_FLEET_WITHOUT_COORDINATORS = 16;
 
-/** Bounds the questions and the news that one coordinator takes. */
-const DAEMONS_A_COORDINATOR = 20;
+/** Daemons per coordinator; limits the questions and load reports that one coordinator receives. */
+const DAEMONS_PER_COORDINATOR = 20;
 
-/** With three of them two can be lost or frozen at once. */
-const FEWEST = 3;
+/** Fewest coordinators of a large fleet: with three, two can be lost or frozen at once. */
+const FEWEST_COORDINATORS = 3;
 
 /**
- * Those that hear from all daemons, coordinators or not: where all of them are lost at once, it takes twice as long until
- * the others learn who has died. Each of them gets a message of every daemon, several times a second.
+ * Fewest monitors, the daemons that receive load reports from all others, whether or not they coordinate. If all of
+ * them are lost at once, the others take twice as long to learn which daemons have died. Each monitor gets several
+ * messages a second from every daemon.
  */
-const FEWEST_WATCHERS = 5;
+const FEWEST_MONITORS = 5;
 
 /**
- * So many of the coordinators read the store for all. A change has to reach everybody while some of them are cut off; where
- * all are, daemons read the store themselves. What each of them tells goes to every daemon, and more of them fill links.
+ * Number of coordinators that read the store for all and broadcast its changes, and of monitors that broadcast which
+ * daemons are unresponsive. A change has to reach all daemons while some of these coordinators are cut off; if all
+ * are, daemons read the store themselves. Each broadcast goes to every daemon, so more of them would fill network
+ * links.
  */
-const READERS = 4;
+const STORE_READERS = 4;
 
-/** All daemons order the others by the same name. */
+/** Key of the rendezvous order of daemons, the same in all of them. */
 const ORDER_KEY = 'coordinators';
 
-/** A coordinator sends what it has read to everybody: those with the widest links go first, whatever else they do. */
-function linkOf({ linkMegabits = 0 }: DaemonEntry): number {
+/** Bandwidth of a daemon's link. Store readers broadcast to all daemons, so those with the widest links come first. */
+function linkBandwidthOf({ linkMegabits = 0 }: DaemonEntry): number {
   return linkMegabits;
 }
 
-function countFor(daemons: readonly DaemonEntry[]): number {
-  return Math.max(FEWEST, Math.ceil(daemons.length / DAEMONS_A_COORDINATOR));
+function coordinatorCountFor(daemons: readonly DaemonEntry[]): number {
+  return Math.max(FEWEST_COORDINATORS, Math.ceil(daemons.length / DAEMONS_PER_COORDINATOR));
 }
 
 /**
- * How many there are follows from the list: daemons that differ for a moment in who is alive still agree whether the
- * fleet has coordinators.
+ * Returns the monitors: the daemons that all daemons send their load reports to. Their number depends on the listed
+ * daemons only, so that daemons which disagree briefly about who is alive still agree whether the fleet has
+ * coordinators.
  *
- * @param daemons - that are listed.
- * @param isOut - whether a daemon has died or stops; the next one takes its place.
- * @returns Those that all daemons send their news, the coordinators first; none in a small fleet.
+ * @param daemons - all listed daemons.
+ * @param isOut - whether a daemon is dead or shutting down; the next one in order takes its place.
+ * @returns The monitors, with the coordinators first; empty in a small fleet.
  */
 export function watchersOf(
   daemons: readonly DaemonEntry[],
   isOut: (name: string) => boolean = () => false,
 ): DaemonEntry[] {
-  if (daemons.length <= LARGEST_FLEET_WITHOUT) return [];
-  const count = Math.max(FEWEST_WATCHERS, countFor(daemons));
+  if (daemons.length <= LARGEST_FLEET_WITHOUT_COORDINATORS) return [];
+  const count = Math.max(FEWEST_MONITORS, coordinatorCountFor(daemons));
   const living = daemons.filter(({ name }) => !isOut(name));
   const named = living.map((daemon) => ({ id: daemon.name, daemon }));
   return rendezvousOrder(ORDER_KEY, named)
     .map(({ daemon }) => daemon)
-    .sort((a, b) => linkOf(b) - linkOf(a))
+    .sort((a, b) => linkBandwidthOf(b) - linkBandwidthOf(a))
     .slice(0, count);
 }
 
 /**
- * @param watchers - of the fleet.
- * @param daemons - that are listed.
- * @returns Those of the watchers that coordinate.
+ * @param monitors - the fleet's monitors.
+ * @param daemons - all listed daemons.
+ * @returns The monitors that coordinate.
  */
 export function coordinatorsAmong(
-  watchers: readonly DaemonEntry[],
+  monitors: readonly DaemonEntry[],
   daemons: readonly DaemonEntry[],
 ): DaemonEntry[] {
-  return watchers.slice(0, countFor(daemons));
+  return monitors.slice(0, coordinatorCountFor(daemons));
 }
 
 /**
- * @param daemons - that are listed.
- * @param isOut - whether a daemon has died or stops; the next one takes its place.
- * @returns The coordinators; none in a small fleet.
+ * @param daemons - all listed daemons.
+ * @param isOut - whether a daemon is dead or shutting down; the next one in order takes its place.
+ * @returns The coordinators; empty in a small fleet.
  */
 export function coordinatorsOf(
   daemons: readonly DaemonEntry[],
@@ -91,27 +96,30 @@
 }
 
 /**
- * @param watchers - of the fleet.
- * @returns Those that tell all others whom they have found silent.
+ * @param monitors - the fleet's monitors.
+ * @returns The monitors that broadcast which daemons are unresponsive.
  */
-export function tellersOf(watchers: readonly DaemonEntry[]): readonly DaemonEntry[] {
-  return watchers.slice(0, READERS);
+export function tellersOf(monitors: readonly DaemonEntry[]): readonly DaemonEntry[] {
+  return monitors.slice(0, STORE_READERS);
 }
 
 /**
- * @param coordinators - of the fleet.
- * @returns Those that read the store for all daemons, the other coordinators too.
+ * @param coordinators - the fleet's coordinators.
+ * @returns The coordinators that read the store for all daemons, other coordinators included.
  */
-export function readersOf(coordinators: readonly DaemonEntry[]): readonly DaemonEntry[] {
-  return coordinators.slice(0, READERS);
+export function storeReadersOf(coordinators: readonly DaemonEntry[]): readonly DaemonEntry[] {
+  return coordinators.slice(0, STORE_READERS);
 }
 
 /**
- * @param coordinators - of the fleet.
- * @param key - the shared parts of a prompt, or a service.
+ * @param coordinators - the fleet's coordinators.
+ * @param key - the shared parts of a prompt, or the name of a service.
  * @returns The coordinators in the order in which they are asked for a runner of such a request.
  */
-export function askedInOrder(coordinators: readonly DaemonEntry[], key: string): DaemonEntry[] {
+export function coordinatorsInOrder(
+  coordinators: readonly DaemonEntry[],
+  key: string,
+): DaemonEntry[] {
   const named = coordinators.map((daemon) => ({ id: daemon.name, daemon }));
   return rendezvousOrder(key, named).map(({ daemon }) => daemon);
 }
--- a/src/coordination/livenessDuties.ts
+++ b/src/coordination/livenessDuties.ts
@@ -1,18 +1,19 @@
 /**
- * Who watches whom in the fleet, and who tells the others whom it has found silent.
+ * Assigns the failure detector's duties in the fleet: which daemons a daemon monitors, which ones it asks for indirect
+ * probes, and whether it broadcasts which daemons are unresponsive.
  */
 import type { LivenessDuties } from '../liveness/livenessTypes.js';
 import type { DaemonEntry } from '../sync/FleetStore.js';
 import { tellersOf } from './coordinatorsOf.js';
 
-/** What the duties of a daemon follow from. */
-export interface LivenessPlace {
-  /** Its name. */
+/** What a daemon's duties are derived from. */
+export interface LivenessDutiesInput {
+  /** The daemon's name. */
   readonly daemon: string;
   /** All listed daemons. */
   readonly listed: readonly DaemonEntry[];
-  /** Those that hear from all daemons, as it knows them; none in a small fleet. */
-  readonly watchers: readonly DaemonEntry[];
+  /** The fleet's monitors as the daemon knows them; empty in a small fleet. */
+  readonly monitors: readonly DaemonEntry[];
 }
 
 function namesOf(daemons: readonly DaemonEntry[]): string[] {
@@ -20,22 +21,29 @@
 }
 
 /**
- * In a small fleet all hear all. In a large one a few do, by the news that all send them anyway, and the first of them
- * tell the others whom they do not hear. All watch these: nobody else would tell of them.
+ * Derives the duties of one daemon. In a small fleet every daemon monitors every other one. In a large fleet only the
+ * monitors do, using the load reports that all daemons send them anyway, and the first few of them broadcast which
+ * daemons are unresponsive. All daemons monitor these broadcasters, since no other daemon would report their failure.
  *
- * @param place - of a daemon.
+ * @param place - the daemon and the fleet's roles.
  * @returns Its duties.
  */
-export function livenessDuties({ daemon, listed, watchers }: LivenessPlace): LivenessDuties {
+export function livenessDuties({ daemon, listed, monitors }: LivenessDutiesInput): LivenessDuties {
   const all = namesOf(listed);
-  if (watchers.length === 0) {
+  if (monitors.length === 0) {
     return { listed: all, watched: all, witnesses: all, tellers: [], isTelling: false };
   }
-  const tellers = namesOf(tellersOf(watchers));
-  const witnesses = namesOf(watchers);
-  if (witnesses.includes(daemon)) {
-    const isTelling = tellers.includes(daemon);
-    return { listed: all, watched: all, witnesses, tellers: [], isTelling };
+  const broadcasters = namesOf(tellersOf(monitors));
+  const monitorNames = namesOf(monitors);
+  if (monitorNames.includes(daemon)) {
+    const isTelling = broadcasters.includes(daemon);
+    return { listed: all, watched: all, witnesses: monitorNames, tellers: [], isTelling };
   }
-  return { listed: all, watched: tellers, witnesses: all, tellers, isTelling: false };
+  return {
+    listed: all,
+    watched: broadcasters,
+    witnesses: all,
+    tellers: broadcasters,
+    isTelling: false,
+  };
 }
--- a/src/coordination/testColdFleet.ts
+++ b/src/coordination/testColdFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Plays a fleet before cold runners in virtual time: daemons learn at different moments that runners are cold, some hear
- * of no coordinator, and lists of who decides differ for a while.
+ * Simulates a fleet with cold runners in virtual time: daemons learn at different moments that runners are cold, some
+ * know no coordinator, and lists of owners differ for a while.
  */
 import { seededRandom } from '../random/seededRandom.js';
 import { ColdStarts } from '../runners/ColdStarts.js';
@@ -11,60 +11,64 @@
 import type { DaemonEntry } from '../sync/FleetStore.js';
 import { ManualClock } from '../time/ManualClock.js';
 import { ColdRunnerOwners } from './ColdRunnerOwners.js';
-import { askedInOrder, coordinatorsOf } from './coordinatorsOf.js';
+import { coordinatorsInOrder, coordinatorsOf } from './coordinatorsOf.js';
 
-/** How the rate of a cold runner is kept. `unlimited`: nobody counts. */
+/** How the rate of a cold runner is enforced. `owners`: by its owner daemons; `unlimited`: not at all. */
 export type ColdPolicy = 'owners' | 'unlimited';
 
-/** Options of {@link playColdStarts}. */
+/** Options of {@link simulateColdStarts}. */
 export interface ColdOptions {
   seed: number;
   daemons: number;
   runners: number;
-  /** Of the whole fleet. */
+  /** Requests per second of the whole fleet. */
   requestsPerSecond: number;
-  /** Part of the runners that become cold at once. */
+  /** Share of the runners that become cold at once. */
   coldShare: number;
-  /** Part of the requests that are for one prompt. */
+  /** Share of the requests that use the same prompt. */
   hotShare: number;
-  /** Part of the daemons that hear of no coordinator. */
-  aloneShare?: number;
-  /** Whether some daemons have another list of who decides. */
+  /** Share of the daemons that know no coordinator. */
+  isolatedShare?: number;
+  /** Whether some daemons have a different list of owners. */
   listsDiffer?: boolean;
-  /** How often all daemons end and start again while runners are cold, in ms; 0: never. */
+  /** Interval between restarts of all daemons while runners are cold, in ms; 0: never. */
   restartMilliseconds?: number;
   policy?: ColdPolicy;
-  /** How many decide about a runner, at most. */
-  owners?: number;
+  /** Maximum number of owners of one runner. */
+  maximumOwners?: number;
 }
 
-/** What came of it. */
+/** What runners and callers got. */
 export interface ColdResult {
-  /** The most requests that a cold runner got within a second after all daemons knew that it was cold. */
+  /** The most requests that one cold runner got within a second after all daemons knew that it was cold. */
   readonly peak: number;
-  /** Requests that found no runner, as a share of those since. */
+  /** Share of the requests since then that found no runner. */
   readonly refused: number;
-  /** Requests that went to cold runners, as a share of those since. */
+  /** Share of the requests since then that went to cold runners. */
   readonly atCold: number;
 }
 
-/** Requests a second that a cold runner bears. */
+/** Requests per second that a cold runner sustains. */
 export const COLD_RATE = 9;
 
+/** When runners become cold, in ms of virtual time. */
 const COLD_AT = 4_000;
 
-/** Daemons learn of it within this, in ms. */
-const LEARNT_MILLISECONDS = 1_500;
+/** All daemons know of the cold runners within this time, in ms. */
+const PROPAGATION_MILLISECONDS = 1_500;
 
+/** How long the runners stay cold, in ms. */
 const COLD_MILLISECONDS = 6_000;
 
+/** Mean duration of a request, in ms. */
 const REQUEST_MILLISECONDS = 400;
 
 const PROMPTS = 300;
 
-/** A daemon that has started lists only itself for this long, in ms. */
-const ALONE_MILLISECONDS = 300;
+/** A restarted daemon lists only itself for this long, in ms. */
+const LONE_START_MILLISECONDS = 300;
 
+/** When the lists of owners agree at the latest, in ms of virtual time. */
 const LISTS_DIFFER_MILLISECONDS = 4_500;
 
 const SERVICE = 'chat';
@@ -74,7 +78,7 @@
   readonly table: RunnerTable;
   readonly choice: RunnerChoice;
   readonly learnsAt: number;
-  readonly isAlone: boolean;
+  readonly isIsolated: boolean;
 }
 
 function entryOf(index: number): DaemonEntry {
@@ -89,7 +93,7 @@
   return { id, life: id, service: SERVICE, state: 'ready', ...place } as const;
 }
 
-/** Owns the fleet of one play. */
+/** The fleet of one simulation. */
 class ColdFleet {
   daemons: readonly Daemon[];
 
@@ -112,16 +116,16 @@
     this.daemons = this.createDaemons();
   }
 
-  /** All daemons end, and start with what the store says. */
+  /** Restarts all daemons; they know from the store which runners are cold. */
   restart(now: number): void {
     this.restartedAt = now;
     this.daemons = this.createDaemons().map((daemon) => ({ ...daemon, learnsAt: now }));
   }
 
-  /** @returns The life of the runner that a request goes to, if there is one. */
+  /** @returns Incarnation of the runner that a request goes to; `undefined` if no runner may get it. */
   send(prompt: string, now: number): string | undefined {
     const daemon = this.daemons[Math.floor(this.random() * this.daemons.length)] as Daemon;
-    const [asked] = daemon.isAlone ? [] : askedInOrder(this.coordinators, prompt);
+    const [asked] = daemon.isIsolated ? [] : coordinatorsInOrder(this.coordinators, prompt);
     const chooser = this.daemons.find(({ name }) => name === asked?.name) ?? daemon;
     const tried = new Set<string>();
     const question = { service: SERVICE, sharedParts: [prompt], tried, connectionLimit: 1e6, now };
@@ -145,31 +149,31 @@
       foreignLoad: (life) => this.loads.get(life) ?? 0,
       random,
     });
-    const learnsAt = COLD_AT + random() * LEARNT_MILLISECONDS;
-    const isAlone = random() < (options.aloneShare ?? 0);
-    return { name, table, choice, learnsAt, isAlone };
+    const learnsAt = COLD_AT + random() * PROPAGATION_MILLISECONDS;
+    const isIsolated = random() < (options.isolatedShare ?? 0);
+    return { name, table, choice, learnsAt, isIsolated };
   }
 
   private createColdStarts(name: string, index: number, entries: readonly DaemonEntry[]) {
     const { options, clock, random } = this;
     const { policy = 'owners', listsDiffer = false, daemons } = options;
-    const deciding = this.coordinators.length > 0 ? this.coordinators : entries;
-    const names = deciding.map((entry) => entry.name);
-    // Every second daemon still lists one that has just died as the first of those that decide.
+    const eligible = this.coordinators.length > 0 ? this.coordinators : entries;
+    const names = eligible.map((entry) => entry.name);
+    // Every second daemon still lists a daemon that has just died as the first eligible owner.
     const others = ['daemon-gone', ...names.slice(1)];
-    const isBehind = () =>
+    const isOutdated = () =>
       listsDiffer && index % 2 === 0 && clock.monotonicMilliseconds() < LISTS_DIFFER_MILLISECONDS;
     const owners = new ColdRunnerOwners({
       daemon: name,
       clock,
-      deciders: () => (isBehind() ? others : names),
-      ...(options.owners && { owners: options.owners }),
+      deciders: () => (isOutdated() ? others : names),
+      ...(options.maximumOwners && { maximumOwners: options.maximumOwners }),
     });
     return new ColdStarts({
       rateOf: () => (policy === 'unlimited' ? undefined : COLD_RATE),
       ownershipOf: (life) => owners.ownershipOf(life),
       daemons: () =>
-        clock.monotonicMilliseconds() - this.restartedAt < ALONE_MILLISECONDS ? 1 : daemons,
+        clock.monotonicMilliseconds() - this.restartedAt < LONE_START_MILLISECONDS ? 1 : daemons,
       random,
     });
   }
@@ -186,10 +190,12 @@
 }
 
 /**
- * @param options - the fleet, its load, and how it shares the rate of cold runners.
+ * Simulates requests to a fleet whose runners become cold.
+ *
+ * @param options - the fleet, its load, and how the rate of cold runners is enforced.
  * @returns What cold runners and callers got.
  */
-export function playColdStarts(options: ColdOptions): ColdResult {
+export function simulateColdStarts(options: ColdOptions): ColdResult {
   const fleet = new ColdFleet(options);
   const random = seededRandom(options.seed + 1);
   const cold = Math.ceil(options.runners * options.coldShare);
@@ -199,7 +205,7 @@
   let due = 0;
   for (let now = 0; now < COLD_AT + COLD_MILLISECONDS; now += 1) {
     fleet.clock.advance(1);
-    const since = now - COLD_AT - LEARNT_MILLISECONDS;
+    const since = now - COLD_AT - PROPAGATION_MILLISECONDS;
     if (since > 0 && since % (options.restartMilliseconds || Number.POSITIVE_INFINITY) === 0) {
       fleet.restart(now);
     }
@@ -216,7 +222,7 @@
       const isHot = random() < options.hotShare;
       const prompt = `prompt-${isHot ? 0 : 1 + Math.floor(random() * PROMPTS)}`;
       const life = fleet.send(prompt, now);
-      const isCounted = now >= COLD_AT + LEARNT_MILLISECONDS;
+      const isCounted = now >= COLD_AT + PROPAGATION_MILLISECONDS;
       if (isCounted) counts.requests += 1;
       if (life === undefined) {
         if (isCounted) counts.refused += 1;
--- a/src/coordination/testFleet.ts
+++ b/src/coordination/testFleet.ts
@@ -1,11 +1,12 @@
 /**
- * A large fleet in virtual time, for tests: real beliefs and relays, with a store, a network and cuts that are played.
+ * A large fleet in virtual time, for tests: real fleet state and relays with a simulated store and a simulated network
+ * that can be partitioned.
  */
 import { seededRandom } from '../random/seededRandom.js';
 import type { RunnerEntry, RunnerState } from '../runners/Runner.js';
 import type { DaemonEntry, StoreFact } from '../sync/FleetStore.js';
 import { ManualClock } from '../time/ManualClock.js';
-import { coordinatorsOf, readersOf } from './coordinatorsOf.js';
+import { coordinatorsOf, storeReadersOf } from './coordinatorsOf.js';
 import { TestDaemon } from './testFollower.js';
 import type { TestStoreView } from './testFollower.js';
 
@@ -14,22 +15,22 @@
   daemons: number;
   runners: number;
   seed: number;
-  /** In which changes have to be in force, in ms. */
+  /** Time within which changes have to be in force, in ms. */
   boundMilliseconds: number;
 }
 
-/** The service of all runners. */
+/** Name of the service of all runners. */
 export const TEST_SERVICE = 'chat';
 
 const STEP_MILLISECONDS = 50;
 
-/** Each runner renews its entry this often, in ms: each renewal is a revision of the store. */
+/** Interval at which each runner renews its entry, in ms; each renewal is a new revision of the store. */
 const HEARTBEAT_MILLISECONDS = 1_200;
 
-/** Share of datagrams that are lost on any day. */
+/** Share of datagrams that are lost under normal conditions. */
 const LOSS_SHARE = 0.02;
 
-/** Runners lie in these in turn. */
+/** Data centres, to which runners are assigned in turn. */
 export const TEST_DATA_CENTRES = ['north', 'east', 'south', 'west'] as const;
 
 function runnerOf(index: number, state: RunnerState = 'ready'): RunnerEntry {
@@ -39,7 +40,7 @@
   return { id, life: id, service: TEST_SERVICE, state, ...place };
 }
 
-/** Plays the store and the network. */
+/** Simulates the store and the network between daemons. */
 export class TestFleet {
   readonly daemons: TestDaemon[];
 
@@ -47,6 +48,7 @@
 
   private readonly evacuated = new Set<string>();
 
+  /** Oldest revision after which the store still has changes. */
   private historyStart = 0;
 
   private readonly random: () => number;
@@ -57,18 +59,18 @@
 
   private readonly changes: (StoreFact & { readonly revision: number })[] = [];
 
-  private readonly present = new Map<string, RunnerEntry>();
+  private readonly entries = new Map<string, RunnerEntry>();
 
   private revision = 1;
 
   private renewals = 0;
 
-  private awayUntil = Number.NEGATIVE_INFINITY;
+  private unavailableUntil = Number.NEGATIVE_INFINITY;
 
-  private later: { readonly at: number; readonly call: () => void }[] = [];
+  private scheduled: { readonly at: number; readonly call: () => void }[] = [];
 
   /**
-   * @param options - its size, and the seed of all chance.
+   * @param options - the fleet's size and its random seed.
    */
   constructor(options: TestFleetOptions) {
     this.options = options;
@@ -81,39 +83,47 @@
       const addresses = { callerAddress: address, peerAddress: address, newsAddress: address };
       return { name: `daemon-${index}`, dataCentre: 'here', ...addresses };
     });
-    const readers = new Set(readersOf(coordinatorsOf(entries)).map(({ name }) => name));
+    const readers = new Set(storeReadersOf(coordinatorsOf(entries)).map(({ name }) => name));
     this.readers = readers;
     this.daemons = entries.map(({ name }) => this.createDaemon(name));
   }
 
-  /** @returns Monotonic milliseconds. */
+  /** @returns Virtual time, monotonic ms. */
   get now(): number {
     return this.clock.monotonicMilliseconds();
   }
 
   /**
-   * @param index - of a runner that says that it leaves.
+   * Lists a runner as draining.
+   *
+   * @param index - of the runner.
    */
   drain(index: number): void {
     this.write({ kind: 'runner', runner: runnerOf(index, 'draining') });
   }
 
   /**
-   * @param index - of a runner whose entry goes.
+   * Removes a runner's entry.
+   *
+   * @param index - of the runner.
    */
   remove(index: number): void {
     this.write({ kind: 'runner_gone', id: `runner-${index}` });
   }
 
   /**
-   * @param index - of a runner whose entry is back.
+   * Restores a runner's entry.
+   *
+   * @param index - of the runner.
    */
   restore(index: number): void {
     this.write({ kind: 'runner', runner: runnerOf(index) });
   }
 
   /**
-   * @param dataCentre - that the operators evacuate.
+   * Orders the evacuation of a data centre.
+   *
+   * @param dataCentre - name of the data centre.
    */
   evacuate(dataCentre: string): void {
     this.evacuated.add(dataCentre);
@@ -121,20 +131,22 @@
   }
 
   /**
-   * @param dataCentre - whose evacuation the operators take back.
+   * Lifts the evacuation of a data centre.
+   *
+   * @param dataCentre - name of the data centre.
    */
-  takeBack(dataCentre: string): void {
+  liftEvacuation(dataCentre: string): void {
     this.evacuated.delete(dataCentre);
     this.write({ kind: 'evacuation_over', dataCentre });
   }
 
-  /** Daemons that ask for changes of before now have to read everything. */
-  forgetHistory(): void {
+  /** Compacts the store's history: daemons that ask for earlier changes have to read everything. */
+  compactHistory(): void {
     this.historyStart = this.revision;
   }
 
   /**
-   * Starts a daemon anew, with nothing known.
+   * Replaces a daemon by a new incarnation without any state.
    *
    * @param index - of the daemon.
    */
@@ -142,30 +154,34 @@
     this.daemons[index] = this.createDaemon(this.daemons[index]?.name ?? '');
   }
 
-  /** @param until - when the store answers again; monotonic ms. */
-  loseStore(until: number): void {
-    this.awayUntil = until;
+  /**
+   * Makes the store unavailable.
+   *
+   * @param until - when it answers again, monotonic ms.
+   */
+  makeStoreUnavailable(until: number): void {
+    this.unavailableUntil = until;
   }
 
   /**
-   * Cuts daemons off from the store and from each other, from now on.
+   * Cuts daemons off from the store and from each other, starting now.
    *
-   * @param share - of all daemons.
-   * @param until - monotonic ms.
+   * @param share - probability with which each daemon is cut off.
+   * @param until - when they are connected again, monotonic ms.
    */
-  cut(share: number, until: number): void {
-    for (const daemon of this.daemons) if (this.random() < share) daemon.cutUntil = until;
+  disconnect(share: number, until: number): void {
+    for (const daemon of this.daemons) if (this.random() < share) daemon.disconnectedUntil = until;
   }
 
-  /** Plays one step. */
+  /** Advances the simulation by one step. */
   step(): void {
     this.clock.advance(STEP_MILLISECONDS);
     this.renew();
     this.deliver();
-    const calls = this.later.filter(({ at }) => at <= this.now);
-    this.later = this.later.filter(({ at }) => at > this.now);
+    const calls = this.scheduled.filter(({ at }) => at <= this.now);
+    this.scheduled = this.scheduled.filter(({ at }) => at > this.now);
     for (const { call } of calls) call();
-    for (const daemon of this.daemons) daemon.follow(this.view());
+    for (const daemon of this.daemons) daemon.readIfDue(this.view());
   }
 
   private createDaemon(name: string): TestDaemon {
@@ -173,32 +189,32 @@
     const { boundMilliseconds } = this.options;
     const isReader = this.readers.has(name);
     const later = (call: () => void, milliseconds: number) =>
-      this.later.push({ at: this.now + milliseconds, call });
+      this.scheduled.push({ at: this.now + milliseconds, call });
     const hasReaders = this.readers.size > 0;
     const times = { boundMilliseconds, clock, random, later };
     return new TestDaemon({ name, isReader, hasReaders, ...times });
   }
 
-  /** Runners renew their entries; one that cannot reach the store does not do it later. */
+  /** Lets runners renew their entries; renewals that are due while the store is unavailable are not made up for. */
   private renew(): void {
     const renewals = Math.floor((this.now / HEARTBEAT_MILLISECONDS) * this.options.runners);
-    if (this.awayUntil <= this.now) this.revision += renewals - this.renewals;
+    if (this.unavailableUntil <= this.now) this.revision += renewals - this.renewals;
     this.renewals = renewals;
   }
 
   private write(fact: StoreFact): void {
     this.revision += 1;
     this.changes.push({ ...fact, revision: this.revision });
-    if (fact.kind === 'runner') this.present.set(fact.runner.id, fact.runner);
-    if (fact.kind === 'runner_gone') this.present.delete(fact.id);
+    if (fact.kind === 'runner') this.entries.set(fact.runner.id, fact.runner);
+    if (fact.kind === 'runner_gone') this.entries.delete(fact.id);
   }
 
   private deliver(): void {
     for (const sender of this.daemons) {
       const messages = sender.socket.sent.splice(0);
-      if (messages.length === 0 || sender.cutUntil > this.now) continue;
+      if (messages.length === 0 || sender.disconnectedUntil > this.now) continue;
       for (const daemon of this.daemons) {
-        if (daemon === sender || daemon.cutUntil > this.now) continue;
+        if (daemon === sender || daemon.disconnectedUntil > this.now) continue;
         const arrived = messages.filter(() => this.random() >= LOSS_SHARE);
         for (const message of arrived) daemon.socket.handler(message);
       }
@@ -207,10 +223,10 @@
 
   private view(): TestStoreView {
     return {
-      isAway: this.awayUntil > this.now,
+      isUnavailable: this.unavailableUntil > this.now,
       revision: this.revision,
-      present: () => [
-        ...[...this.present.values()].map((runner) => ({ kind: 'runner', runner }) as const),
+      currentFacts: () => [
+        ...[...this.entries.values()].map((runner) => ({ kind: 'runner', runner }) as const),
         ...[...this.evacuated].map((dataCentre) => ({ kind: 'evacuation', dataCentre }) as const),
       ],
       changesAfter: (after) => {
--- a/src/coordination/testFollower.ts
+++ b/src/coordination/testFollower.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon of a large fleet in virtual time, for tests: its beliefs and its relay, and when it reads a store that is played.
+ * One daemon of a simulated fleet, for tests: its fleet state and its relay, and when it reads the simulated store.
  */
 import type { MessageKind } from '../generated/baobabdock/v1/news_pb.js';
 import { SilentLog } from '../logging/Log.js';
@@ -9,22 +9,25 @@
 import type { ManualClock } from '../time/ManualClock.js';
 import { StoreRelay } from './StoreRelay.js';
 
-/** As in `RouterDaemon`: changes are gathered for this share of the bound; what is told is good for 1.5 times that. */
-const GATHER_SHARE = 0.4;
+/**
+ * As in `RouterDaemon`: the interval between reads as a share of the bound, and how long broadcasts count as current,
+ * as a multiple of that interval (1.5).
+ */
+const READ_INTERVAL_SHARE = 0.4;
 const FRESH_READS = 1.5;
 
-/** Readers wait up to this much less, as a share. */
+/** Store readers shorten the interval by up to this share, at random. */
 const JITTER_SHARE = 0.4;
 
-/** Between calls to a store that does not answer, in ms. */
+/** Interval between calls to an unavailable store, in ms. */
 const PAUSE_MILLISECONDS = 500;
 
-/** What the store answers at a moment. */
+/** The state of the store at one moment. */
 export interface TestStoreView {
-  readonly isAway: boolean;
+  readonly isUnavailable: boolean;
   readonly revision: number;
-  readonly present: () => StoreFact[];
-  /** `undefined` where the history does not reach back so far. */
+  readonly currentFacts: () => StoreFact[];
+  /** Changes after a revision; `undefined` if the history does not reach back that far. */
   readonly changesAfter: (revision: number) => StoreFact[] | undefined;
 }
 
@@ -57,7 +60,7 @@
   later: (call: () => void, milliseconds: number) => void;
 }
 
-/** One daemon of a {@link TestFleet}: its beliefs, and when it reads the store. */
+/** One daemon of a {@link TestFleet}, with its fleet state and its reads of the store. */
 export class TestDaemon {
   readonly name: string;
 
@@ -65,11 +68,11 @@
 
   readonly socket = new CapturingSocket();
 
-  /** When it started, monotonic ms. */
+  /** Start time of its incarnation, monotonic ms. */
   readonly startedAt: number;
 
-  /** Until when it reaches neither the store nor others, monotonic ms. */
-  cutUntil = Number.NEGATIVE_INFINITY;
+  /** It reaches neither the store nor other daemons until then, monotonic ms. */
+  disconnectedUntil = Number.NEGATIVE_INFINITY;
 
   private readonly relay: StoreRelay;
 
@@ -77,12 +80,12 @@
 
   private nextReadAt = 0;
 
-  /** What it reads although others read for it. */
-  private mustRead: 'changes' | 'everything' | undefined = 'everything';
+  /** What it has to read even though others read for it. */
+  private requiredRead: 'changes' | 'everything' | undefined = 'everything';
 
   constructor(options: TestDaemonOptions) {
     const { name, isReader, hasReaders, clock, later } = options;
-    const gather = GATHER_SHARE * options.boundMilliseconds;
+    const readInterval = READ_INTERVAL_SHARE * options.boundMilliseconds;
     this.options = options;
     this.name = name;
     this.startedAt = clock.monotonicMilliseconds();
@@ -97,43 +100,45 @@
       hasReaders: () => hasReaders,
       others: () => [],
       readStore: (what) => {
-        this.mustRead = what;
+        this.requiredRead = what;
       },
       fetchConfiguration: () => Promise.reject(new Error('no configuration is told')),
-      freshMilliseconds: gather * FRESH_READS,
-      configurationMilliseconds: gather,
+      freshMilliseconds: readInterval * FRESH_READS,
+      configurationMilliseconds: readInterval,
       later,
     });
   }
 
   /**
-   * Reads the store where it is time to.
+   * Reads the store if a read is due.
    *
-   * @param store - that answers unless the daemon is cut off.
+   * @param store - the store, which answers unless it is unavailable or the daemon is cut off.
    */
-  follow(store: TestStoreView): void {
+  readIfDue(store: TestStoreView): void {
     const now = this.options.clock.monotonicMilliseconds();
-    const isDue = this.mustRead !== undefined || (now >= this.nextReadAt && !this.relay.isFresh);
+    const isDue =
+      this.requiredRead !== undefined || (now >= this.nextReadAt && !this.relay.isFresh);
     if (!isDue) return;
-    if (this.cutUntil > now || store.isAway) {
+    if (this.disconnectedUntil > now || store.isUnavailable) {
       this.knowledge.storeFailed();
-      this.mustRead = undefined;
+      this.requiredRead = undefined;
       this.nextReadAt = now + PAUSE_MILLISECONDS;
       return;
     }
     this.read(store, now);
     const { boundMilliseconds, isReader, random } = this.options;
     const jitter = isReader ? JITTER_SHARE * random() : 0;
-    this.nextReadAt = now + GATHER_SHARE * boundMilliseconds * (1 - jitter);
+    this.nextReadAt = now + READ_INTERVAL_SHARE * boundMilliseconds * (1 - jitter);
   }
 
-  private read({ revision, present, changesAfter }: TestStoreView, now: number): void {
+  private read({ revision, currentFacts, changesAfter }: TestStoreView, now: number): void {
     const { knowledge, relay } = this;
     knowledge.storeServed(now);
-    const changes = this.mustRead === 'everything' ? undefined : changesAfter(knowledge.revision);
+    const changes =
+      this.requiredRead === 'everything' ? undefined : changesAfter(knowledge.revision);
     if (changes) knowledge.applyChanges({ revision, facts: changes }, now);
-    else knowledge.applyAll({ revision, facts: present() }, now);
-    this.mustRead = undefined;
+    else knowledge.applyAll({ revision, facts: currentFacts() }, now);
+    this.requiredRead = undefined;
     relay.readDone();
   }
 }
--- a/src/coordination/testLiveness.ts
+++ b/src/coordination/testLiveness.ts
@@ -1,6 +1,7 @@
 /**
- * A fleet whose daemons watch each other, in virtual time: the real decisions, and a network and a store that fail.
- * The store keeps all entries: leases end later than what is looked at, or not at all while it is away.
+ * A simulated fleet whose daemons monitor each other, in virtual time: the real decisions of the failure detector,
+ * with a network and a store that fail. The store keeps all entries: leases outlast the simulation, or do not end
+ * while the store is unavailable.
  */
 import { LivenessDecisions } from '../liveness/LivenessDecisions.js';
 import type { LivenessAction, ProbeOutcome } from '../liveness/livenessTypes.js';
@@ -13,45 +14,49 @@
 export interface TestLivenessOptions {
   daemons: number;
   seed: number;
-  /** Share of datagrams, and of calls' first packets, that get lost. */
+  /** Share of datagrams, and of first packets of calls, that are lost. */
   loss?: number;
-  /** Whether the store answers; it never drops an entry here. */
+  /** Whether the store answers; it never removes an entry here. */
   isStoreUp?: boolean;
 }
 
 /**
- * `off` has no power, `killed` has no process while its host lives, `frozen` stands still, `leaving` is in a planned
- * stop, `secretless` has started while the store was away: it cannot read others' messages, nor send any.
+ * `off`: its host has no power. `killed`: its process has ended while its host runs. `frozen`: its process is
+ * suspended. `leaving`: it is in a planned shutdown. `secretless`: it has started while the store was unavailable, and
+ * can neither read messages of other daemons nor send any.
  */
 export type TestState = 'up' | 'off' | 'killed' | 'frozen' | 'leaving' | 'secretless';
 
 const STEP_MILLISECONDS = 10;
-const LOOK_MILLISECONDS = 100;
+const OBSERVATION_MILLISECONDS = 100;
 const CALL_TIMEOUT_MILLISECONDS = 300;
 const LONGEST_DELAY_MILLISECONDS = 6;
 const STORE_READ_MILLISECONDS = 800;
 
-/** What a daemon takes a second from all others, and how often it sends at most; see NewsTask. */
-const TAKEN_PER_SECOND = 320;
+/**
+ * Load reports that a daemon receives per second from all others, and limits of the interval at which it sends its
+ * own, in ms; see `NewsTask`.
+ */
+const RECEIVED_PER_SECOND = 320;
 const REPEAT_MILLISECONDS = 1_000;
 const INTERVAL_MILLISECONDS = 100;
 const QUIET_FACTOR = 1.2;
 
-/** One daemon of the fleet. */
-export class TestWatcher {
+/** One daemon of the simulated fleet. */
+export class TestLivenessDaemon {
   readonly decisions: LivenessDecisions;
 
-  /** Those that all send their news, as it knows them. */
-  watchers: readonly DaemonEntry[] = [];
+  /** The fleet's monitors as this daemon knows them. */
+  monitors: readonly DaemonEntry[] = [];
 
   readonly entry: DaemonEntry;
 
   state: TestState = 'up';
 
-  /** Whether its link carries nothing in, or nothing out. */
+  /** Direction in which its link carries nothing. */
   cut: 'none' | 'in' | 'out' | 'both' = 'none';
 
-  /** How many ms its calls and messages wait on its own link. */
+  /** Queueing delay of its calls and messages on its own link, in ms. */
   linkDelay = 0;
 
   nextTickAt: number;
@@ -71,43 +76,45 @@
     this.nextNewsAt = random() * news;
   }
 
-  /** @returns Whether its process runs. */
+  /** @returns Whether its process is running. */
   get runs(): boolean {
     return this.state === 'up' || this.state === 'leaving' || this.state === 'secretless';
   }
 
-  /** @returns Whether its datagrams leave it. */
+  /** @returns Whether its datagrams reach the network. */
   get sends(): boolean {
     return this.runs && this.state !== 'secretless' && this.cut !== 'out' && this.cut !== 'both';
   }
 
-  /** @returns Whether datagrams reach it. */
+  /** @returns Whether datagrams of other daemons reach it. */
   get receives(): boolean {
     return this.runs && this.state !== 'secretless' && this.cut !== 'in' && this.cut !== 'both';
   }
 
-  /** @returns Whether a call between it and others gets through. */
+  /** @returns Whether calls between it and other daemons get through. */
   get takesCalls(): boolean {
     return this.runs && this.cut === 'none';
   }
 
   /**
-   * @param listed - all daemons.
-   * @param now - monotonic ms.
+   * Derives its monitors and its duties again when the fleet or its view of it has changed.
+   *
+   * @param listed - all listed daemons.
+   * @param now - current time, monotonic ms.
    */
   assign(listed: readonly DaemonEntry[], now: number): void {
     const { changes } = this.decisions;
     if (this.assigned.listed === listed.length && this.assigned.changes === changes) return;
     Object.assign(this.assigned, { listed: listed.length, changes });
-    this.watchers = watchersOf(listed, (name) => this.decisions.isOut(name));
-    const place = { daemon: this.entry.name, listed, watchers: this.watchers };
+    this.monitors = watchersOf(listed, (name) => this.decisions.isOut(name));
+    const place = { daemon: this.entry.name, listed, monitors: this.monitors };
     this.decisions.assign(livenessDuties(place), now);
   }
 }
 
-/** Plays the daemons and what is between them. */
+/** Simulates the daemons and the network between them. */
 export class TestLiveness {
-  readonly watchers: TestWatcher[] = [];
+  readonly daemons: TestLivenessDaemon[] = [];
 
   now = 0;
 
@@ -121,18 +128,18 @@
 
   private readonly listed: DaemonEntry[] = [];
 
-  private readonly byName = new Map<string, TestWatcher>();
+  private readonly byName = new Map<string, TestLivenessDaemon>();
 
   private readonly events = new Map<number, (() => void)[]>();
 
   /**
-   * @param options - its size, its troubles, and the seed of all chance.
+   * @param options - the fleet's size, its faults and its random seed.
    */
   constructor({ daemons, seed, loss = 0.01, isStoreUp = false }: TestLivenessOptions) {
     this.random = seededRandom(seed);
     this.loss = loss;
     this.isStoreUp = isStoreUp;
-    const interval = Math.max(INTERVAL_MILLISECONDS, (daemons * 1_000) / TAKEN_PER_SECOND);
+    const interval = Math.max(INTERVAL_MILLISECONDS, (daemons * 1_000) / RECEIVED_PER_SECOND);
     this.newsMilliseconds = interval * Math.ceil(REPEAT_MILLISECONDS / interval);
     const quiet = QUIET_FACTOR * this.newsMilliseconds;
     for (let index = 0; index < daemons; index += 1) {
@@ -140,49 +147,55 @@
       const addresses = { callerAddress: address, peerAddress: address, newsAddress: address };
       const entry = { name: `daemon-${index}`, dataCentre: 'here', ...addresses };
       const options = { quiet, random: this.random, news: this.newsMilliseconds };
-      const watcher = new TestWatcher(entry, options);
-      this.watchers.push(watcher);
-      this.byName.set(entry.name, watcher);
+      const daemon = new TestLivenessDaemon(entry, options);
+      this.daemons.push(daemon);
+      this.byName.set(entry.name, daemon);
       this.listed.push(entry);
     }
   }
 
-  /** @returns Daemons that run. */
-  get running(): TestWatcher[] {
-    return this.watchers.filter(({ runs }) => runs);
+  /** @returns The daemons whose processes are running. */
+  get running(): TestLivenessDaemon[] {
+    return this.daemons.filter(({ runs }) => runs);
   }
 
   /**
-   * @param share - of all daemons, at random.
-   * @returns Some of them.
+   * Picks daemons at random.
+   *
+   * @param share - the share of all daemons to pick.
+   * @returns The daemons picked.
    */
-  pick(share: number): TestWatcher[] {
-    const rest = [...this.watchers];
+  pick(share: number): TestLivenessDaemon[] {
+    const rest = [...this.daemons];
     const count = Math.round(share * rest.length);
     return Array.from({ length: count }, () => {
       const index = Math.floor(this.random() * rest.length);
-      return rest.splice(index, 1)[0] as TestWatcher;
+      return rest.splice(index, 1)[0] as TestLivenessDaemon;
     });
   }
 
   /**
-   * @param milliseconds - that pass.
-   * @param look - called each 100 ms.
+   * Advances the simulation.
+   *
+   * @param milliseconds - virtual time to pass.
+   * @param look - called every 100 ms of virtual time.
    */
-  play(milliseconds: number, look: () => void = () => undefined): void {
+  advance(milliseconds: number, look: () => void = () => undefined): void {
     const end = this.now + milliseconds;
     while (this.now < end) {
       this.step();
-      if (this.now % LOOK_MILLISECONDS === 0) look();
+      if (this.now % OBSERVATION_MILLISECONDS === 0) look();
     }
   }
 
   /**
-   * @param askers - whose answers count.
-   * @param named - daemons that they may name.
-   * @returns How many of these are named, over all answers.
+   * Counts daemons in the answers that other daemons would give to callers.
+   *
+   * @param askers - the daemons that answer.
+   * @param named - the daemons to count.
+   * @returns How often these are named, over all answers.
    */
-  timesNamed(askers: readonly TestWatcher[], named: readonly TestWatcher[]): number {
+  countNamed(askers: readonly TestLivenessDaemon[], named: readonly TestLivenessDaemon[]): number {
     const counts = askers.map(
       ({ decisions }) => named.filter(({ entry }) => !decisions.isOut(entry.name)).length,
     );
@@ -195,54 +208,58 @@
     this.events.delete(this.now);
     for (const event of due) event();
     if (this.now % STORE_READ_MILLISECONDS === 0) this.readStore();
-    for (const watcher of this.running) this.run(watcher);
+    for (const daemon of this.running) this.run(daemon);
   }
 
   private readStore(): void {
     if (!this.isStoreUp) return;
-    for (const { takesCalls, decisions, linkDelay } of this.watchers) {
+    for (const { takesCalls, decisions, linkDelay } of this.daemons) {
       if (takesCalls && linkDelay < CALL_TIMEOUT_MILLISECONDS) decisions.storeAnswered(this.now);
     }
   }
 
-  private run(watcher: TestWatcher): void {
-    const { decisions } = watcher;
-    if (this.now >= watcher.nextTickAt) {
-      Object.assign(watcher, { nextTickAt: this.now + decisions.tickMilliseconds });
-      watcher.assign(this.listed, this.now);
-      for (const action of decisions.tick(this.now)) this.act(watcher, action);
+  private run(daemon: TestLivenessDaemon): void {
+    const { decisions } = daemon;
+    if (this.now >= daemon.nextTickAt) {
+      Object.assign(daemon, { nextTickAt: this.now + decisions.tickMilliseconds });
+      daemon.assign(this.listed, this.now);
+      for (const action of decisions.tick(this.now)) this.perform(daemon, action);
     }
-    if (this.now >= watcher.nextNewsAt) {
-      Object.assign(watcher, { nextNewsAt: this.now + this.newsMilliseconds });
-      this.tellNews(watcher);
+    if (this.now >= daemon.nextNewsAt) {
+      Object.assign(daemon, { nextNewsAt: this.now + this.newsMilliseconds });
+      this.sendNews(daemon);
     }
   }
 
-  private tellNews(watcher: TestWatcher): void {
-    const recipients = watcher.watchers.length > 0 ? watcher.watchers : this.listed;
-    const { name } = watcher.entry;
-    const isLeaving = watcher.state === 'leaving';
+  private sendNews(daemon: TestLivenessDaemon): void {
+    const recipients = daemon.monitors.length > 0 ? daemon.monitors : this.listed;
+    const { name } = daemon.entry;
+    const isLeaving = daemon.state === 'leaving';
     for (const entry of recipients) {
-      this.send(watcher, entry.name, (to) => to.decisions.heard(name, this.now, isLeaving));
+      this.send(daemon, entry.name, (to) => to.decisions.heard(name, this.now, isLeaving));
     }
   }
 
-  private send(from: TestWatcher, name: string, take: (to: TestWatcher) => void): void {
+  private send(
+    from: TestLivenessDaemon,
+    name: string,
+    take: (to: TestLivenessDaemon) => void,
+  ): void {
     const to = this.byName.get(name);
     if (!to || to === from || !from.sends || this.random() < this.loss) return;
     const wait = from.linkDelay + to.linkDelay;
-    // A full link drops datagrams instead of keeping them for long.
+    // A congested link drops datagrams instead of queueing them for long.
     if (wait > CALL_TIMEOUT_MILLISECONDS) return;
     this.later(wait + this.delay(), () => {
       if (to.receives) take(to);
     });
   }
 
-  private act(watcher: TestWatcher, action: LivenessAction): void {
-    const { decisions, entry } = watcher;
+  private perform(daemon: TestLivenessDaemon, action: LivenessAction): void {
+    const { decisions, entry } = daemon;
     switch (action.kind) {
       case 'probe':
-        this.call(watcher, action.daemon, (outcome, called) => {
+        this.call(daemon, action.daemon, (outcome, called) => {
           decisions.probeEnded(action.daemon, outcome, this.now);
           const { toldSilences } = called.decisions;
           if (outcome === 'answered' && toldSilences) {
@@ -251,7 +268,7 @@
         });
         break;
       case 'ask':
-        this.call(watcher, action.helper, (outcome, helper) => {
+        this.call(daemon, action.helper, (outcome, helper) => {
           const isThere = outcome === 'answered' || outcome === 'leaving';
           if (!isThere) return;
           const opinions = helper.decisions.opinionsOn(action.daemons, this.now);
@@ -259,8 +276,8 @@
         });
         break;
       case 'tell':
-        for (const { entry: to } of this.watchers) {
-          this.send(watcher, to.name, ({ decisions: listener }) =>
+        for (const { entry: to } of this.daemons) {
+          this.send(daemon, to.name, ({ decisions: listener }) =>
             listener.takeTold(entry.name, action.silent, this.now),
           );
         }
@@ -270,22 +287,22 @@
   }
 
   private call(
-    from: TestWatcher,
+    from: TestLivenessDaemon,
     name: string,
-    end: (outcome: ProbeOutcome, to: TestWatcher) => void,
+    end: (outcome: ProbeOutcome, to: TestLivenessDaemon) => void,
   ): void {
-    const to = this.byName.get(name) as TestWatcher;
+    const to = this.byName.get(name) as TestLivenessDaemon;
     const wait = 2 * (from.linkDelay + to.linkDelay) + this.delay();
-    // Two calls at the same time: both are lost more rarely.
+    // Two connection attempts are made at the same time, so both are lost more rarely.
     const isLost = this.random() < this.loss ** 2 || wait > CALL_TIMEOUT_MILLISECONDS;
-    const reaches = !isLost && from.cut === 'none' && to.cut === 'none';
-    const outcome = this.outcomeOf(to, reaches);
+    const isReachable = !isLost && from.cut === 'none' && to.cut === 'none';
+    const outcome = this.outcomeOf(to, isReachable);
     this.later(outcome === 'timeout' ? CALL_TIMEOUT_MILLISECONDS : wait, () => {
       if (from.runs) end(outcome, to);
     });
   }
 
-  private outcomeOf(to: TestWatcher, reaches: boolean): ProbeOutcome {
+  private outcomeOf(to: TestLivenessDaemon, reaches: boolean): ProbeOutcome {
     if (!reaches) return 'timeout';
     if (to.state === 'killed') return 'refused';
     if (to.state === 'leaving') return 'leaving';
--- a/src/coordination/testLoad.ts
+++ b/src/coordination/testLoad.ts
@@ -1,6 +1,6 @@
 /**
- * Plays the load of a fleet in virtual time: daemons choose runners for prompts, some of them popular, by what they
- * have told each other or by asking coordinators.
+ * Simulates the load of a fleet in virtual time: daemons choose runners for prompts, some of them popular, either by
+ * the loads that daemons report to each other or by asking coordinators.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -11,33 +11,33 @@
 import { RunnerTable } from '../runners/RunnerTable.js';
 import { WarmPlaces } from '../runners/WarmPlaces.js';
 import type { DaemonEntry } from '../sync/FleetStore.js';
-import { askedInOrder, coordinatorsOf } from './coordinatorsOf.js';
+import { coordinatorsInOrder, coordinatorsOf } from './coordinatorsOf.js';
 import { GrantLedger } from './GrantLedger.js';
 
-/** Options of {@link playLoad}. */
+/** Options of {@link simulateLoad}. */
 export interface LoadOptions {
   seed: number;
   daemons: number;
   runners: number;
-  /** Of the whole fleet. */
+  /** Requests per second of the whole fleet. */
   requestsPerSecond: number;
-  /** Whether coordinators choose; otherwise each daemon does, by counts that all tell all. */
+  /** Whether coordinators choose; otherwise each daemon chooses by the loads that all daemons report to each other. */
   isCoordinated: boolean;
-  /** Between two messages of a daemon, in ms. */
+  /** Interval between two load reports of a daemon, in ms. */
   newsMilliseconds: number;
-  /** Part of the runners whose data centre is evacuated. */
+  /** Share of the runners whose data centre is evacuated. */
   evacuatedShare?: number;
-  /** From this time on no coordinator answers, in ms. */
-  coordinatorsSilentAt?: number;
+  /** From this virtual time on no coordinator answers, in ms. */
+  coordinatorsUnresponsiveAt?: number;
 }
 
-/** What came of it. */
+/** What runners and callers got. */
 export interface LoadResult {
-  /** Share of requests that went to a runner with over twice the mean and three. */
+  /** Share of the requests that went to a runner with over twice the mean load plus three requests. */
   readonly overLimit: number;
-  /** Requests at the busiest runner over the mean, the largest of any moment. */
+  /** The largest ratio, at any moment, of the load of the busiest runner to the mean load. */
   readonly worstRatio: number;
-  /** Requests that went to a runner for the first time of their prompt, as a share. */
+  /** Share of the requests that went to a runner that had not had their prompt before. */
   readonly cold: number;
 }
 
@@ -55,7 +55,7 @@
   readonly choice: RunnerChoice;
   readonly loads: ForeignLoads;
   readonly grants: GrantLedger;
-  /** By coordinator, the latest grant. */
+  /** The latest grant of each coordinator, by coordinator name. */
   readonly counted: Map<string, number>;
 }
 
@@ -85,7 +85,7 @@
   return { entry, table, choice, loads, grants, counted: new Map() };
 }
 
-function tell(daemon: Daemon, recipients: readonly Daemon[], now: number): void {
+function reportLoad(daemon: Daemon, recipients: readonly Daemon[], now: number): void {
   const busy = daemon.table.list().filter(({ inFlight }) => inFlight > 0);
   const news = create(DaemonNewsSchema, {
     daemon: daemon.entry.name,
@@ -98,36 +98,40 @@
     if (recipient === daemon) continue;
     recipient.loads.take(news, now);
     const own = news.grants.find(({ coordinator }) => coordinator === recipient.entry.name);
-    if (own) recipient.grants.counted(daemon.entry.name, own.grant);
+    if (own) recipient.grants.acknowledge(daemon.entry.name, own.grant);
   }
 }
 
 /**
- * @param options - the fleet and how it chooses.
- * @returns What runners and callers got after the first seconds.
+ * Simulates the load of a fleet.
+ *
+ * @param options - the fleet and how it chooses runners.
+ * @returns What runners and callers got after the warm-up.
  */
-export function playLoad(options: LoadOptions): LoadResult {
+export function simulateLoad(options: LoadOptions): LoadResult {
   const { seed, requestsPerSecond, isCoordinated, newsMilliseconds } = options;
   const random = seededRandom(seed);
   const daemons = Array.from({ length: options.daemons }, (_, index) => daemonOf(index, options));
   const byName = new Map(daemons.map((daemon) => [daemon.entry.name, daemon]));
   const coordinators = isCoordinated ? coordinatorsOf(daemons.map(({ entry }) => entry)) : [];
-  const told = isCoordinated ? coordinators.map(({ name }) => byName.get(name) as Daemon) : daemons;
+  const recipients = isCoordinated
+    ? coordinators.map(({ name }) => byName.get(name) as Daemon)
+    : daemons;
   const running = new Map<string, number>();
   const ends: (readonly [daemon: Daemon, life: string])[][] = [];
   const known = new Set<string>();
   const counts = { requests: 0, over: 0, cold: 0, worst: 0 };
 
   const choose = (daemon: Daemon, prompt: string, now: number): string => {
-    const silent = now >= (options.coordinatorsSilentAt ?? Number.POSITIVE_INFINITY);
-    const [asked] = silent ? [] : askedInOrder(coordinators, prompt);
+    const silent = now >= (options.coordinatorsUnresponsiveAt ?? Number.POSITIVE_INFINITY);
+    const [asked] = silent ? [] : coordinatorsInOrder(coordinators, prompt);
     const chooser = (asked && byName.get(asked.name)) ?? daemon;
     const question = { service: 'chat', sharedParts: [prompt], tried: new Set<string>(), now };
     const chosen = chooser.choice.choose({ ...question, connectionLimit: 1_000 });
     const life = chosen?.runner.entry.life ?? '';
     if (chooser !== daemon) {
       daemon.counted.set(chooser.entry.name, chooser.grants.grant(daemon.entry.name, life, now));
-      daemon.choice.adopt([prompt], life);
+      daemon.choice.rememberChoice([prompt], life);
     }
     return life;
   };
@@ -160,7 +164,7 @@
       if (runner) runner.inFlight -= 1;
     }
     for (const [index, daemon] of daemons.entries()) {
-      if ((now + index * 7) % newsMilliseconds === 0) tell(daemon, told, now);
+      if ((now + index * 7) % newsMilliseconds === 0) reportLoad(daemon, recipients, now);
     }
     due += requestsPerSecond / 1_000;
     for (; due >= 1; due -= 1) send(now);
--- a/src/runners/ColdStarts.spec.ts
+++ b/src/runners/ColdStarts.spec.ts
@@ -7,8 +7,10 @@
 import { Runner } from './Runner.js';
 import { TEST_RUNNER } from './testRunner.js';
 
+/** Requests per second that a cold runner sustains. */
 const RATE = 10;
 
+/** Ownership is stable for long enough, in ms. */
 const LONG = 60_000;
 
 describe(ColdStarts.name, () => {
@@ -17,7 +19,7 @@
   let runner: Runner;
 
   beforeEach(() => {
-    ownership = { share: 1, settledMilliseconds: LONG };
+    ownership = { share: 1, stableMilliseconds: LONG };
     coldStarts = new ColdStarts({
       rateOf: (service) => (service === 'chat' ? RATE : undefined),
       ownershipOf: () => ownership,
@@ -31,45 +33,45 @@
   function sentWithin(from: number, until: number): number {
     let sent = 0;
     for (let now = from; now < until; now += 10) {
-      if (!coldStarts.hasRoom(runner, now)) continue;
-      coldStarts.sent(runner, now);
+      if (!coldStarts.mayOwnerSend(runner, now)) continue;
+      coldStarts.countRequest(runner, now);
       sent += 1;
     }
     return sent;
   }
 
-  it('leaves warm runners alone, and services without a rate', () => {
-    expect(coldStarts.hasRoom(runner, 5_000)).toEqual(true);
+  it('does not limit warm runners, or services without a rate', () => {
+    expect(coldStarts.mayOwnerSend(runner, 5_000)).toEqual(true);
     const other = new Runner({ ...TEST_RUNNER, service: 'plain' });
     other.coldUntil = 5_000;
-    expect(coldStarts.hasRoom(other, 0)).toEqual(true);
+    expect(coldStarts.mayOwnerSend(other, 0)).toEqual(true);
   });
 
-  it('gives an owner its part of the rate', () => {
+  it('gives an owner its share of the rate', () => {
     expect(sentWithin(0, 1_000)).toEqual(RATE);
-    ownership = { share: 0.5, settledMilliseconds: LONG };
+    ownership = { share: 0.5, stableMilliseconds: LONG };
     expect(sentWithin(1_000, 2_000)).toEqual(RATE / 2);
   });
 
-  it('has no room for the first second of an owner: the one before may have sent as much', () => {
-    ownership = { share: 1, settledMilliseconds: 999 };
-    expect(coldStarts.hasRoom(runner, 0)).toEqual(false);
+  it('blocks a new owner for its first second, as the previous one may have used up the rate', () => {
+    ownership = { share: 1, stableMilliseconds: 999 };
+    expect(coldStarts.mayOwnerSend(runner, 0)).toEqual(false);
   });
 
-  it('gives a daemon that is no owner its part of a half, from a random moment on', () => {
-    ownership = { share: 0, settledMilliseconds: LONG };
-    expect(coldStarts.hasRoom(runner, 0)).toEqual(false);
-    expect(coldStarts.hasRoomForOthers(runner, 0)).toEqual(false);
-    expect(coldStarts.hasRoomForOthers(runner, 1_000)).toEqual(true);
-    coldStarts.sent(runner, 1_000);
-    expect(coldStarts.hasRoomForOthers(runner, 2_900)).toEqual(false);
-    expect(coldStarts.hasRoomForOthers(runner, 3_000)).toEqual(true);
+  it('gives a daemon that is not an owner its part of half the rate, starting at a random moment', () => {
+    ownership = { share: 0, stableMilliseconds: LONG };
+    expect(coldStarts.mayOwnerSend(runner, 0)).toEqual(false);
+    expect(coldStarts.mayNonOwnerSend(runner, 0)).toEqual(false);
+    expect(coldStarts.mayNonOwnerSend(runner, 1_000)).toEqual(true);
+    coldStarts.countRequest(runner, 1_000);
+    expect(coldStarts.mayNonOwnerSend(runner, 2_900)).toEqual(false);
+    expect(coldStarts.mayNonOwnerSend(runner, 3_000)).toEqual(true);
   });
 
-  it('begins anew where the runner becomes cold again', () => {
-    coldStarts.sent(runner, 1_000);
+  it('starts a new cold period when the runner becomes cold again', () => {
+    coldStarts.countRequest(runner, 1_000);
     runner.coldUntil = 20_000;
-    ownership = { share: 0, settledMilliseconds: LONG };
-    expect(coldStarts.hasRoomForOthers(runner, 12_000)).toEqual(false);
+    ownership = { share: 0, stableMilliseconds: LONG };
+    expect(coldStarts.mayNonOwnerSend(runner, 12_000)).toEqual(false);
   });
 });
--- a/src/runners/ColdStarts.ts
+++ b/src/runners/ColdStarts.ts
@@ -1,128 +1,145 @@
 /**
- * How many requests cold runners get: one that has just started, or has become cold again, bears a few requests a second of
- * the whole fleet and crashes well above that.
+ * Limits the requests to cold runners. A runner that has just started, or has become cold again, sustains only a few
+ * requests per second from the whole fleet, and crashes well above that rate.
  *
- * For each cold runner a few daemons decide, its owners, with a part of the rate each. All others leave it alone, but for a
- * small part where nothing else is left: they may hear of no owner.
+ * A few daemons, the runner's owners, decide about each cold runner, each with a share of the rate. All other daemons
+ * avoid the runner, except for a small share of the rate that they may use when no other runner is left, since they
+ * may not be able to reach any owner.
  */
 import type { Runner } from './Runner.js';
 
-/** Whether this daemon decides about a runner. */
+/** Whether and since when this daemon decides about a runner. */
 export interface ColdOwnership {
-  /** This daemon's part of the rate, up to 1; 0 where others decide. */
+  /** This daemon's share of the rate, up to 1; 0 if it is not an owner. */
   readonly share: number;
-  /** For how long nobody else has decided, in ms. */
-  readonly settledMilliseconds: number;
+  /** How long the set of owners has been unchanged, in ms. */
+  readonly stableMilliseconds: number;
 }
 
 /** Options of a {@link ColdStarts}. */
 export interface ColdStartsOptions {
-  /** Requests a second that a cold runner of a service bears; `undefined` where its runners need no care. */
+  /**
+   * Requests per second that a cold runner of a service sustains; `undefined` if the service's runners need no limit.
+   */
   rateOf: (service: string) => number | undefined;
-  /** Who decides about a runner. */
+  /** This daemon's ownership of a runner, by the runner's incarnation. */
   ownershipOf: (life: string) => ColdOwnership;
-  /** Daemons that may send requests, this one too. */
+  /** Number of daemons that may send requests, including this one. */
   daemons: () => number;
-  /** Gives numbers from 0 up to 1. */
+  /** Returns random numbers from 0 up to 1. */
   random?: () => number;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** The owners before may have sent as much as the rate allows within this time; in ms. */
+/** How long a new owner waits before it sends, in ms: the previous owners may have used up the rate of that time. */
 const HANDOVER_MILLISECONDS = 1_000;
 
-/** What all daemons that are no owners may send together, as a share of the rate. */
-const OTHERS_SHARE = 0.5;
+/** Share of the rate that all daemons which are not owners may use together. */
+const NON_OWNERS_SHARE = 0.5;
 
-/** When this daemon may send to a runner again, in one of its cold spans; all in monotonic ms. */
-interface ColdSpan {
-  /** When the runner is warm, as far as is known. */
+/** When this daemon may send to a runner again during one cold period of the runner; all times in monotonic ms. */
+interface ColdPeriod {
+  /** Expected end of the cold period. */
   until: number;
-  ownerAt: number;
-  otherAt: number;
+  /** Next request as an owner. */
+  nextAsOwnerAt: number;
+  /** Next request as a daemon that is not an owner. */
+  nextAsNonOwnerAt: number;
 }
 
-/** Spaces out what this daemon, and those that it decides for, send to cold runners. */
+/** Spaces out the requests that this daemon, and the daemons that it chooses for, send to cold runners. */
 export class ColdStarts {
   private readonly options: Required<ColdStartsOptions>;
 
-  private readonly spans = new WeakMap<Runner, ColdSpan>();
+  private readonly periods = new WeakMap<Runner, ColdPeriod>();
 
   /**
-   * @param options - rates, and who decides.
+   * @param options - rates and ownership of cold runners.
    */
   constructor(options: ColdStartsOptions) {
     this.options = { random: Math.random, ...options };
   }
 
   /**
-   * @param runner - that may be cold.
-   * @param now - monotonic milliseconds.
-   * @returns Whether it needs care.
+   * Tells whether a runner is cold and its service limits requests to cold runners.
+   *
+   * @param runner - the runner to check.
+   * @param now - current time, monotonic ms.
+   * @returns Whether requests to it are limited.
    */
   isCold({ coldUntil, entry }: Runner, now: number): boolean {
     return coldUntil > now && this.options.rateOf(entry.service) !== undefined;
   }
 
   /**
-   * @param runner - that a request may go to.
-   * @param now - monotonic milliseconds.
-   * @returns Whether it is warm, or this daemon is one of its owners and its part of the rate has room.
+   * Tells whether a request may go to a runner under this daemon's ownership.
+   *
+   * @param runner - the runner to check.
+   * @param now - current time, monotonic ms.
+   * @returns Whether the runner is warm, or this daemon is an owner with unused rate.
    */
-  hasRoom(runner: Runner, now: number): boolean {
+  mayOwnerSend(runner: Runner, now: number): boolean {
     if (!this.isCold(runner, now)) return true;
-    const { share, settledMilliseconds } = this.options.ownershipOf(runner.entry.life);
-    if (share === 0 || settledMilliseconds < HANDOVER_MILLISECONDS) return false;
-    return now >= this.spanOf(runner, now).ownerAt;
+    const { share, stableMilliseconds } = this.options.ownershipOf(runner.entry.life);
+    if (share === 0 || stableMilliseconds < HANDOVER_MILLISECONDS) return false;
+    return now >= this.periodOf(runner, now).nextAsOwnerAt;
   }
 
   /**
-   * @param runner - that a request may go to, for want of another one.
-   * @param now - monotonic milliseconds.
-   * @returns Whether this daemon's part of what daemons that are no owners may send has room.
+   * Tells whether a request may go to a runner that this daemon does not own, when no other runner is left.
+   *
+   * @param runner - the runner to check.
+   * @param now - current time, monotonic ms.
+   * @returns Whether the runner is warm, or this daemon's part of the non-owners' rate is unused.
    */
-  hasRoomForOthers(runner: Runner, now: number): boolean {
+  mayNonOwnerSend(runner: Runner, now: number): boolean {
     if (!this.isCold(runner, now)) return true;
-    // A daemon that has just started lists too few others to know its part.
-    const { settledMilliseconds } = this.options.ownershipOf(runner.entry.life);
-    if (settledMilliseconds < HANDOVER_MILLISECONDS) return false;
-    return now >= this.spanOf(runner, now).otherAt;
+    // A daemon that has just started lists too few other daemons to compute its part.
+    const { stableMilliseconds } = this.options.ownershipOf(runner.entry.life);
+    if (stableMilliseconds < HANDOVER_MILLISECONDS) return false;
+    return now >= this.periodOf(runner, now).nextAsNonOwnerAt;
   }
 
   /**
-   * @param runner - that a request goes to.
-   * @param now - monotonic milliseconds.
+   * Counts a request against the rate of its runner.
+   *
+   * @param runner - the runner that the request goes to.
+   * @param now - current time, monotonic ms.
    */
-  sent(runner: Runner, now: number): void {
+  countRequest(runner: Runner, now: number): void {
     if (!this.isCold(runner, now)) return;
-    const span = this.spanOf(runner, now);
+    const span = this.periodOf(runner, now);
     const { share } = this.options.ownershipOf(runner.entry.life);
-    if (share > 0) span.ownerAt = Math.max(span.ownerAt, now) + this.pauseAt(runner, share);
-    span.otherAt = Math.max(span.otherAt, now) + this.otherPause(runner);
+    if (share > 0)
+      span.nextAsOwnerAt = Math.max(span.nextAsOwnerAt, now) + this.requestInterval(runner, share);
+    span.nextAsNonOwnerAt = Math.max(span.nextAsNonOwnerAt, now) + this.nonOwnerInterval(runner);
   }
 
-  private otherPause(runner: Runner): number {
-    return this.pauseAt(runner, OTHERS_SHARE / this.options.daemons());
+  private nonOwnerInterval(runner: Runner): number {
+    return this.requestInterval(runner, NON_OWNERS_SHARE / this.options.daemons());
   }
 
-  /** @returns The time between two requests, in ms. */
-  private pauseAt({ entry }: Runner, share: number): number {
+  /** @returns Interval between two requests, in ms. */
+  private requestInterval({ entry }: Runner, share: number): number {
     const rate = this.options.rateOf(entry.service) ?? Number.POSITIVE_INFINITY;
     return MILLISECONDS_PER_SECOND / (rate * share);
   }
 
-  /** Daemons that are no owners begin at random moments: all of them may learn of a cold runner at once. */
-  private spanOf(runner: Runner, now: number): ColdSpan {
+  /**
+   * Returns the current cold period of a runner. Daemons that are not owners start at random moments, since all of
+   * them may learn of a cold runner at once.
+   */
+  private periodOf(runner: Runner, now: number): ColdPeriod {
     const until = runner.coldUntil;
-    const known = this.spans.get(runner);
+    const known = this.periods.get(runner);
     if (known && now < known.until) {
       known.until = until;
       return known;
     }
-    const otherAt = now + this.options.random() * this.otherPause(runner);
-    const made = { until, ownerAt: now, otherAt };
-    this.spans.set(runner, made);
+    const nextAsNonOwnerAt = now + this.options.random() * this.nonOwnerInterval(runner);
+    const made = { until, nextAsOwnerAt: now, nextAsNonOwnerAt };
+    this.periods.set(runner, made);
     return made;
   }
 }
--- a/src/runners/FailureShare.ts
+++ b/src/runners/FailureShare.ts
@@ -1,11 +1,11 @@
 /**
- * How often requests fail, with what lies back counting less: half of it is forgotten every two seconds.
+ * Exponentially decaying share of failed requests.
  */
 
-/** Half of what is remembered of outcomes is forgotten in this time, in ms. */
+/** Time after which an outcome counts half, in ms. */
 const HALF_LIFE_MILLISECONDS = 2_000;
 
-/** Counts requests and failures. */
+/** Counts requests and failures with exponential decay: both halve every two seconds. */
 export class FailureShare {
   failures = 0;
 
@@ -14,19 +14,23 @@
   private countedAt = 0;
 
   /**
-   * @param now - monotonic milliseconds.
+   * Records the outcome of a request.
+   *
+   * @param now - current time, monotonic ms.
    * @param isFailure - whether the request failed.
    */
   record(now: number, isFailure: boolean): void {
-    this.forget(now);
+    this.decay(now);
     this.total += 1;
     if (isFailure) this.failures += 1;
   }
 
   /**
-   * @param now - monotonic milliseconds.
+   * Decays both counts up to now.
+   *
+   * @param now - current time, monotonic ms.
    */
-  forget(now: number): void {
+  decay(now: number): void {
     const kept = 0.5 ** ((now - this.countedAt) / HALF_LIFE_MILLISECONDS);
     this.failures *= kept;
     this.total *= kept;
--- a/src/runners/Runner.ts
+++ b/src/runners/Runner.ts
@@ -1,22 +1,22 @@
 /**
- * One life of one runner, as this daemon knows it.
+ * One incarnation of a runner, as this daemon knows it.
  */
 import type { FailureShare } from './FailureShare.js';
 import { RunnerHealth } from './RunnerHealth.js';
 
 /**
- * Whether a runner may get new work. `unreadable`: its entry in the platform's list cannot be understood, so that
- * nothing says where it is or whether it takes work; what is known of it is kept until the entry is right again.
+ * Whether a runner may get new work. `unreadable`: the runner's entry in the platform's list cannot be parsed, so its
+ * address and state are unknown; what is known of the runner is kept until the entry is valid again.
  */
 export type RunnerState = 'ready' | 'draining' | 'unreadable';
 
-/** What the platform's list tells of a runner. */
+/** A runner's entry in the platform's list. */
 export interface RunnerEntry {
-  /** Names the runner in the platform's list and to itself; a runner may start again under it. */
+  /** Identifies the runner in the platform's list and to itself; a restarted runner may keep it. */
   readonly id: string;
   /**
-   * Another one at each start of the runner. All that is believed of a runner's past (cached prompts, health,
-   * requests that daemons have there) is kept under it: a runner that has started again holds none of it.
+   * Identifies the incarnation; it differs after each start of the runner. Everything known of a runner's past (cached
+   * prompts, health, requests in flight) is stored by incarnation, because a restarted runner has none of it.
    */
   readonly life: string;
   readonly service: string;
@@ -24,34 +24,40 @@
   readonly port: number;
   readonly dataCentre: string;
   readonly state: RunnerState;
-  /** How much longer it bears a few requests a second only, as of when it was told; in ms. */
+  /**
+   * Remaining time, as of when the entry was sent, during which the runner sustains only a few requests per second; in
+   * ms.
+   */
   readonly coldMilliseconds?: number | undefined;
 }
 
-/** A runner with what this daemon has under way there. */
+/** A runner with the requests that this daemon has in flight there. */
 export class Runner {
   entry: RunnerEntry;
 
   readonly health: RunnerHealth;
 
-  /** Whether its entry is missing from the platform's list, which may have been away: it is gone, or will be back. */
+  /**
+   * Whether its entry is missing from the platform's list. The runner may be gone, or the list may have been
+   * unavailable and the entry will be back.
+   */
   isLapsed = false;
 
-  /** Until when it has asked this daemon for no requests, monotonic ms. */
+  /** The runner has asked this daemon to send no requests until then, monotonic ms. */
   pausedUntil = Number.NEGATIVE_INFINITY;
 
-  /** Until when it bears a few requests a second only, monotonic ms. */
+  /** The runner sustains only a few requests per second until then, monotonic ms. */
   coldUntil = Number.NEGATIVE_INFINITY;
 
-  /** Requests of this daemon that the runner has. */
+  /** Requests of this daemon that are in flight at the runner. */
   inFlight = 0;
 
-  /** When anything last came from it, monotonic ms; tells a silent runner from a busy one. */
+  /** When data last arrived from the runner, monotonic ms; distinguishes an unresponsive runner from a busy one. */
   lastHeardAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * @param entry - from the platform's list.
-   * @param service - outcomes of all runners of its service.
+   * @param entry - the entry in the platform's list.
+   * @param service - failure share over all runners of the service.
    */
   constructor(entry: RunnerEntry, service?: FailureShare) {
     this.entry = entry;
@@ -59,8 +65,10 @@
   }
 
   /**
-   * @param now - monotonic milliseconds.
-   * @returns Its entry as another daemon should take it now.
+   * Returns the entry to send to another daemon.
+   *
+   * @param now - current time, monotonic ms.
+   * @returns The entry with the time for which the runner is still cold.
    */
   entryAt(now: number): RunnerEntry {
     const coldMilliseconds = Math.round(this.coldUntil - now);
@@ -70,7 +78,9 @@
   }
 
   /**
-   * @param at - until when it wants no requests from this daemon, monotonic ms; a longer pause holds.
+   * Extends the pause that the runner has asked for; a longer pause stays in force.
+   *
+   * @param at - when it accepts requests from this daemon again, monotonic ms.
    */
   pauseUntil(at: number): void {
     this.pausedUntil = Math.max(this.pausedUntil, at);
--- a/src/runners/RunnerAdmission.ts
+++ b/src/runners/RunnerAdmission.ts
@@ -1,40 +1,41 @@
 /**
- * Whether a runner that takes new work may get this request now, and why not.
+ * Decides whether a runner that accepts new work may get a specific request now, and why not.
  */
 import type { HomeRegions } from '../routes/homes.js';
 import type { ColdStarts } from './ColdStarts.js';
 import type { Runner } from './Runner.js';
 
-/** Why a runner does not get a request that others may get, or that it may get later. */
-export type RequestObstacle = 'tried' | 'other_region' | 'asked_for_time' | 'no_connection';
+/** Why a runner may not get a request, although it may get others or may get this one later. */
+export type RejectionReason = 'tried' | 'other_region' | 'asked_for_time' | 'no_connection';
 
-/** What has to be known of a request. */
+/** The properties of a request that decide about its admission. */
 export interface AdmissionQuestion {
-  /** Lives of runners that had this request already. */
+  /** Incarnations of the runners that have already had this request. */
   readonly tried: ReadonlySet<string>;
-  /** Regions whose runners may run it; all where it is left out. */
+  /** Regions whose runners may execute the request; any region if left out. */
   readonly homeRegions?: HomeRegions;
-  /** Requests that this daemon may have at one runner. */
+  /** Maximum number of requests that this daemon may have in flight at one runner. */
   readonly connectionLimit: number;
-  /** Monotonic milliseconds. */
+  /** Current time, monotonic ms. */
   readonly now: number;
 }
 
 /** Options of a {@link RunnerAdmission}. */
 export interface RunnerAdmissionOptions {
   coldStarts?: ColdStarts | undefined;
-  /** Region of a data centre, as far as this daemon knows. */
+  /** Returns the region of a data centre, or `undefined` if it is unknown. */
   regionOf?: (dataCentre: string) => string | undefined;
 }
 
-/** Asked before each request that goes to a runner. */
+/** Checks each request against the state of the runner that it may go to. */
 export class RunnerAdmission {
   private readonly coldStarts: ColdStarts | undefined;
 
   private readonly regionOf: (dataCentre: string) => string | undefined;
 
   /**
-   * @param options - what cold runners bear, without which all are warm, and where data centres are.
+   * @param options - the limits for cold runners, without which every runner counts as warm, and the regions of data
+   * centres.
    */
   constructor({ coldStarts, regionOf = () => undefined }: RunnerAdmissionOptions = {}) {
     this.coldStarts = coldStarts;
@@ -42,58 +43,68 @@
   }
 
   /**
-   * @param runner - of any service.
-   * @param homeRegions - whose runners may run a request.
-   * @returns Whether it is in one of them; one in a data centre that nobody knows is not.
+   * Tells whether a runner is in one of the regions that may execute a request.
+   *
+   * @param runner - a runner of any service.
+   * @param homeRegions - the regions of the request.
+   * @returns Whether it is; a runner in an unknown data centre is in none of them.
    */
-  isAtHome({ entry }: Runner, homeRegions: HomeRegions): boolean {
+  isInHomeRegion({ entry }: Runner, homeRegions: HomeRegions): boolean {
     if (homeRegions === undefined) return true;
     const region = this.regionOf(entry.dataCentre);
     return region !== undefined && homeRegions.includes(region);
   }
 
   /**
-   * @param runner - that takes new work.
+   * Checks everything but the limits for cold runners.
+   *
+   * @param runner - a runner that accepts new work.
    * @param question - the request.
-   * @returns What keeps the runner from this request, whoever decides about cold ones.
+   * @returns Why the runner may not get the request; `undefined` if it may.
    */
-  obstacleTo(runner: Runner, question: AdmissionQuestion): RequestObstacle | undefined {
+  rejectionReasonFor(runner: Runner, question: AdmissionQuestion): RejectionReason | undefined {
     const { tried, now, connectionLimit } = question;
     if (tried.has(runner.entry.life)) return 'tried';
-    if (!this.isAtHome(runner, question.homeRegions)) return 'other_region';
+    if (!this.isInHomeRegion(runner, question.homeRegions)) return 'other_region';
     if (runner.pausedUntil > now) return 'asked_for_time';
     return runner.inFlight < connectionLimit ? undefined : 'no_connection';
   }
 
   /**
-   * @param runners - that take new work.
+   * Selects the runners that may get a request.
+   *
+   * @param runners - runners that accept new work.
    * @param question - the request.
-   * @returns Those that may get it: warm ones, and cold ones that have room.
+   * @returns The warm runners, and the cold ones with unused rate.
    */
   admitted(runners: readonly Runner[], question: AdmissionQuestion): readonly Runner[] {
     const { coldStarts } = this;
     const { now } = question;
-    const open = runners.filter((runner) => this.obstacleTo(runner, question) === undefined);
+    const open = runners.filter(
+      (runner) => this.rejectionReasonFor(runner, question) === undefined,
+    );
     if (!coldStarts) return open;
-    const admitted = open.filter((runner) => coldStarts.hasRoom(runner, now));
+    const admitted = open.filter((runner) => coldStarts.mayOwnerSend(runner, now));
     if (admitted.length > 0) return admitted;
-    return open.filter((runner) => coldStarts.hasRoomForOthers(runner, now));
+    return open.filter((runner) => coldStarts.mayNonOwnerSend(runner, now));
   }
 
   /**
-   * @param runner - that may be cold.
-   * @param now - monotonic milliseconds.
-   * @returns Whether it bears a few requests only.
+   * @param runner - the runner to check.
+   * @param now - current time, monotonic ms.
+   * @returns Whether requests to it are limited because it is cold.
    */
   isCold(runner: Runner, now: number): boolean {
     return this.coldStarts?.isCold(runner, now) ?? false;
   }
 
   /**
-   * @param runner - that the request goes to.
-   * @param now - monotonic milliseconds.
+   * Counts a request against the rate of its runner if that is cold.
+   *
+   * @param runner - the runner that the request goes to.
+   * @param now - current time, monotonic ms.
    */
-  sent(runner: Runner, now: number): void {
-    this.coldStarts?.sent(runner, now);
+  countRequest(runner: Runner, now: number): void {
+    this.coldStarts?.countRequest(runner, now);
   }
 }
--- a/src/runners/RunnerChoice.spec.ts
+++ b/src/runners/RunnerChoice.spec.ts
@@ -10,6 +10,7 @@
 import { RunnerTable } from './RunnerTable.js';
 import { WarmPlaces } from './WarmPlaces.js';
 
+/** Requests that one daemon may have at a runner; not reached in these tests. */
 const CONNECTION_LIMIT = 48;
 
 function tableOf(count: number, dataCentre = 'here'): RunnerTable {
@@ -27,13 +28,13 @@
   return { service: 'chat', sharedParts, tried, connectionLimit: CONNECTION_LIMIT, now };
 }
 
-/** Requests under way, by runner and by daemon, as they end one after the other. */
+/** A fleet of daemons with their requests in flight at each runner. */
 class Fleet {
   readonly choices: RunnerChoice[];
 
   readonly tables: RunnerTable[];
 
-  /** What the others were told last. */
+  /** The loads that all daemons reported last, summed up by runner. */
   private told = new Map<string, number>();
 
   constructor(daemons: number, runners: number, tellsLoads: boolean) {
@@ -57,7 +58,7 @@
     return this.ownTold[index] ?? new Map<string, number>();
   }
 
-  tell(): void {
+  reportLoads(): void {
     this.told = new Map();
     for (const [index, table] of this.tables.entries()) {
       const own = new Map(table.list().map(({ entry, inFlight }) => [entry.id, inFlight]));
@@ -66,21 +67,21 @@
     }
   }
 
-  held(id: string): number {
+  inFlightAt(id: string): number {
     return this.tables.reduce((sum, table) => sum + (table.get(id)?.inFlight ?? 0), 0);
   }
 
   mean(): number {
     const ids = this.tables[0]?.list().map(({ entry }) => entry.id) ?? [];
-    return ids.reduce((sum, id) => sum + this.held(id), 0) / ids.length;
+    return ids.reduce((sum, id) => sum + this.inFlightAt(id), 0) / ids.length;
   }
 }
 
 /**
- * Plays ten seconds of a site with one prompt that a third of the requests share.
+ * Simulates ten seconds of a site where a third of the requests share one prompt.
  *
- * @param tellsLoads - whether daemons tell each other their loads.
- * @returns Share of the requests that reached a runner with more than twice the mean and three.
+ * @param tellsLoads - whether daemons report their loads to each other.
+ * @returns Share of the requests that reached a runner with more than twice the mean load plus three requests.
  */
 function shareAboveLimit(tellsLoads: boolean): number {
   const random = seededRandom(7);
@@ -91,12 +92,12 @@
   for (let now = 0; now < 10_000; now += 10) {
     for (const ending of endings.filter(({ at }) => at <= now)) ending.end();
     endings.splice(0, endings.length, ...endings.filter(({ at }) => at > now));
-    if (now % 100 === 0) fleet.tell();
+    if (now % 100 === 0) fleet.reportLoads();
     const daemon = Math.floor(random() * 6);
     const part = random() < 0.33 ? 'hot' : `part-${Math.floor(random() * 200)}`;
     const runner = fleet.choices[daemon]?.choose(questionOf([part], now))?.runner;
     if (!runner) continue;
-    if (fleet.held(runner.entry.id) > 2 * fleet.mean() + 3) above += 1;
+    if (fleet.inFlightAt(runner.entry.id) > 2 * fleet.mean() + 3) above += 1;
     sent += 1;
     runner.inFlight += 1;
     const end = () => {
@@ -108,16 +109,16 @@
 }
 
 describe('RunnerChoice', () => {
-  it('keeps a hot prompt from filling its runner when daemons tell each other their loads', () => {
-    // Symptom: one runner holds three times the mean. Sequence: a third of all requests share one prompt;
-    // each of six daemons has a few of them. Cause: each is within a bound on its own count.
+  it('keeps a hot prompt from overloading its runner when daemons report their loads to each other', () => {
+    // Guards against one runner with three times the mean load. A third of all requests share one prompt, and each of
+    // six daemons has a few of them there, which is within a bound on its own count.
     expect(shareAboveLimit(true)).toBeLessThan(0.03);
     expect(shareAboveLimit(false)).toBeGreaterThan(0.03);
   });
 
   it('leaves a prompt where it is when a runner joins', () => {
-    // Symptom: prompts are read again after each scale-out. Sequence: a runner joins that hashing prefers
-    // for some of the prompts. Cause: a place that follows from the list of runners alone.
+    // Guards against prompts that are read again after each scale-out: if the place of a prompt follows from the list
+    // of runners alone, hashing moves some prompts to a runner that joins.
     const runners = tableOf(8);
     const choice = new RunnerChoice({ runners, dataCentre: 'here', warmPlaces: new WarmPlaces() });
     const parts = Array.from({ length: 100 }, (_, index) => `part-${index}`);
@@ -134,10 +135,10 @@
     expect(parts.map(placeOf)).toEqual(before);
   });
 
-  it('takes nothing for cached at a runner that was gone and is back', () => {
-    // Symptom: chats go to a runner that reads all of their prompts again, although another one has them. Sequence: a
-    // runner crashes, its entry goes, and it comes back under its id before the prompt is asked for. Cause: its places
-    // were dropped only with the next request for the prompt.
+  it('forgets what was cached at a runner that was gone and is back', () => {
+    // Guards against chats that go to a runner which has to read their prompts again although another one has them
+    // cached. A runner crashes, its entry disappears and comes back under the same id before the prompt is requested
+    // again; its places were dropped only with the next request for the prompt.
     const warmPlaces = new WarmPlaces();
     warmPlaces.remember('part', 'runner-1');
     warmPlaces.remember('part', 'runner-2');
@@ -147,7 +148,7 @@
     expect([chosen?.runner.entry.id, chosen?.reason]).toEqual(['runner-2', 'warm']);
   });
 
-  it('begins with the same place in every daemon', () => {
+  it('chooses the same first place in every daemon', () => {
     const places = [1, 2, 3].map((seed) => {
       const options = { runners: tableOf(8), warmPlaces: new WarmPlaces() };
       const choice = new RunnerChoice({
@@ -160,7 +161,7 @@
     expect(new Set(places).size).toEqual(1);
   });
 
-  it('takes a runner of its own data centre where no prompt is cached', () => {
+  it('prefers a runner of its own data centre when no prompt is cached', () => {
     const runners = tableOf(3, 'far');
     const place = { host: '127.0.0.1', port: 9_100, dataCentre: 'here' };
     runners.put({
@@ -174,9 +175,9 @@
     expect(choice.choose(questionOf([]))?.runner.entry.id).toEqual('runner-near');
   });
 
-  it('copies a prompt from the runner that has it when that one drains', () => {
-    // Symptom: catalogues are read again for minutes after each release. Sequence: a runner drains, its
-    // prompts go to other runners. Cause: those read what the draining runner still holds.
+  it('copies a cached prompt from a draining runner', () => {
+    // Guards against prompts that are read again for minutes after each release: a draining runner's prompts go to
+    // other runners, which read what the draining runner still has cached.
     const runners = tableOf(4);
     const choice = new RunnerChoice({ runners, dataCentre: 'here', warmPlaces: new WarmPlaces() });
     const question = questionOf(['outer', 'inner']);
@@ -189,7 +190,7 @@
     expect(choice.choose(question)?.cacheSource).toEqual(undefined);
   });
 
-  it('copies the outer part alone where nobody has more', () => {
+  it('copies the outer part alone when no runner has more', () => {
     const runners = tableOf(8);
     const choice = new RunnerChoice({ runners, dataCentre: 'here', warmPlaces: new WarmPlaces() });
     const first = choice.choose(questionOf(['outer', 'inner-0']))?.runner;
@@ -210,7 +211,7 @@
     expect(choice.choose({ ...questionOf(['a']), tried })).toEqual(undefined);
   });
 
-  it('uses runners that fail when there are no others', () => {
+  it('uses failing runners when there are no others', () => {
     const runners = tableOf(1);
     runners.get('runner-0')?.health.record(0, 'unreachable');
     const choice = new RunnerChoice({ runners, dataCentre: 'here', warmPlaces: new WarmPlaces() });
@@ -218,7 +219,7 @@
   });
 });
 
-describe('the choice for a request that has homes', () => {
+describe('the choice for a request with home regions', () => {
   const regionOf = (dataCentre: string) => (dataCentre === 'unknown' ? undefined : dataCentre);
 
   function choiceOf(...places: string[]): RunnerChoice {
@@ -237,7 +238,7 @@
     });
   }
 
-  it('never leaves them, however full they are', () => {
+  it('never leaves the home regions, however full their runners are', () => {
     const choice = choiceOf('north', 'south', 'west', 'unknown');
     for (let sent = 0; sent < 40; sent += 1) {
       const chosen = choice.choose({ ...questionOf(['part']), homeRegions: ['south', 'west'] });
@@ -246,14 +247,14 @@
     }
   });
 
-  it('is nobody where no home has a runner', () => {
+  it('finds no runner when no home region has one', () => {
     const choice = choiceOf('north', 'unknown');
     const question = { ...questionOf([]), homeRegions: ['south'] };
     expect(choice.choose(question)).toEqual(undefined);
   });
 
-  it('copies no cached prompt from outside', () => {
-    // Guards against a prompt that leaves its homes by way of a copy.
+  it('copies no cached prompt from outside the home regions', () => {
+    // Guards against a prompt that leaves its home regions through a cache copy.
     const choice = choiceOf('north', 'south');
     const anywhere = { ...questionOf(['part']), tried: new Set(['runner-1']) };
     expect(choice.choose(anywhere)?.runner.entry.dataCentre).toEqual('north');
@@ -265,7 +266,7 @@
 describe('the choice while runners are left out', () => {
   const LOADS = [6, 1, 0, 0];
 
-  /** One runner has the prompt and six requests, one has one, two are left out. */
+  /** Chooses among four runners: one has the prompt and six requests, one has one request, and two are left out. */
   function reasonOf(leaveOut: (runners: RunnerTable) => void): string | undefined {
     const runners = new RunnerTable();
     const warmPlaces = new WarmPlaces();
@@ -281,7 +282,7 @@
     leaveOut(runners);
     const coldStarts = new ColdStarts({
       rateOf: () => 1,
-      ownershipOf: () => ({ share: 0, settledMilliseconds: 0 }),
+      ownershipOf: () => ({ share: 0, stableMilliseconds: 0 }),
       daemons: () => 1_000,
     });
     const admission = new RunnerAdmission({ coldStarts });
@@ -289,8 +290,8 @@
     return choice.choose(questionOf(['part']))?.reason;
   }
 
-  it('takes a runner for full by the mean of all, evacuated and cold ones too', () => {
-    // Guards against requests at a runner with more than the operators' limit over the mean of its service.
+  it('decides by the mean over all runners whether one is full, including evacuated and cold ones', () => {
+    // Guards against a runner with more requests than the operators' limit over the mean of its service allows.
     expect(reasonOf((runners) => runners.setEvacuated(new Set(['there'])))).toEqual('spilled');
     const becomeCold = (runners: RunnerTable) => {
       for (const runner of runners.list().slice(2)) runner.coldUntil = 10_000;
@@ -298,7 +299,7 @@
     expect(reasonOf(becomeCold)).toEqual('spilled');
   });
 
-  it('goes on by the mean of those that it has where the others leave', () => {
+  it('uses the mean over the remaining runners when the others drain', () => {
     const leave = (runners: RunnerTable) => {
       for (const { entry } of runners.list().slice(2)) runners.put({ ...entry, state: 'draining' });
     };
--- a/src/runners/RunnerChoice.ts
+++ b/src/runners/RunnerChoice.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses the runner of a request among those that take new work.
+ * Chooses the runner of a request among the runners that accept new work.
  */
 import { rendezvousOrder } from '../routing/rendezvous.js';
 import type { Runner } from './Runner.js';
@@ -21,31 +21,31 @@
 ] as const;
 
 /**
- * @param text - that another daemon has sent.
- * @returns Whether it is a reason.
+ * @param text - a reason received from another daemon.
+ * @returns Whether it is a known reason.
  */
 export function isChoiceReason(text: string): text is ChoiceReason {
   return CHOICE_REASONS.some((reason) => reason === text);
 }
 
-/** What has to be known of a request. */
+/** The properties of a request that decide about its runner. */
 export interface ChoiceQuestion extends AdmissionQuestion {
   readonly service: string;
-  /** Ids of the parts of its prompt that other requests share, the outermost first. */
+  /** Ids of the parts of the prompt that other requests share, the outermost first. */
   readonly sharedParts: readonly string[];
-  /** Where the daemon is that sends the request; this daemon's place where it is left out. */
+  /** Data centre of the daemon that sends the request; that of this daemon if left out. */
   readonly dataCentre?: string;
 }
 
-/** The choice with what decided it. */
+/** The chosen runner and the reasons for it. */
 export interface Choice {
   readonly runner: Runner;
   readonly reason: ChoiceReason;
-  /** A runner that has cached more of the prompt than the chosen one, to copy from. */
+  /** A runner that has cached more of the prompt than the chosen one, to copy the cache from. */
   readonly cacheSource?: Runner | undefined;
-  /** Whether the runner is cold, and whoever chose has counted this request against what it bears. */
+  /** Whether the runner is cold and the daemon that chose it has counted the request against its rate. */
   readonly isCold?: boolean;
-  /** This daemon's requests at the runner, and their mean over the candidates. */
+  /** Known requests at the runner, and their mean over the candidates. */
   readonly load: number;
   readonly meanLoad: number;
 }
@@ -53,60 +53,65 @@
 /** Options of a {@link RunnerChoice}. */
 export interface RunnerChoiceOptions {
   runners: RunnerTable;
-  /** Where this daemon is. */
+  /** Data centre of this daemon. */
   dataCentre: string;
   warmPlaces: WarmPlaces;
-  /** Which runners may get a request. */
+  /** Decides which runners may get a request. */
   admission?: RunnerAdmission;
-  /** Requests that other daemons have at a runner, as far as they have told. */
+  /** Requests that other daemons have at a runner, according to their load reports. */
   foreignLoad?: (life: string) => number;
-  /** Runners on which a prompt in regular use is kept, so that it is not lost with one of them. */
+  /**
+   * Number of runners on which a prompt in regular use is cached, so that the loss of one of them does not lose the
+   * cached prompt.
+   */
   replicas?: number;
-  /** Hears of each new warm place. */
+  /** Called with each new place of a cached prompt. */
   onWarmPlace?: (key: string, life: string) => void;
-  /** Gives numbers from 0 up to 1. */
+  /** Returns random numbers from 0 up to 1. */
   random?: () => number;
 }
 
-/** A runner is full for a warm request above this multiple of the mean of this daemon's requests. */
-const BOUND = 1.8;
+/** A runner is full for a request whose prompt it has cached above this multiple of the mean load. */
+const FULL_LOAD_FACTOR = 1.8;
 
 /**
- * Requests above the bound that never count: a daemon of a small site has about one request at a runner, and
- * chance alone gives two. Shared prompts read again on a calm day with 1, 2, 3: 460, 369, 350 k tokens.
+ * Requests above the bound that never count: a daemon of a small site has about one request at a runner, and chance
+ * alone gives two. With 1, 2 and 3, the shared prompts that were read again on a normal day were 460, 369 and 350
+ * thousand tokens.
  */
-const SLACK_REQUESTS = 2.5;
+const FULL_LOAD_SLACK_REQUESTS = 2.5;
 
-/** What a hop between data centres counts, in requests of load: it is broken off by one request more. */
-const FOREIGN_PENALTY = 0.3;
+/** Cost of a hop between data centres, as requests of load; one request more at the near runner outweighs it. */
+const DATA_CENTRE_HOP_COST = 0.3;
 
-/** See {@link RunnerChoiceOptions.replicas}. */
+/** Default of {@link RunnerChoiceOptions.replicas}. */
 const REPLICAS = 1;
 
-/** Breaks ties at random, so that daemons do not all choose the same runner. */
-const TIE_BREAK = 0.2;
+/** Largest random cost, as requests of load; it breaks ties so that daemons do not all choose the same runner. */
+const MAXIMUM_TIE_BREAK_COST = 0.2;
 
-/** A part is cached only together with all parts before it. */
+/** Returns a key for each prefix of the shared parts, as a part is cached only together with all parts before it. */
 function prefixKeys(sharedParts: readonly string[]): string[] {
   return sharedParts.map((_, index) => sharedParts.slice(0, index + 1).join());
 }
 
-/** However many runners are left out, one that has a request more than the mean of those that are left is not full. */
+/** Requests above the mean of the candidates up to which a runner is never full, however many runners are left out. */
 const LEAST_SLACK_REQUESTS = 1;
 
-interface Pool {
+/** The runners that a request may go to. */
+interface CandidatePool {
   readonly candidates: readonly Runner[];
   readonly question: ChoiceQuestion;
-  /** Requests above which a runner is full for a warm request. */
+  /** Load above which a runner is full for a request whose prompt it has cached. */
   readonly fullLoad: number;
 }
 
-/** Holds the warm places that this daemon knows. */
+/** Chooses runners by the load of each runner and by the places where prompts are cached. */
 export class RunnerChoice {
   private readonly options: Required<RunnerChoiceOptions>;
 
   /**
-   * @param options - the runners, where this daemon is, and what it knows of other daemons.
+   * @param options - the runners, this daemon's data centre, and what is known of other daemons.
    */
   constructor(options: RunnerChoiceOptions) {
     this.options = {
@@ -120,8 +125,10 @@
   }
 
   /**
+   * Chooses a runner and counts the request against its rate if it is cold.
+   *
    * @param question - the request.
-   * @returns The runner to send it to, or `undefined` when no runner may get it.
+   * @returns The chosen runner, or `undefined` if no runner may get the request.
    */
   choose(question: ChoiceQuestion): Choice | undefined {
     const { runners, admission } = this.options;
@@ -129,27 +136,27 @@
     const usable = admitted.filter(({ health }) => health.isUsable(question.now));
     const candidates = usable.length > 0 ? usable : admitted;
     if (candidates.length === 0) return undefined;
-    const meanLoad = this.totalOf(candidates) / candidates.length;
+    const meanLoad = this.totalLoadOf(candidates) / candidates.length;
     const fullLoad = this.fullLoad(candidates, meanLoad, question);
-    const pool: Pool = { candidates, question, fullLoad };
+    const pool: CandidatePool = { candidates, question, fullLoad };
     const chosen = this.chooseFrom(pool);
     const reason = usable.length > 0 ? chosen.reason : 'last_resort';
     const isCold = admission.isCold(chosen.runner, question.now);
-    admission.sent(chosen.runner, question.now);
+    admission.countRequest(chosen.runner, question.now);
     return { ...chosen, reason, isCold, load: this.loadOf(chosen.runner), meanLoad };
   }
 
   /**
-   * Remembers a choice that another daemon has made.
+   * Remembers a choice that another daemon has made for a request of this daemon.
    *
-   * @param sharedParts - of the prompt.
-   * @param life - of the runner that the request goes to.
+   * @param sharedParts - the shared parts of the prompt.
+   * @param life - incarnation of the runner that the request goes to.
    */
-  adopt(sharedParts: readonly string[], life: string): void {
+  rememberChoice(sharedParts: readonly string[], life: string): void {
     for (const key of prefixKeys(sharedParts)) this.options.warmPlaces.remember(key, life);
   }
 
-  private chooseFrom(pool: Pool): Pick<Choice, 'runner' | 'reason' | 'cacheSource'> {
+  private chooseFrom(pool: CandidatePool): Pick<Choice, 'runner' | 'reason' | 'cacheSource'> {
     const { sharedParts } = pool.question;
     if (sharedParts.length === 0) {
       return { runner: this.leastLoaded(pool), reason: 'least_loaded' };
@@ -162,7 +169,7 @@
     return { ...chosen, cacheSource };
   }
 
-  private warmOrHashed(pool: Pool, key: string): Pick<Choice, 'runner' | 'reason'> {
+  private warmOrHashed(pool: CandidatePool, key: string): Pick<Choice, 'runner' | 'reason'> {
     const { candidates, fullLoad } = pool;
     const hasRoom = (runner: Runner) => this.loadOf(runner) <= fullLoad;
     const { warmPlaces, runners } = this.options;
@@ -171,23 +178,23 @@
       .of(key)
       .map((life) => candidates.find(({ entry }) => entry.life === life))
       .filter((runner) => runner !== undefined);
-    const roomy = this.leastLoadedOf(warm.filter(hasRoom));
-    const isShort = warm.length < this.options.replicas && warmPlaces.usesOf(key) > 0;
-    if (roomy && !isShort) return { runner: roomy, reason: 'warm' };
+    const leastLoadedWarm = this.leastLoadedOf(warm.filter(hasRoom));
+    const needsReplica = warm.length < this.options.replicas && warmPlaces.usesOf(key) > 0;
+    if (leastLoadedWarm && !needsReplica) return { runner: leastLoadedWarm, reason: 'warm' };
     const named = candidates.map((runner) => ({ id: runner.entry.id, runner }));
     const order = rendezvousOrder(key, named).map(({ runner }) => runner);
     const first = order.find((runner) => !warm.includes(runner) && hasRoom(runner));
-    if (first && roomy) return { runner: first, reason: 'replicated' };
+    if (first && leastLoadedWarm) return { runner: first, reason: 'replicated' };
     if (first) return { runner: first, reason: warm.length > 0 ? 'spilled' : 'first_place' };
-    if (roomy) return { runner: roomy, reason: 'warm' };
+    if (leastLoadedWarm) return { runner: leastLoadedWarm, reason: 'warm' };
     return { runner: this.leastLoaded(pool), reason: 'spilled' };
   }
 
   /**
-   * A prompt that goes to a new place need not be read there: copying it from a runner that has it takes a
-   * tenth of the time, and the runner's batch is not held up. A draining runner still gives what it has.
+   * Finds a runner to copy the cached prompt from. Copying takes a tenth of the time of reading the prompt again and
+   * does not hold up the runner's batch. A draining runner still serves copies.
    */
-  private cacheSourceFor({ question }: Pool, chosen: Runner): Runner | undefined {
+  private cacheSourceFor({ question }: CandidatePool, chosen: Runner): Runner | undefined {
     const { warmPlaces, runners, admission } = this.options;
     for (const key of prefixKeys(question.sharedParts).reverse()) {
       const places = warmPlaces.of(key);
@@ -195,7 +202,7 @@
       const source = places
         .map((life) => runners.ofLife(life))
         .filter((runner) => runner !== undefined)
-        .filter((runner) => admission.isAtHome(runner, question.homeRegions))
+        .filter((runner) => admission.isInHomeRegion(runner, question.homeRegions))
         .find(({ health }) => health.isReachable(question.now));
       if (source) return source;
     }
@@ -215,17 +222,20 @@
     return others.reduce((best, one) => (this.loadOf(one) < this.loadOf(best) ? one : best), first);
   }
 
-  private leastLoaded({ candidates, question }: Pool): Runner {
+  private leastLoaded({ candidates, question }: CandidatePool): Runner {
     const dataCentre = question.dataCentre ?? this.options.dataCentre;
     const costOf = (runner: Runner) =>
       this.loadOf(runner) +
-      (runner.entry.dataCentre === dataCentre ? 0 : FOREIGN_PENALTY) +
-      this.options.random() * TIE_BREAK;
+      (runner.entry.dataCentre === dataCentre ? 0 : DATA_CENTRE_HOP_COST) +
+      this.options.random() * MAXIMUM_TIE_BREAK_COST;
     const scored = candidates.map((runner) => ({ runner, cost: costOf(runner) }));
     return scored.reduce((best, one) => (one.cost < best.cost ? one : best)).runner;
   }
 
-  /** The operators' limit counts evacuated and cold runners too, which have little or nothing. */
+  /**
+   * Computes the load above which a runner is full. The operators' limit refers to the mean over all runners,
+   * including evacuated and cold ones, which have few requests or none.
+   */
   private fullLoad(
     candidates: readonly Runner[],
     meanLoad: number,
@@ -235,13 +245,16 @@
     const cold = runners.readyOf(service).filter((runner) => admission.isCold(runner, now));
     const idle = cold.filter((runner) => !candidates.includes(runner));
     const leftOut = [...runners.evacuatedOf(service), ...idle];
-    if (leftOut.length === 0) return meanLoad * BOUND + SLACK_REQUESTS;
-    const total = this.totalOf(candidates) + this.totalOf(leftOut);
+    if (leftOut.length === 0) return meanLoad * FULL_LOAD_FACTOR + FULL_LOAD_SLACK_REQUESTS;
+    const total = this.totalLoadOf(candidates) + this.totalLoadOf(leftOut);
     const meanOfAll = total / (candidates.length + leftOut.length);
-    return Math.max(meanOfAll * BOUND + SLACK_REQUESTS, meanLoad + LEAST_SLACK_REQUESTS);
+    return Math.max(
+      meanOfAll * FULL_LOAD_FACTOR + FULL_LOAD_SLACK_REQUESTS,
+      meanLoad + LEAST_SLACK_REQUESTS,
+    );
   }
 
-  private totalOf(runners: readonly Runner[]): number {
+  private totalLoadOf(runners: readonly Runner[]): number {
     return runners.reduce((sum, runner) => sum + this.loadOf(runner), 0);
   }
 
