--- a/src/runners/RunnerHealth.spec.ts
+++ b/src/runners/RunnerHealth.spec.ts
@@ -6,7 +6,7 @@
 import { RunnerHealth } from './RunnerHealth.js';
 
 describe('RunnerHealth', () => {
-  it('leaves a runner alone at once when it cannot be reached, then tries it with one request', () => {
+  it('ejects an unreachable runner at once, then probes it with one request', () => {
     const health = new RunnerHealth();
     expect(health.record(0, 'unreachable')).toEqual(true);
     expect(health.isUsable(799)).toEqual(false);
@@ -17,7 +17,7 @@
     expect(health.isUsable(803)).toEqual(true);
   });
 
-  it('leaves it alone for longer each time', () => {
+  it('ejects it for longer each time', () => {
     const health = new RunnerHealth();
     health.record(0, 'unreachable');
     health.sent();
@@ -26,9 +26,9 @@
     expect(health.isUsable(900 + 1_600)).toEqual(true);
   });
 
-  it('bears the errors that a service answers by itself', () => {
-    // Symptom: sound runners get no requests. Sequence: one in seven requests is answered with an error of the
-    // service. Cause: single errors were held against the runner.
+  it("tolerates the service's own errors", () => {
+    // Guards against healthy runners that get no requests: when one in seven requests is answered with an error of the
+    // service itself, single errors must not count against the runner.
     const health = new RunnerHealth();
     for (let index = 0; index < 200; index += 1) {
       health.record(index * 50, index % 7 === 0 ? 'failed' : 'answered');
@@ -36,7 +36,7 @@
     }
   });
 
-  it('leaves a runner alone that fails every second request', () => {
+  it('ejects a runner that fails every second request', () => {
     const health = new RunnerHealth();
     const paused = Array.from({ length: 10 }, (_, index) =>
       health.record(index * 50, index % 2 === 0 ? 'failed' : 'answered'),
@@ -44,10 +44,10 @@
     expect(paused.includes(true)).toEqual(true);
   });
 
-  it('leaves no runner alone for errors that all runners of the service give', () => {
-    // Symptom: prompts are read again all over the place while a service fails. Sequence: every runner fails nearly
-    // half of its requests, one after the other is left alone, and its prompts go to runners that do not have them.
-    // Cause: a runner was judged without a look at the others.
+  it('ejects no runner for errors that all runners of the service return', () => {
+    // Guards against prompts that are read again at many runners while a service fails. Every runner fails nearly half
+    // of its requests; if runners were ejected without a comparison with the others, one after the other would be
+    // ejected and its prompts sent to runners that do not have them cached.
     const service = new FailureShare();
     const runners = Array.from({ length: 8 }, () => new RunnerHealth(service));
     const paused = [];
@@ -59,8 +59,8 @@
     expect(paused).toEqual([]);
   });
 
-  it('leaves the one runner of eight alone that fails every second request, within a second', () => {
-    // What goes wrong otherwise: one request in sixteen fails for as long as the runner is listed.
+  it('ejects the one runner of eight that fails every second request, within a second', () => {
+    // Guards against one failed request in sixteen for as long as the runner is listed.
     const service = new FailureShare();
     const runners = Array.from({ length: 8 }, () => new RunnerHealth(service));
     let pausedAt: number | undefined;
@@ -72,7 +72,7 @@
     expect(pausedAt !== undefined && pausedAt <= 1_000).toEqual(true);
   });
 
-  it('still takes cached prompts from a runner that fails requests, not from one that cannot be reached', () => {
+  it('copies cached prompts from a runner that fails requests, but not from an unreachable one', () => {
     const failing = new RunnerHealth();
     for (let index = 0; index < 3; index += 1) failing.record(index, 'failed');
     expect([failing.isUsable(3), failing.isReachable(3)]).toEqual([false, true]);
@@ -81,9 +81,9 @@
     expect([away.isUsable(1), away.isReachable(1)]).toEqual([false, false]);
   });
 
-  it('is not stuck when the request that finds out is broken off by its caller', () => {
-    // Symptom: a runner that is back gets no request for ever. Sequence: the one request that finds out is
-    // abandoned. Cause: the probe counted as under way.
+  it('does not stay ejected when the caller aborts the probe request', () => {
+    // Guards against a recovered runner that never gets a request again: its probe request is abandoned, but still
+    // counted as in flight.
     const health = new RunnerHealth();
     health.record(0, 'unreachable');
     health.sent();
--- a/src/runners/RunnerHealth.ts
+++ b/src/runners/RunnerHealth.ts
@@ -1,106 +1,117 @@
 /**
- * Outlier detection for one runner, from real traffic alone: health checks cost slots, and a runner may pass
- * them while it fails requests.
+ * Outlier ejection for one runner, based on real traffic alone: health checks take slots of the runner, and a runner
+ * may pass them while it fails requests.
  *
- * What goes wrong without it: a runner that is dark or fails every second request gets its share of requests
- * until the platform's list drops it, up to four seconds later; one would see failures in one runner's
- * requests only. A runner that cannot be reached is left alone at once, one that fails often after a few
- * failures, each time for longer. After that a single request finds out whether it is back.
+ * What goes wrong without it: a runner that is unresponsive or fails every second request keeps getting its share of
+ * requests until the platform's list drops it, up to four seconds later; the failures all occur at that one runner. A
+ * runner that cannot be reached is ejected at once, and one that fails often is ejected after a few failures, each
+ * time for longer. When the ejection ends, a single request probes whether the runner has recovered.
  *
- * A runner that fails as often as the others of its service is no outlier: the service itself fails, and leaving its
- * runners alone in turn only sends prompts to runners that have to read them again.
+ * A runner that fails as often as the others of its service is no outlier: the service itself fails, and ejecting its
+ * runners in turn would only send prompts to runners that have to read them again.
  */
 import { FailureShare } from './FailureShare.js';
 
-/** How a request ended, as far as it speaks for or against its runner. */
+/** How a request ended, as far as it tells something about its runner. */
 export type RunnerOutcome = 'answered' | 'failed' | 'unreachable';
 
-/** First time that a runner is left alone, in ms: two thirds of a runner's heartbeat interval. */
-const FIRST_PAUSE_MILLISECONDS = 800;
+/** First ejection time, in ms: two thirds of a runner's heartbeat interval. */
+const FIRST_EJECTION_MILLISECONDS = 800;
 
-/** Longest time, in ms: the platform's list drops a dead runner within about this time. */
-const LONGEST_PAUSE_MILLISECONDS = 4_000;
+/** Longest ejection time, in ms: the platform's list drops a dead runner within about this time. */
+const LONGEST_EJECTION_MILLISECONDS = 4_000;
 
-/** Share of failures from which a runner is left alone; services answer up to 0.14 with an error of their own. */
+/**
+ * Share of failures above which a runner is ejected; services answer a share of up to 0.14 with an error of their own.
+ */
 const MAXIMUM_FAILURE_SHARE = 0.3;
 
-/** Failures, after forgetting, that it takes: one or two are chance. */
+/** Decayed number of failures that an ejection takes; one or two may be chance. */
 const MINIMUM_FAILURES = 2.5;
 
 /**
- * An outlier fails this many times as often as the other runners of its service; with half of them failing every
- * second request a sound service with one bad runner in three is still told apart.
+ * An outlier fails this many times as often as the other runners of its service. If half of all runners fail every
+ * second request, a healthy service with one bad runner in three is still told apart.
  */
 const OUTLIER_FACTOR = 2;
 
-/** Outcomes of the others, after forgetting, below which they say nothing. */
-const MINIMUM_OF_OTHERS = 6;
+/** Decayed number of outcomes of the other runners below which the comparison with them is skipped. */
+const MINIMUM_OUTCOMES_OF_OTHERS = 6;
 
-/** Counts the outcomes of one runner. */
+/** Counts the outcomes of one runner and ejects it while it fails. */
 export class RunnerHealth {
   private readonly own = new FailureShare();
 
-  /** Of all runners of the service, this one too. */
+  /** Failure share over all runners of the service, including this one. */
   private readonly service: FailureShare;
 
-  private pausedUntil = 0;
+  private ejectedUntil = 0;
 
-  private pausedFor: RunnerOutcome = 'answered';
+  /** Outcome that caused the last ejection. */
+  private ejectedFor: RunnerOutcome = 'answered';
 
+  /** Consecutive ejections; each doubles the ejection time. */
   private pauses = 0;
 
-  private probing = false;
+  /** Whether the probe after an ejection is in flight. */
+  private isProbing = false;
 
   /**
-   * @param service - outcomes of all runners of its service.
+   * @param service - failure share over all runners of the service.
    */
   constructor(service: FailureShare = new FailureShare()) {
     this.service = service;
   }
 
   /**
-   * @param now - monotonic milliseconds.
-   * @returns Whether it can be asked for cached prompts: one that fails requests still hands them out.
+   * Tells whether cached prompts can be copied from the runner; a runner that fails requests still serves copies.
+   *
+   * @param now - current time, monotonic ms.
+   * @returns Whether it is reachable.
    */
   isReachable(now: number): boolean {
-    return this.pausedFor !== 'unreachable' || this.isUsable(now);
+    return this.ejectedFor !== 'unreachable' || this.isUsable(now);
   }
 
   /**
-   * @param now - monotonic milliseconds.
-   * @returns Whether the runner may get a request that has another place to go.
+   * Tells whether the runner may get a request that could go to another runner.
+   *
+   * @param now - current time, monotonic ms.
+   * @returns Whether it is not ejected and no probe is in flight.
    */
   isUsable(now: number): boolean {
     if (this.pauses === 0) return true;
-    return now >= this.pausedUntil && !this.probing;
+    return now >= this.ejectedUntil && !this.isProbing;
   }
 
-  /** Notes that a request is sent; after a pause it is the one that finds out. */
+  /** Records that a request is sent to the runner; the first one after an ejection is the probe. */
   sent(): void {
-    if (this.pauses > 0) this.probing = true;
+    if (this.pauses > 0) this.isProbing = true;
   }
 
-  /** Notes that a request ended without telling anything, for example because its caller left. */
+  /** Records that a request ended without an outcome, for example because its caller disconnected. */
   abandoned(): void {
-    this.probing = false;
+    this.isProbing = false;
   }
 
   /**
-   * @param now - monotonic milliseconds.
-   * @param outcome - how a request ended.
-   * @returns Whether the runner is left alone from now on, and was not before.
+   * Records the outcome of a request.
+   *
+   * @param now - current time, monotonic ms.
+   * @param outcome - how the request ended.
+   * @returns Whether this outcome ejects the runner.
    */
   record(now: number, outcome: RunnerOutcome): boolean {
     this.own.record(now, outcome !== 'answered');
     this.service.record(now, outcome !== 'answered');
-    const probed = this.probing;
-    this.probing = false;
+    const wasProbe = this.isProbing;
+    this.isProbing = false;
     if (outcome === 'answered') {
-      if (probed || now >= this.pausedUntil) this.pauses = 0;
+      if (wasProbe || now >= this.ejectedUntil) this.pauses = 0;
       return false;
     }
-    if (outcome === 'failed' && !this.isOutlier() && !probed) return false;
-    return this.pause(now, outcome);
+    if (outcome === 'failed' && !this.isOutlier() && !wasProbe) return false;
+    return this.eject(now, outcome);
   }
 
   private isOutlier(): boolean {
@@ -108,16 +119,16 @@
     const share = failures / total;
     if (failures < MINIMUM_FAILURES || share <= MAXIMUM_FAILURE_SHARE) return false;
     const others = this.service.total - total;
-    if (others < MINIMUM_OF_OTHERS) return true;
+    if (others < MINIMUM_OUTCOMES_OF_OTHERS) return true;
     return share > (OUTLIER_FACTOR * (this.service.failures - failures)) / others;
   }
 
-  private pause(now: number, outcome: RunnerOutcome): boolean {
-    if (now < this.pausedUntil) return false;
-    const pause = FIRST_PAUSE_MILLISECONDS * 2 ** this.pauses;
-    this.pausedUntil = now + Math.min(LONGEST_PAUSE_MILLISECONDS, pause);
+  private eject(now: number, outcome: RunnerOutcome): boolean {
+    if (now < this.ejectedUntil) return false;
+    const duration = FIRST_EJECTION_MILLISECONDS * 2 ** this.pauses;
+    this.ejectedUntil = now + Math.min(LONGEST_EJECTION_MILLISECONDS, duration);
     this.pauses += 1;
-    this.pausedFor = outcome;
+    this.ejectedFor = outcome;
     return true;
   }
 }
--- a/src/runners/RunnerSelector.ts
+++ b/src/runners/RunnerSelector.ts
@@ -1,26 +1,26 @@
 /**
- * Finds the runner of a request, by this daemon's own choice or by asking another one.
+ * Selects the runner of a request, either locally or by asking another daemon.
  */
 import type { Choice, ChoiceQuestion, RunnerChoice } from './RunnerChoice.js';
 
-/** Takes the choice; `undefined` when no runner may get the request. */
+/** Receives the choice; `undefined` if no runner may get the request. */
 export type ChoiceListener = (choice: Choice | undefined) => void;
 
-/** See the module's comment. */
+/** Selects a runner, possibly asynchronously. */
 export abstract class RunnerSelector {
   /**
    * @param question - the request.
-   * @param done - called once, at once or later.
+   * @param done - called exactly once, synchronously or later.
    */
   abstract select(question: ChoiceQuestion, done: ChoiceListener): void;
 }
 
-/** Chooses in this daemon. */
+/** Selects a runner by this daemon's own choice. */
 export class LocalSelector extends RunnerSelector {
   private readonly choice: RunnerChoice;
 
   /**
-   * @param choice - by what this daemon knows.
+   * @param choice - the choice based on what this daemon knows.
    */
   constructor(choice: RunnerChoice) {
     super();
--- a/src/runners/RunnerTable.spec.ts
+++ b/src/runners/RunnerTable.spec.ts
@@ -24,7 +24,7 @@
     for (const id of ['a', 'b']) table.put(entryOf(id));
   });
 
-  it('gives a runner that has said that it leaves no new work, whatever its listing says later', () => {
+  it('gives no new work to a runner that has announced its shutdown, whatever its entry says later', () => {
     expect([table.markLeaving('a@1'), table.markLeaving('a@1')]).toEqual([true, false]);
     table.put(entryOf('a'));
     expect(ready()).toEqual(['b@1']);
@@ -34,20 +34,20 @@
     expect(ready()).toEqual(['b@1']);
   });
 
-  it('gives its next life work again', () => {
+  it('gives new work to the next incarnation of a leaving runner', () => {
     table.markLeaving('a@1');
     table.put(entryOf('a', 'a@2'));
     expect(ready()).toEqual(['a@2', 'b@1']);
     expect(table.leavingLives).toEqual([]);
   });
 
-  it('knows of a runner that leaves before it is listed', () => {
+  it('remembers a leaving runner that is listed later', () => {
     table.markLeaving('c@1');
     table.put(entryOf('c'));
     expect(ready()).toEqual(['a@1', 'b@1']);
   });
 
-  it('still names one that leaves as a source of cached prompts', () => {
+  it('still finds a leaving runner as a source of cached prompts', () => {
     table.markLeaving('a@1');
     expect(table.ofLife('a@1')?.entry.id).toEqual('a');
     expect(table.leavingLives).toEqual(['a@1']);
--- a/src/runners/RunnerTable.ts
+++ b/src/runners/RunnerTable.ts
@@ -1,43 +1,51 @@
 /**
- * All runners that the platform's list names, by id and by service.
+ * The runners in the platform's list, by id, by incarnation and by service.
  */
 import { FailureShare } from './FailureShare.js';
 import { Runner } from './Runner.js';
 import type { RunnerEntry, RunnerState } from './Runner.js';
 
 /**
- * Of a service's runners, those without an entry get no new work up to this share: these have most likely left. With
- * more of them missing the list itself was away, and leaving them out would put over 1.5 times the load on the rest.
+ * Largest share of a service's runners that is left out for missing entries. Up to this share the runners have most
+ * likely left. If more entries are missing, the list itself was unavailable, and leaving the runners out would put
+ * over 1.5 times the load on the rest.
  */
-const LARGEST_SHARE_LEFT_OUT = 1 / 3;
+const LARGEST_MISSING_SHARE = 1 / 3;
 
-/** Runners of a large fleet that are replaced within minutes. */
+/**
+ * Maximum number of leaving incarnations to remember: more than the runners of a large fleet that are replaced within
+ * minutes.
+ */
 const MAXIMUM_LEAVING = 4_096;
 
 /** Why a listed runner gets no new work from any daemon. */
-export type WorkObstacle = Exclude<RunnerState, 'ready'> | 'leaving' | 'evacuated';
+export type ExclusionReason = Exclude<RunnerState, 'ready'> | 'leaving' | 'evacuated';
 
-/** Keeps what is known of a runner over changes of its entry. */
+/** Indexes the runners, and keeps the state of each one when its entry changes. */
 export class RunnerTable {
   private readonly byId = new Map<string, Runner>();
 
   private readonly byLife = new Map<string, Runner>();
 
-  /** Outcomes of all runners by service. */
-  private readonly outcomes = new Map<string, FailureShare>();
+  /** Failure share over all runners of a service, by service. */
+  private readonly failureShares = new Map<string, FailureShare>();
 
-  /** Lives that have said that they leave, the oldest first; kept while their entries come and go. */
+  /**
+   * Incarnations that have announced their shutdown, the oldest first; kept while their entries disappear and come
+   * back.
+   */
   private readonly leaving = new Set<string>();
 
-  /** Names of data centres whose runners get nothing more. */
+  /** Names of evacuated data centres, whose runners get no requests. */
   private evacuated: ReadonlySet<string> = new Set();
 
+  /** Runners that accept new work, by service; a cache. */
   private readonly ready = new Map<string, readonly Runner[]>();
 
-  /** By service, those that evacuations keep from new work. */
-  private readonly keptBack = new Map<string, readonly Runner[]>();
+  /** Runners that get no new work only because their data centre is evacuated, by service; a cache. */
+  private readonly evacuatedByService = new Map<string, readonly Runner[]>();
 
-  /** @returns The number of runners, draining ones too. */
+  /** @returns The number of runners, including draining ones. */
   get size(): number {
     return this.byId.size;
   }
@@ -48,82 +56,92 @@
   }
 
   /**
-   * @param id - of a runner.
-   * @returns The runner, or `undefined` when it is not listed.
+   * @param id - the runner's id.
+   * @returns The runner, or `undefined` if it is not listed.
    */
   get(id: string): Runner | undefined {
     return this.byId.get(id);
   }
 
   /**
-   * @param life - one start of a runner.
-   * @returns The runner, or `undefined` when it is not listed or has started again since.
+   * @param life - the runner's incarnation.
+   * @returns The runner, or `undefined` if that incarnation is not listed or has been replaced.
    */
   ofLife(life: string): Runner | undefined {
     return this.byLife.get(life);
   }
 
   /**
-   * @param entry - a runner that is new or has changed.
-   * @param now - when it was so, monotonic ms.
+   * Adds a runner or updates its entry.
+   *
+   * @param entry - the new entry.
+   * @param now - when the entry was valid, monotonic ms.
    */
   put(entry: RunnerEntry, now = 0): void {
     const runner = this.byLife.get(entry.life) ?? this.add(entry);
     runner.entry = entry;
     runner.isLapsed = false;
     runner.coldUntil = now + (entry.coldMilliseconds ?? 0);
-    this.changed();
+    this.clearCaches();
   }
 
   /**
-   * @param id - a runner without an entry, until it is put again.
+   * Marks a runner whose entry is missing, until it is put again.
+   *
+   * @param id - the runner's id.
    */
   setLapsed(id: string): void {
     const known = this.byId.get(id);
     if (known) known.isLapsed = true;
-    this.changed();
+    this.clearCaches();
   }
 
   /**
-   * @param id - a runner that is gone.
+   * Removes a runner that is gone.
+   *
+   * @param id - the runner's id.
    */
   remove(id: string): void {
     const known = this.byId.get(id);
     if (!known) return;
     this.byId.delete(id);
     this.byLife.delete(known.entry.life);
-    this.changed();
+    this.clearCaches();
   }
 
   /**
-   * @param life - of a runner that has said that it leaves; its listing may be older.
-   * @returns Whether that is news.
+   * Marks an incarnation that has announced its shutdown; its entry may still say otherwise.
+   *
+   * @param life - the runner's incarnation.
+   * @returns Whether it was not marked before.
    */
   markLeaving(life: string): boolean {
     if (this.leaving.has(life)) return false;
     this.leaving.add(life);
     const [oldest] = this.leaving;
     if (this.leaving.size > MAXIMUM_LEAVING && oldest !== undefined) this.leaving.delete(oldest);
-    this.changed();
+    this.clearCaches();
     return true;
   }
 
   /**
-   * @param dataCentres - whose runners get nothing more; all others do.
+   * Replaces the set of evacuated data centres.
+   *
+   * @param dataCentres - names of the data centres whose runners get no requests.
    */
   setEvacuated(dataCentres: ReadonlySet<string>): void {
     this.evacuated = new Set(dataCentres);
-    this.changed();
+    this.clearCaches();
   }
 
-  /** @returns Lives of listed runners that have said that they leave. */
+  /** @returns Listed incarnations that have announced their shutdown. */
   get leavingLives(): string[] {
     return [...this.leaving].filter((life) => this.byLife.has(life));
   }
 
   /**
    * @param service - name of a service.
-   * @returns Its runners that take new work, in the order of their ids.
+   * @returns The service's runners that accept new work, ordered by id.
    */
   readyOf(service: string): readonly Runner[] {
     const known = this.ready.get(service);
@@ -132,25 +150,25 @@
       .filter(({ entry }) => entry.service === service && this.obstacleOf(entry) === undefined)
       .sort((a, b) => (a.entry.id < b.entry.id ? -1 : 1));
     const present = ready.filter(({ isLapsed }) => !isLapsed);
-    const mayLeaveOut = present.length >= ready.length * (1 - LARGEST_SHARE_LEFT_OUT);
+    const mayLeaveOut = present.length >= ready.length * (1 - LARGEST_MISSING_SHARE);
     const found = mayLeaveOut ? present : ready;
     this.ready.set(service, found);
     return found;
   }
 
   /**
-   * @param runner - that is listed.
-   * @returns Whether it takes new work.
+   * @param runner - a listed runner.
+   * @returns Whether it accepts new work.
    */
   takesNewWork(runner: Runner): boolean {
     return this.readyOf(runner.entry.service).includes(runner);
   }
 
   /**
-   * @param entry - of a runner.
-   * @returns Why no daemon sends new work there, if none does.
+   * @param entry - the runner's entry.
+   * @returns Why no daemon sends new work to the runner; `undefined` if daemons do.
    */
-  obstacleOf({ state, life, dataCentre }: RunnerEntry): WorkObstacle | undefined {
+  obstacleOf({ state, life, dataCentre }: RunnerEntry): ExclusionReason | undefined {
     if (state !== 'ready') return state;
     if (this.leaving.has(life)) return 'leaving';
     return this.evacuated.has(dataCentre) ? 'evacuated' : undefined;
@@ -158,33 +176,33 @@
 
   /**
    * @param service - name of a service.
-   * @returns Its runners that would take new work, but for the evacuation of their data centre.
+   * @returns The service's runners that get no new work only because their data centre is evacuated.
    */
   evacuatedOf(service: string): readonly Runner[] {
     if (this.evacuated.size === 0) return [];
-    const known = this.keptBack.get(service);
+    const known = this.evacuatedByService.get(service);
     if (known) return known;
     const found = this.list().filter(
       ({ entry }) => entry.service === service && this.obstacleOf(entry) === 'evacuated',
     );
-    this.keptBack.set(service, found);
+    this.evacuatedByService.set(service, found);
     return found;
   }
 
-  /** Who takes new work is looked up anew. */
-  private changed(): void {
+  /** Clears the caches of runners by service. */
+  private clearCaches(): void {
     this.ready.clear();
-    this.keptBack.clear();
+    this.evacuatedByService.clear();
   }
 
-  private outcomesOf(service: string): FailureShare {
-    const known = this.outcomes.get(service) ?? new FailureShare();
-    this.outcomes.set(service, known);
+  private failureShareOf(service: string): FailureShare {
+    const known = this.failureShares.get(service) ?? new FailureShare();
+    this.failureShares.set(service, known);
     return known;
   }
 
   private add(entry: RunnerEntry): Runner {
-    const runner = new Runner(entry, this.outcomesOf(entry.service));
+    const runner = new Runner(entry, this.failureShareOf(entry.service));
     this.remove(entry.id);
     this.byId.set(entry.id, runner);
     this.byLife.set(entry.life, runner);
--- a/src/runners/WarmPlaces.ts
+++ b/src/runners/WarmPlaces.ts
@@ -1,44 +1,53 @@
 /**
- * Remembers on which runners a shared part of prompts is cached, as far as this daemon has sent it there.
+ * Remembers which runners have cached a shared part of prompts, as far as this daemon has sent it there or has learnt
+ * of it.
  *
- * What goes wrong without it: a runner that joins takes over its share of the keys by hashing, and runners
- * read again what others still hold. One would see prompts being read again after each scale-out. A key stays
- * where it went as long as that runner is there and has room; hashing decides for new keys only, so that all
- * daemons begin with the same choice.
+ * What goes wrong without it: a runner that joins takes over its share of the keys by hashing, and runners read
+ * prompts again that others still have cached, after each scale-out. Instead, a key stays with its runner as long as
+ * that runner is listed and has room. Hashing decides for new keys only, so that all daemons start with the same
+ * choice.
  */
 
-/** Keys remembered; more than the shared prompts of a large site. The one unused for longest is forgotten. */
+/**
+ * Maximum number of keys, more than the shared prompts of a large site. The least recently used key is dropped first.
+ */
 const MAXIMUM_KEYS = 20_000;
 
-/** Places of one key: its first, and those that took over when that was full or away. */
+/**
+ * Maximum number of places of one key: its first runner, and those that took over when that was full or unavailable.
+ */
 const MAXIMUM_PLACES = 12;
 
-/** A key with its places. */
+/** A key with the runners that have it cached. */
 export interface WarmPlace {
   readonly key: string;
-  /** Lives of runners, the first place first. */
+  /** Incarnations of the runners, the first place first. */
   readonly lives: readonly string[];
 }
 
-/** Least recently used keys go first. */
+/** An LRU cache of places by key. */
 export class WarmPlaces {
   private readonly places = new Map<string, readonly string[]>();
 
-  /** Keys that this daemon has used, with how often; as long as the key is remembered. */
+  /** How often this daemon has used each key, for as long as the key is remembered. */
   private readonly uses = new Map<string, number>();
 
   /**
+   * Looks up the places of a key.
+   *
    * @param key - the shared parts of a prompt.
-   * @returns Lives of runners, the first place first.
+   * @returns Incarnations of the runners, the first place first.
    */
   of(key: string): readonly string[] {
     return this.places.get(key) ?? [];
   }
 
   /**
+   * Adds a place to a key and marks the key as recently used.
+   *
    * @param key - the shared parts of a prompt.
-   * @param life - where a request with them was sent.
-   * @returns Whether that place was not known before.
+   * @param life - incarnation of the runner that a request with them was sent to.
+   * @returns Whether the place is new.
    */
   remember(key: string, life: string): boolean {
     const known = this.places.get(key) ?? [];
@@ -53,7 +62,9 @@
   }
 
   /**
-   * @param key - the shared parts of a prompt that this daemon has chosen a runner for.
+   * Counts a request for which this daemon has chosen a runner.
+   *
+   * @param key - the shared parts of its prompt.
    */
   countUse(key: string): void {
     this.uses.set(key, this.usesOf(key) + 1);
@@ -68,18 +79,20 @@
   }
 
   /**
-   * Takes what another daemon tells; what this daemon found itself stays first.
+   * Adds a place that another daemon has reported, behind the places that are already known.
    *
    * @param key - the shared parts of a prompt.
-   * @param life - where another daemon sent a request with them.
+   * @param life - incarnation of the runner that the other daemon sent a request to.
    */
   learn(key: string, life: string): void {
     this.remember(key, life);
   }
 
   /**
+   * Drops the places of a key whose runners are no longer listed.
+   *
    * @param key - the shared parts of a prompt.
-   * @param isListed - whether a runner is still there.
+   * @param isListed - whether an incarnation is still listed.
    */
   prune(key: string, isListed: (life: string) => boolean): void {
     const known = this.places.get(key);
@@ -88,10 +101,11 @@
   }
 
   /**
-   * Forgets what a runner has cached. An entry that comes back under the same id may be of a runner that has started
-   * again; on platforms that do not tell its start, chats would go on to a runner that holds nothing of them.
+   * Drops all places of a runner that is gone. An entry that returns under the same id may belong to a restarted
+   * runner; on platforms that do not report a runner's start, chats would continue at a runner that has none of them
+   * cached.
    *
-   * @param life - of a runner that is gone.
+   * @param life - incarnation of the runner.
    */
   forgetRunner(life: string): void {
     for (const [key, lives] of this.places) {
@@ -105,8 +119,10 @@
   }
 
   /**
-   * @param maximumKeys - the most recently used ones are given.
-   * @returns Keys with their places, as they can be stored.
+   * Exports the most recently used keys for storage.
+   *
+   * @param maximumKeys - how many keys to export at most.
+   * @returns The keys with their places.
    */
   export(maximumKeys: number): WarmPlace[] {
     const all = [...this.places].slice(-maximumKeys);
@@ -114,9 +130,9 @@
   }
 
   /**
-   * Takes what was stored, for keys that have no place here yet: a daemon that has just started knows none.
+   * Imports stored places of keys that have none yet, as a daemon that has just started knows no places.
    *
-   * @param stored - from {@link export}, of any daemon.
+   * @param stored - the result of {@link export}, from any daemon.
    */
   import(stored: readonly WarmPlace[]): void {
     for (const { key, lives } of stored) {
--- a/src/runners/testRunner.ts
+++ b/src/runners/testRunner.ts
@@ -1,9 +1,9 @@
 /**
- * A runner for tests.
+ * The entry of a runner for tests.
  */
 import type { RunnerEntry } from './Runner.js';
 
-/** The entry of a runner that takes work. */
+/** The entry of a runner that accepts new work. */
 export const TEST_RUNNER: RunnerEntry = {
   id: 'runner-1',
   life: 'runner-1@1',
--- a/src/runners/unavailability.spec.ts
+++ b/src/runners/unavailability.spec.ts
@@ -18,40 +18,40 @@
   return table;
 }
 
-function whyNone(runners: RunnerTable, service = 'chat', isCold = false) {
-  const admission = { isCold: () => isCold, isAtHome: () => true };
+function unavailabilityFor(runners: RunnerTable, service = 'chat', isCold = false) {
+  const admission = { isCold: () => isCold, isInHomeRegion: () => true };
   return unavailabilityOf({ runners, admission, service, now: NOW });
 }
 
 describe('unavailabilityOf', () => {
-  it('tells an evacuation from a service that has no runner', () => {
+  it('distinguishes an evacuation from a service without runners', () => {
     const table = tableOf(['north', 'ready'], ['south', 'draining']);
     table.setEvacuated(new Set(['north']));
-    expect(whyNone(table).reason).toEqual('evacuated');
-    expect(whyNone(table, 'other')).toEqual({ reason: 'no_runner' });
+    expect(unavailabilityFor(table).reason).toEqual('evacuated');
+    expect(unavailabilityFor(table, 'other')).toEqual({ reason: 'no_runner' });
   });
 
-  it('does not blame the evacuation of a data centre whose runners leave anyway', () => {
+  it('does not report an evacuation when the runners of that data centre are draining anyway', () => {
     const table = tableOf(['north', 'draining']);
     table.setEvacuated(new Set(['north']));
-    expect(whyNone(table)).toEqual({ reason: 'no_runner' });
+    expect(unavailabilityFor(table)).toEqual({ reason: 'no_runner' });
   });
 
-  it('tells the shortest time that runners have asked for, where all have', () => {
+  it('returns the shortest pause if all runners have asked for one', () => {
     const table = tableOf(['north', 'ready'], ['south', 'ready']);
     table.get('runner-0')?.pauseUntil(NOW + 900);
-    expect(whyNone(table)).toEqual({ reason: 'no_runner' });
+    expect(unavailabilityFor(table)).toEqual({ reason: 'no_runner' });
     table.get('runner-1')?.pauseUntil(NOW + 400);
     const expected = { reason: 'asked_for_time', pauseMilliseconds: 400 } as const;
-    expect(whyNone(table)).toEqual(expected);
+    expect(unavailabilityFor(table)).toEqual(expected);
   });
 
-  it('tells that all runners are cold', () => {
+  it('reports that all runners are cold', () => {
     const table = tableOf(['north', 'ready'], ['south', 'ready']);
-    expect(whyNone(table, 'chat', true)).toEqual({ reason: 'cold' });
+    expect(unavailabilityFor(table, 'chat', true)).toEqual({ reason: 'cold' });
   });
 
-  it('tells that no home of the request has a runner', () => {
+  it('reports that no home region of the request has a runner', () => {
     const runners = tableOf(['north', 'ready']);
     const admission = new RunnerAdmission({ regionOf: () => 'other' });
     const question = { runners, admission, service: 'chat', homeRegions: ['home'], now: NOW };
--- a/src/runners/unavailability.ts
+++ b/src/runners/unavailability.ts
@@ -1,37 +1,43 @@
 /**
- * Why a service has no runner for a request, and when its caller should come back.
+ * Determines why a service has no runner for a request, and when the caller should retry.
  */
 import type { HomeRegions } from '../routes/homes.js';
 import type { RunnerAdmission } from './RunnerAdmission.js';
 import type { RunnerTable } from './RunnerTable.js';
 
-/** `no_runner`: what is listed has been tried, has no place, or there is none. */
+/**
+ * Why no runner is available. `no_runner`: no runner is listed, or those that are have been tried or have no free
+ * connection.
+ */
 export type UnavailableReason = 'no_runner' | 'asked_for_time' | 'evacuated' | 'no_home' | 'cold';
 
-/** What keeps a service's runners from a request. */
+/** Why a service has no runner for a request. */
 export interface Unavailability {
   readonly reason: UnavailableReason;
-  /** Until coming back makes sense, in ms, where that is known. */
+  /** Suggested time until a retry, in ms, if it is known. */
   readonly pauseMilliseconds?: number;
 }
 
-/** Operators take the order to evacuate a data centre back after seconds to hours; callers come back once or twice. */
-const EVACUATED_MILLISECONDS = 1_500;
+/**
+ * Suggested time until a retry during an evacuation, in ms. Operators lift an evacuation after seconds to hours;
+ * callers retry once or twice.
+ */
+const EVACUATION_RETRY_MILLISECONDS = 1_500;
 
-/** What is asked about a service that no runner was found for. */
+/** The request that no runner was found for, and the state of the runners. */
 export interface UnavailabilityQuestion {
   readonly runners: RunnerTable;
-  readonly admission: Pick<RunnerAdmission, 'isCold' | 'isAtHome'>;
+  readonly admission: Pick<RunnerAdmission, 'isCold' | 'isInHomeRegion'>;
   readonly service: string;
-  /** Regions whose runners may run the request. */
+  /** Regions whose runners may execute the request. */
   readonly homeRegions?: HomeRegions;
-  /** Monotonic milliseconds. */
+  /** Current time, monotonic ms. */
   readonly now: number;
 }
 
 /**
- * @param question - a service that no runner was found for.
- * @returns Why.
+ * @param question - a request that no runner was found for.
+ * @returns The reason, and when to retry.
  */
 export function unavailabilityOf({
   runners,
@@ -41,11 +47,11 @@
   now,
 }: UnavailabilityQuestion): Unavailability {
   const all = runners.readyOf(service);
-  const ready = all.filter((runner) => admission.isAtHome(runner, homeRegions));
+  const ready = all.filter((runner) => admission.isInHomeRegion(runner, homeRegions));
   if (ready.length === 0) {
     const isEvacuated = runners.evacuatedOf(service).length > 0;
     if (!isEvacuated) return { reason: all.length > 0 ? 'no_home' : 'no_runner' };
-    return { reason: 'evacuated', pauseMilliseconds: EVACUATED_MILLISECONDS };
+    return { reason: 'evacuated', pauseMilliseconds: EVACUATION_RETRY_MILLISECONDS };
   }
   const pauseMilliseconds = Math.min(...ready.map(({ pausedUntil }) => pausedUntil - now));
   if (pauseMilliseconds > 0) return { reason: 'asked_for_time', pauseMilliseconds };
