--- a/src/runners/ColdStarts.ts
+++ b/src/runners/ColdStarts.ts
@@ -87,7 +87,8 @@
   }
 
   /**
-   * Tells whether a request may go to a runner that this daemon does not own, when no other runner is left.
+   * Tells whether a request may go to a runner within the part of the rate that daemons which are not owners share. It
+   * is used when no other runner is left.
    *
    * @param runner - the runner to check.
    * @param now - current time, monotonic ms.
@@ -109,11 +110,13 @@
    */
   countRequest(runner: Runner, now: number): void {
     if (!this.isCold(runner, now)) return;
-    const span = this.periodOf(runner, now);
+    const period = this.periodOf(runner, now);
     const { share } = this.options.ownershipOf(runner.entry.life);
     if (share > 0)
-      span.nextAsOwnerAt = Math.max(span.nextAsOwnerAt, now) + this.requestInterval(runner, share);
-    span.nextAsNonOwnerAt = Math.max(span.nextAsNonOwnerAt, now) + this.nonOwnerInterval(runner);
+      period.nextAsOwnerAt =
+        Math.max(period.nextAsOwnerAt, now) + this.requestInterval(runner, share);
+    period.nextAsNonOwnerAt =
+      Math.max(period.nextAsNonOwnerAt, now) + this.nonOwnerInterval(runner);
   }
 
   private nonOwnerInterval(runner: Runner): number {
--- a/src/runners/RunnerHealth.ts
+++ b/src/runners/RunnerHealth.ts
@@ -30,8 +30,8 @@
 const MINIMUM_FAILURES = 2.5;
 
 /**
- * An outlier fails this many times as often as the other runners of its service. If half of all runners fail every
- * second request, a healthy service with one bad runner in three is still told apart.
+ * An outlier fails this many times as often as the other runners of its service. This tells a healthy service with one
+ * bad runner in three apart from a failing one, in which half of the runners fail every second request.
  */
 const OUTLIER_FACTOR = 2;
 
