--- a/src/store/CountingPlatformStore.ts
+++ b/src/store/CountingPlatformStore.ts
@@ -1,5 +1,5 @@
 /**
- * Counts the calls that go to a store which does not count by itself.
+ * Decorator that counts the calls to a store which does not count them itself.
  */
 import type { PlatformCallMeter } from './PlatformCallMeter.js';
 import { PlatformStore } from './PlatformStore.js';
@@ -17,14 +17,14 @@
   meter: PlatformCallMeter;
 }
 
-/** Passes every call on and counts it. */
+/** Counts every call and forwards it to the wrapped store. */
 export class CountingPlatformStore extends PlatformStore {
   private readonly store: PlatformStore;
 
   private readonly meter: PlatformCallMeter;
 
   /**
-   * @param options - the store that answers, and the meter.
+   * @param options - the wrapped store, and the meter.
    */
   constructor({ store, meter }: CountingPlatformStoreOptions) {
     super();
--- a/src/store/EtcdEndpoints.ts
+++ b/src/store/EtcdEndpoints.ts
@@ -1,7 +1,7 @@
 /**
- * Connections to the members of the platform's service, tried in turn.
+ * Connections to the members of the store's cluster, which are tried in turn.
  *
- * gRPC needs HTTP/2; connect-es speaks it over Node's `http2`.
+ * The clients use gRPC over HTTP/2, by connect-es on Node's `http2`.
  */
 import { createClient } from '@connectrpc/connect';
 import type { Client } from '@connectrpc/connect';
@@ -11,10 +11,10 @@
 import { GuardedSessionManager } from './GuardedSessionManager.js';
 import { PlatformStoreError } from './PlatformStore.js';
 
-/** Largest answer that is read: a page of entries, most of them far below their limit. */
+/** Largest response that is accepted, in bytes: a page of entries, most of them far smaller than the largest value. */
 const MAXIMUM_ANSWER_BYTES = 64 * 1024 * 1024;
 
-/** One member of the platform's service. */
+/** One member of the store's cluster, with its clients. */
 export interface EtcdEndpoint {
   readonly address: string;
   readonly keyValue: Client<typeof KV>;
@@ -28,17 +28,17 @@
 
 /** Options of {@link EtcdEndpoints}. */
 export interface EtcdEndpointsOptions {
-  /** `http://host:port` or `https://host:port`, by IP number. */
+  /** `http://host:port` or `https://host:port`, each with an IP address as host. */
   addresses: readonly string[];
-  /** How long a connection may take to open, in milliseconds. */
+  /** Timeout for opening a connection, in milliseconds. */
   connectTimeoutMilliseconds?: number;
-  /** After how many quiet milliseconds an open connection is checked. */
+  /** Time without data after which an open connection is checked by a ping, in milliseconds. */
   pingIntervalMilliseconds?: number;
-  /** How long such a check may take, in milliseconds. */
+  /** Timeout for the answer to such a ping, in milliseconds. */
   pingTimeoutMilliseconds?: number;
 }
 
-/** Keeps one connection for each member and prefers the one that answered last. */
+/** Keeps one connection for each member, and prefers the same member until it fails. */
 export class EtcdEndpoints {
   private readonly endpoints: readonly ManagedEndpoint[];
 
@@ -48,7 +48,7 @@
 
   /**
    * @param options - addresses and limits.
-   * @throws {@link RangeError} without any address.
+   * @throws {@link RangeError} If there is no address.
    */
   constructor({
     addresses,
@@ -56,11 +56,12 @@
     pingIntervalMilliseconds = 10_000,
     pingTimeoutMilliseconds = 3000,
   }: EtcdEndpointsOptions) {
-    if (addresses.length === 0) throw new RangeError('the platform needs at least one address');
+    if (addresses.length === 0)
+      throw new RangeError('addresses is empty, expected at least one address of the store');
     this.connectTimeoutMilliseconds = connectTimeoutMilliseconds;
     this.endpoints = addresses.map((address) => {
-      // A watch can wait for hours. When its connection dies silently, nothing would arrive and nothing
-      // would fail; the pings end the connection, so the watch throws and is opened again.
+      // A watch can wait for hours. If its connection is lost without a reset, no event arrives and no call
+      // fails. The pings then close the connection, so that the watch throws and is opened again.
       const sessions = new GuardedSessionManager(address, {
         pingIntervalMs: pingIntervalMilliseconds,
         pingTimeoutMs: pingTimeoutMilliseconds,
@@ -80,30 +81,33 @@
     });
   }
 
-  /** @returns How many members there are. */
+  /** @returns Number of members. */
   get count(): number {
     return this.endpoints.length;
   }
 
   /**
-   * Finds a member that can be sent to. Nothing has been sent when this throws, which is what lets a
-   * write fail as `unavailable` and not as `unsure`.
+   * Finds a member whose connection is open or can be opened. If this throws, no request has been sent, so that a write
+   * can fail as `unavailable` instead of `unsure`.
    *
-   * @returns The first member, from the preferred one on, whose connection is open or opens.
-   * @throws {@link PlatformStoreError} `unavailable` when none can be reached.
+   * @returns The first such member, beginning with the preferred one.
+   * @throws {@link PlatformStoreError} `unavailable` if no member can be reached.
    */
   async connected(): Promise<EtcdEndpoint> {
     for (let tried = 0; tried < this.endpoints.length; tried += 1) {
       const endpoint = this.endpoints[this.preferred]!;
-      if (await this.opens(endpoint)) return endpoint;
+      if (await this.tryOpen(endpoint)) return endpoint;
       this.avoid(endpoint);
     }
     const addresses = this.endpoints.map(({ address }) => address).join(', ');
-    throw new PlatformStoreError('unavailable', `no connection to ${addresses}`);
+    throw new PlatformStoreError(
+      'unavailable',
+      `none of the store's members can be reached: ${addresses}`,
+    );
   }
 
   /**
-   * Prefers the next member from now on, unless another call has already moved on.
+   * Prefers the next member from now on, unless another call has changed the preferred member already.
    *
    * @param failed - the member that failed.
    */
@@ -112,17 +116,17 @@
     this.preferred = (this.preferred + 1) % this.endpoints.length;
   }
 
-  /** Closes every connection; calls in progress fail. */
+  /** Closes all connections; calls in progress fail. */
   close(): void {
     this.endpoints.forEach(({ sessions }) => sessions.abort());
   }
 
-  private async opens({ sessions }: ManagedEndpoint): Promise<boolean> {
+  private async tryOpen({ sessions }: ManagedEndpoint): Promise<boolean> {
     let timer: NodeJS.Timeout | undefined;
-    const tooLate = new Promise<'timeout'>((resolve) => {
+    const timedOut = new Promise<'timeout'>((resolve) => {
       timer = setTimeout(() => resolve('timeout'), this.connectTimeoutMilliseconds);
     });
-    const state = await Promise.race([sessions.connect(), tooLate]);
+    const state = await Promise.race([sessions.connect(), timedOut]);
     clearTimeout(timer);
     return state === 'open' || state === 'idle';
   }
--- a/src/store/EtcdPlatformStore.ts
+++ b/src/store/EtcdPlatformStore.ts
@@ -1,8 +1,8 @@
 /**
- * The platform's store through the subset of etcd's published v3 gRPC interface in `proto/etcd/`.
+ * Client of the store by the subset of etcd's published v3 gRPC interface in `proto/etcd/`.
  *
- * That the platform's service speaks this interface is an assumption of the project; see
- * docs/INTERFACES.md. All reads ask for the newest data (never `serializable`).
+ * That the platform's key-value service supports this interface is an assumption of the project; see
+ * docs/INTERFACES.md. All reads are linearizable (never `serializable`), so they return the newest data.
  */
 import type { CallOptions } from '@connectrpc/connect';
 
@@ -38,14 +38,14 @@
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Entries that one call of a range asks for. */
+/** Entries that one call of a range read requests. */
 const RANGE_PAGE_ENTRIES = 500;
 
 /** Options of an {@link EtcdPlatformStore}. */
 export interface EtcdPlatformStoreOptions extends EtcdEndpointsOptions {
-  /** How long a call may take once it is sent, in milliseconds. */
+  /** Timeout of a call once it is sent, in milliseconds. */
   callTimeoutMilliseconds?: number;
-  /** Counts every call that is sent, each page of a range and each retry included. */
+  /** Counts every call that is sent, including each page of a range and each retry. */
   meter?: PlatformCallMeter;
   /** Logs outages and their ends. */
   health?: PlatformHealth;
@@ -53,7 +53,7 @@
 
 type Call<Answer> = (endpoint: EtcdEndpoint, options: CallOptions) => Promise<Answer>;
 
-/** The client's half of a watch: one request, then silence until the watch ends. */
+/** The client's messages of a watch stream: one create request; then the stream stays open until the watch ends. */
 async function* watchRequests(
   prefix: string,
   fromRevision: number,
@@ -82,7 +82,7 @@
   return answer.events.flatMap(toWatchEvents);
 }
 
-/** Speaks to the platform's service; never repeats a write by itself. */
+/** Store client over etcd's gRPC interface. It retries reads on another member, but never retries a write. */
 export class EtcdPlatformStore extends PlatformStore {
   private readonly endpoints: EtcdEndpoints;
 
@@ -128,7 +128,7 @@
       const answer = await this.read('range', ({ keyValue }, options) =>
         keyValue.range({ ...page, limit: BigInt(RANGE_PAGE_ENTRIES) }, options),
       );
-      // Later pages are read as of the first one: otherwise the whole would be a state that never was.
+      // Later pages are read at the revision of the first one; otherwise the result could be a state that never existed.
       if (revision === 0n) revision = answer.header?.revision ?? 0n;
       entries.push(...answer.kvs.map(toEntry));
       const last = answer.kvs.at(-1);
@@ -140,7 +140,10 @@
   override async transact(transaction: StoreTransaction): Promise<TransactionResult> {
     for (const write of transaction.writes) {
       if (write.kind === 'put' && write.value.length > MAXIMUM_VALUE_BYTES)
-        throw new PlatformStoreError('too_large', `${write.key}: ${write.value.length} bytes`);
+        throw new PlatformStoreError(
+          'too_large',
+          `the value of ${write.key} has ${write.value.length} bytes, the limit is ${MAXIMUM_VALUE_BYTES}`,
+        );
     }
     const request = toTxnRequest(transaction);
     const answer = await this.send('transact', 'write', ({ keyValue }, options) =>
@@ -172,9 +175,13 @@
       );
       const { value: answer } = await answers[Symbol.asyncIterator]().next();
       if (answer) return (answer as LeaseKeepAliveResponse).ttl;
-      throw new PlatformStoreError('unavailable', 'the service ended the renewal unanswered');
+      throw new PlatformStoreError(
+        'unavailable',
+        'the store ended the stream of the lease renewal without an answer',
+      );
     });
-    if (ttl <= 0n) throw new PlatformStoreError('lease_lost', `lease ${leaseId} is gone`);
+    if (ttl <= 0n)
+      throw new PlatformStoreError('lease_lost', `lease ${leaseId} has expired or was revoked`);
     return { timeToLiveMilliseconds: Number(ttl) * MILLISECONDS_PER_SECOND };
   }
 
@@ -200,7 +207,7 @@
     const abort = (): void => stop.abort();
     signal.addEventListener('abort', abort);
     if (signal.aborted) abort();
-    // A member can accept the stream and never confirm the watch: it would wait for ever for nothing.
+    // A member can accept the stream and never confirm the watch. Without this timeout it would wait for ever.
     const unconfirmed = setTimeout(abort, this.callTimeoutMilliseconds);
     try {
       const requests = watchRequests(prefix, fromRevision, stop.signal);
@@ -226,7 +233,7 @@
     this.endpoints.close();
   }
 
-  /** Reads may be asked again of the next member: they change nothing. */
+  /** Sends a read, and retries it on the next member if one is unavailable: reads change nothing. */
   private async read<Answer>(operation: CountedOperation, call: Call<Answer>): Promise<Answer> {
     for (let attempt = 1; ; attempt += 1) {
       try {
--- a/src/store/GuardedSessionManager.ts
+++ b/src/store/GuardedSessionManager.ts
@@ -1,5 +1,5 @@
 /**
- * An HTTP/2 session manager whose sessions cannot end the process.
+ * HTTP/2 session manager that keeps a session error from ending the process.
  */
 import type { EventEmitter } from 'node:events';
 import type {
@@ -10,27 +10,27 @@
 
 import { Http2SessionManager } from '@connectrpc/connect-node';
 
-/** The part of the manager's state that has a session. */
+/** The part of the base class's private state that holds the session. */
 interface ReadyState {
   readonly conn?: EventEmitter;
 }
 
 /**
- * Keeps a listener for errors on every session.
+ * Keeps an error listener on every session until the session ends.
  *
- * When a member ends an idle connection, the manager destroys the session with an error, which Node emits a
- * tick later. A call that comes in between makes the manager leave the session and take its own listener
- * off; the error then has no listener and ends the process. One would notice daemons that die when the
- * platform restarts. The listener here stays for the session's life; the manager sees every error first.
+ * When a member of the store closes an idle connection, the base class destroys the session with an error, which Node
+ * emits a tick later. A call in between makes the base class abandon the session and remove its own listener, so that
+ * the error is unhandled and ends the process: daemons would exit when the store restarts. The listener here is never
+ * removed, and the base class still gets every error first.
  */
 export class GuardedSessionManager extends Http2SessionManager {
-  private readonly guarded = new WeakSet<EventEmitter>();
+  private readonly sessionsWithListener = new WeakSet<EventEmitter>();
 
   override async connect(): Promise<'open' | 'idle' | 'error'> {
     const state = await super.connect();
-    // The library keeps its session to itself; there is no other way to one that has carried no call.
+    // The library does not expose its session; before the first call, only its private state gives access to it.
     const { conn } = this['s'] as ReadyState; // eslint-disable-line @typescript-eslint/dot-notation
-    this.guard(conn);
+    this.addErrorListener(conn);
     return state;
   }
 
@@ -41,13 +41,13 @@
     options: Omit<ClientSessionRequestOptions, 'signal'>,
   ): Promise<ClientHttp2Stream> {
     const stream = await super.request(method, path, headers, options);
-    this.guard(stream.session);
+    this.addErrorListener(stream.session);
     return stream;
   }
 
-  private guard(session: EventEmitter | undefined): void {
-    if (!session || this.guarded.has(session) || !('on' in session)) return;
-    this.guarded.add(session);
+  private addErrorListener(session: EventEmitter | undefined): void {
+    if (!session || this.sessionsWithListener.has(session) || !('on' in session)) return;
+    this.sessionsWithListener.add(session);
     session.on('error', () => {});
   }
 }
--- a/src/store/PlatformCallMeter.ts
+++ b/src/store/PlatformCallMeter.ts
@@ -1,23 +1,23 @@
 /**
- * Counts calls to the platform as the platform counts them: each call, and a waiting watch as one.
+ * Counts calls to the store as its rate limit does: each call, and each open watch as one call.
  */
 import type { Clock } from '../time/Clock.js';
 
-/** The calls of a platform store, as they are counted. */
+/** The operations of a store that are counted. */
 export type CountedOperation =
   'get' | 'range' | 'transact' | 'grantLease' | 'renewLease' | 'revokeLease' | 'watch';
 
-/** What has been counted. */
+/** The counts of a {@link PlatformCallMeter}. */
 export interface PlatformCallCounts {
-  /** Calls since the start, by operation; for `watch` the watches that were opened. */
+  /** Calls since the start, by operation; for `watch` the number of watches that were opened. */
   readonly totals: Readonly<Record<CountedOperation, number>>;
-  /** Watches that wait now. */
+  /** Watches that are open now. */
   readonly waitingWatches: number;
-  /** Calls a second over the last {@link METER_WINDOW_SECONDS}, plus one for each waiting watch. */
+  /** Calls per second over the last {@link METER_WINDOW_SECONDS}, plus one for each open watch. */
   readonly callsPerSecond: number;
 }
 
-/** Seconds over which the rate is taken. */
+/** Length of the window over which the call rate is averaged, in seconds. */
 export const METER_WINDOW_SECONDS = 10;
 
 const MILLISECONDS_PER_SECOND = 1000;
@@ -27,7 +27,7 @@
   clock: Clock;
 }
 
-/** One meter for all the platform calls of a daemon. */
+/** Counts all calls of a daemon to the store. */
 export class PlatformCallMeter {
   private readonly clock: Clock;
 
@@ -41,7 +41,7 @@
     watch: 0,
   };
 
-  /** Calls by second of the monotonic clock, for the seconds of the window only. */
+  /** Calls by second of the monotonic clock, only for the seconds within the window. */
   private readonly bySecond = new Map<number, number>();
 
   private waitingWatches = 0;
@@ -54,7 +54,9 @@
   }
 
   /**
-   * @param operation - a call that is about to be sent.
+   * Counts a call.
+   *
+   * @param operation - the call that is about to be sent.
    */
   count(operation: CountedOperation): void {
     this.totals[operation] += 1;
@@ -64,9 +66,9 @@
   }
 
   /**
-   * Counts a watch as opened and waiting.
+   * Counts a watch as opened.
    *
-   * @returns Counts it as ended; later calls of it change nothing.
+   * @returns A function that counts it as ended; calling it again has no effect.
    */
   openWatch(): () => void {
     this.count('watch');
@@ -79,7 +81,7 @@
     };
   }
 
-  /** @returns What has been counted until now. */
+  /** @returns The counts until now. */
   read(): PlatformCallCounts {
     const second = this.second();
     this.forgetBefore(second - METER_WINDOW_SECONDS);
--- a/src/store/PlatformHealth.ts
+++ b/src/store/PlatformHealth.ts
@@ -1,5 +1,5 @@
 /**
- * Logs when the platform stops answering and when it answers again, not each failed call.
+ * Logs when the store stops answering and when it answers again, instead of each failed call.
  */
 import type { Log } from '../logging/Log.js';
 import { platformLogEvents } from './platformFeature.js';
@@ -10,11 +10,11 @@
   log: Log;
 }
 
-/** Whether the platform answers, as this daemon sees it. */
+/** Tracks whether the store answers this daemon. */
 export class PlatformHealth {
   private readonly log: Log;
 
-  private answers = true;
+  private isAnswering = true;
 
   /**
    * @param options - where changes are logged.
@@ -25,28 +25,28 @@
 
   /** @returns Whether the last call was answered. */
   get available(): boolean {
-    return this.answers;
+    return this.isAnswering;
   }
 
-  /** Notes a call that was answered. */
+  /** Records a call that was answered. */
   succeeded(): void {
-    if (this.answers) return;
-    this.answers = true;
+    if (this.isAnswering) return;
+    this.isAnswering = true;
     this.log.write(platformLogEvents.available);
   }
 
   /**
-   * Notes a call that failed.
+   * Records a call that failed.
    *
-   * @param operation - the call.
-   * @param failure - how.
-   * @param message - details.
+   * @param operation - name of the call.
+   * @param failure - kind of the failure.
+   * @param message - details for the log.
    */
   failed(operation: string, failure: StoreFailure, message: string): void {
     if (failure === 'unsure') this.log.write(platformLogEvents.unsure, { operation, message });
     if (failure === 'lease_lost' || failure === 'too_large') return;
-    if (!this.answers) return;
-    this.answers = false;
+    if (!this.isAnswering) return;
+    this.isAnswering = false;
     this.log.write(platformLogEvents.unavailable, { operation, failure, message });
   }
 }
--- a/src/store/PlatformStore.spec.ts
+++ b/src/store/PlatformStore.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The contract of every platform store, as one table over the published protocol and over memory.
+ * Contract tests of the store, run against the client of the published protocol and against the in-memory store.
  */
 import { afterEach, describe, it } from 'node:test';
 
@@ -22,10 +22,10 @@
   readonly clock: ManualClock;
 }
 
-/** For calls whose answer never comes: long enough that the call itself has arrived on a busy machine. */
+/** Timeout for calls whose answer never comes, in ms: long enough that the call arrives also on a busy machine. */
 const LOST_CALL_TIMEOUT_MILLISECONDS = 1000;
 
-/** For all others: no verdict depends on it. */
+/** Timeout for all other calls, in ms: no expectation depends on it. */
 const CALL_TIMEOUT_MILLISECONDS = 20_000;
 
 const closing: (() => Promise<void>)[] = [];
@@ -129,9 +129,8 @@
     });
 
     it('ends a lease with its keys when it is not renewed', async () => {
-      // Symptom: a daemon that was paused acts as if it still held its lease.
-      // Sequence: the lease runs out, its key is deleted, the holder renews.
-      // Cause: a renewal that brings an expired lease back to life.
+      // Guards against a daemon that acts as if it still held its lease after it was paused: the lease
+      // expires, its key is deleted, and the holder's renewal must not revive it.
       const { store, clock } = await open();
       const { leaseId, timeToLiveMilliseconds } = await store.grantLease(1500);
       expect(timeToLiveMilliseconds).toEqual(2000);
@@ -175,7 +174,7 @@
       expect(state.revision).toEqual(2);
     });
 
-    it('answers with old data when told to, and shows its age', async () => {
+    it('reports the old revision if a member answers with old data', async () => {
       const { store, faults } = await open();
       const old = await store.transact({ expected: [], writes: [put('o', 'old')] });
       await store.transact({ expected: [], writes: [put('o', 'new')] });
@@ -184,9 +183,9 @@
       expect([entry?.value, revision]).toEqual([bytes('old'), old.revision]);
     });
 
-    // Symptom: an operator's change is applied twice, or reported as failed although it is in force.
-    // Sequence: the write is sent; the answer, or the request itself, is lost.
-    // Cause: a store that reports the loss as a failure, or repeats the write by itself.
+    // Guards against an operator's change that is applied twice, or is reported as failed although it is in force. The
+    // write is sent, and the request or the answer is lost: the store must not report that as a failure without effect,
+    // and must not retry the write itself.
     const losses: readonly [PlatformFault, StoreFailure, number, number][] = [
       ['refuse', name === 'memory' ? 'unavailable' : 'unsure', 0, 0],
       ['lose_request', 'unsure', 0, 0],
@@ -221,10 +220,9 @@
 }
 
 describe('etcd subset with several members', () => {
-  it('moves on from a member that is down, before anything is sent', async () => {
-    // Symptom: one member's crash makes every change of configuration unsure or fail.
-    // Sequence: the first address refuses connections; a write is asked for.
-    // Cause: sending to, or giving up with, the first address only.
+  it('tries the next member if the first one is down, before anything is sent', async () => {
+    // Guards against a crash of one member that makes every change of the configuration unsure or failed: if the first
+    // address refuses connections, the write must go to the next one.
     const clock = new ManualClock();
     const down = new PlatformStandIn({ clock });
     const downAddress = await down.start();
@@ -241,7 +239,7 @@
     expect(meter.read().totals.transact).toEqual(1);
   });
 
-  it('says unavailable, not unsure, when no member can be reached', async () => {
+  it('fails a write as unavailable, not unsure, if no member can be reached', async () => {
     const standIn = new PlatformStandIn();
     const address = await standIn.start();
     await standIn.stop();
@@ -251,7 +249,7 @@
     expect(await failureOf(write)).toEqual('unavailable');
   });
 
-  it('is refused beyond the rate of the platform, and counts each call and each waiting watch', async () => {
+  it('is refused above the rate limit of the store, and counts each call and each open watch', async () => {
     const clock = new ManualClock();
     const standIn = new PlatformStandIn({ clock, readsPerSecond: 3 });
     const store = new EtcdPlatformStore({ addresses: [await standIn.start()] });
--- a/src/store/PlatformStore.ts
+++ b/src/store/PlatformStore.ts
@@ -1,23 +1,23 @@
 /**
- * The platform's small key-value service, as the project uses it.
+ * The interface of the store: the platform's key-value service, as far as the project uses it.
  */
 
 /** One key with its value. */
 export interface StoreEntry {
   readonly key: string;
   readonly value: Uint8Array;
-  /** The store's revision at which the key changed last: also the fencing token of a lease's key. */
+  /** The store's revision at which the key last changed; for the key of a lease it serves as fencing token. */
   readonly modifiedRevision: number;
 }
 
-/** What a range read saw. */
+/** Result of a range read. */
 export interface StoreRange {
   readonly entries: readonly StoreEntry[];
-  /** The store's revision of this read; an older one than seen before means old data. */
+  /** The store's revision of this read; a lower revision than in an earlier read means that the data are outdated. */
   readonly revision: number;
 }
 
-/** One change of a transaction. */
+/** One write of a transaction. */
 export type StoreWrite =
   | {
       readonly kind: 'put';
@@ -27,13 +27,13 @@
     }
   | { readonly kind: 'delete'; readonly key: string };
 
-/** A transaction: all writes, if every key still has the revision named (0: does not exist). */
+/** A transaction: all writes are applied if every expected key still has the given revision (0: does not exist). */
 export interface StoreTransaction {
   readonly expected: readonly { readonly key: string; readonly modifiedRevision: number }[];
   readonly writes: readonly StoreWrite[];
 }
 
-/** How a transaction ended, when that is known. */
+/** Outcome of a transaction, if it is known; on a conflict with the current entries of the expected keys. */
 export type TransactionResult =
   | { readonly kind: 'committed'; readonly revision: number }
   | {
@@ -42,22 +42,22 @@
       readonly current: readonly StoreEntry[];
     };
 
-/** What a watch reports. */
+/** An event of a watch. */
 export type WatchEvent =
   | { readonly kind: 'put'; readonly entry: StoreEntry }
   | { readonly kind: 'delete'; readonly key: string; readonly revision: number }
-  /** Events since the asked revision are gone, `revision` is the oldest kept: read the range again. */
+  /** The store has compacted events after the requested revision; `revision` is the oldest kept. Read the range again. */
   | { readonly kind: 'compacted'; readonly revision: number };
 
-/** Why a call failed. With `unsure` a write may have taken effect: read before trying again. */
+/** Why a call failed. With `unsure`, a write may have taken effect: read the entry before trying again. */
 export type StoreFailure = 'unavailable' | 'timeout' | 'unsure' | 'too_large' | 'lease_lost';
 
 /** Thrown by every method of a {@link PlatformStore}. */
 export class PlatformStoreError extends Error {
   /**
-   * @param failure - what kind of failure.
-   * @param message - details.
-   * @param options - the cause.
+   * @param failure - kind of the failure.
+   * @param message - details for the log.
+   * @param options - the underlying error.
    */
   constructor(
     readonly failure: StoreFailure,
@@ -69,32 +69,43 @@
   }
 }
 
-/** Largest value that the platform holds, in bytes. */
+/** Largest value that the store accepts, in bytes. */
 export const MAXIMUM_VALUE_BYTES = 1_000_000;
 
-/** Compare-and-swap, leases and watches. Every call is counted, a waiting watch as one. */
+/**
+ * Key-value store with compare-and-swap transactions, leases and watches. The store limits the rate of calls; an open
+ * watch counts as one call.
+ */
 export abstract class PlatformStore {
   /**
+   * Reads one key.
+   *
    * @param key - the key.
-   * @returns The entry, or `undefined`, with the store's revision.
+   * @returns The entry, or `undefined` if the key does not exist, with the store's revision.
    */
   abstract get(key: string): Promise<{ entry: StoreEntry | undefined; revision: number }>;
 
   /**
-   * @param prefix - start of the keys wanted; not empty.
+   * Reads all keys with a prefix.
+   *
+   * @param prefix - prefix of the keys; not empty.
    * @param options - `keysOnly` leaves the values empty, for large values that are only counted or removed.
    * @returns All entries, ordered by key.
    */
   abstract range(prefix: string, options?: { keysOnly?: boolean }): Promise<StoreRange>;
 
   /**
+   * Applies all writes atomically if all conditions hold.
+   *
    * @param transaction - conditions and writes.
-   * @returns Committed or conflict; throws `unsure` when the answer was lost.
+   * @returns Whether it was committed or met a conflict; throws `unsure` if the answer was lost.
    */
   abstract transact(transaction: StoreTransaction): Promise<TransactionResult>;
 
   /**
-   * @param timeToLiveMilliseconds - how long the lease lives without renewal; the platform may round up to seconds.
+   * Creates a lease.
+   *
+   * @param timeToLiveMilliseconds - time until the lease expires without a renewal; the store may round up to seconds.
    * @returns The lease's id and its granted time to live.
    */
   abstract grantLease(
@@ -102,8 +113,11 @@
   ): Promise<{ leaseId: string; timeToLiveMilliseconds: number }>;
 
   /**
+   * Renews a lease.
+   *
    * @param leaseId - the lease.
-   * @returns Its new time to live, counted from before the call was sent; throws `lease_lost`.
+   * @returns Its new time to live, to be counted from before the call was sent; throws `lease_lost` if the lease has
+   *   expired or was revoked.
    */
   abstract renewLease(leaseId: string): Promise<{ timeToLiveMilliseconds: number }>;
 
@@ -115,10 +129,12 @@
   abstract revokeLease(leaseId: string): Promise<void>;
 
   /**
-   * @param prefix - start of the keys watched.
-   * @param fromRevision - first revision wanted.
+   * Watches all keys with a prefix.
+   *
+   * @param prefix - prefix of the keys.
+   * @param fromRevision - first revision whose events are reported.
    * @param signal - ends the watch.
-   * @returns Events in order; ends or throws when the connection is lost.
+   * @returns Events in the order of their revisions; ends or throws when the connection is lost.
    */
   abstract watch(
     prefix: string,
@@ -126,6 +142,6 @@
     signal: AbortSignal,
   ): AsyncIterable<WatchEvent>;
 
-  /** Releases connections. */
+  /** Closes all connections. */
   abstract close(): Promise<void>;
 }
--- a/src/store/etcdMessages.ts
+++ b/src/store/etcdMessages.ts
@@ -1,5 +1,5 @@
 /**
- * Translates between the store's terms and the messages of etcd's published interface.
+ * Converts between the types of PlatformStore.ts and the messages of etcd's published interface.
  */
 import { create } from '@bufbuild/protobuf';
 import type { MessageInitShape } from '@bufbuild/protobuf';
@@ -32,15 +32,19 @@
 const decoder = new TextDecoder();
 
 /**
- * @param key - a key of ours.
- * @returns Its bytes.
+ * Encodes a key.
+ *
+ * @param key - a key.
+ * @returns Its bytes in UTF-8.
  */
 export function keyBytes(key: string): Uint8Array {
   return encoder.encode(key);
 }
 
 /**
- * @param bytes - a key as the service gives it.
+ * Decodes a key.
+ *
+ * @param bytes - a key in UTF-8.
  * @returns The key.
  */
 export function keyText(bytes: Uint8Array): string {
@@ -48,8 +52,10 @@
 }
 
 /**
- * @param prefix - start of keys; not empty, and not ending in the highest byte.
- * @returns The first key after all keys with that prefix, as the interface wants a range's end.
+ * Computes the exclusive end of the range of all keys with a prefix.
+ *
+ * @param prefix - prefix of the keys; not empty, and its last byte is not the highest one.
+ * @returns The first key after all keys with that prefix.
  */
 export function rangeEnd(prefix: string): Uint8Array {
   const end = keyBytes(prefix);
@@ -58,8 +64,10 @@
 }
 
 /**
- * @param keyValue - a record of the service.
- * @returns The same as the store's entry.
+ * Converts a key-value message.
+ *
+ * @param keyValue - the message.
+ * @returns The entry.
  */
 export function toEntry(keyValue: KeyValue): StoreEntry {
   return {
@@ -70,8 +78,10 @@
 }
 
 /**
- * @param event - an event of a watch.
- * @returns The same in the store's terms.
+ * Converts an event of a watch.
+ *
+ * @param event - the message.
+ * @returns The event; none if the message has no key.
  */
 export function toWatchEvents(event: Event): WatchEvent[] {
   if (!event.kv) return [];
@@ -104,8 +114,10 @@
 }
 
 /**
+ * Builds the request of a transaction.
+ *
  * @param transaction - conditions and writes.
- * @returns The request; when a condition fails it reads the keys of the conditions instead.
+ * @returns The request; if a condition fails, it reads the keys of the conditions instead of writing.
  */
 export function toTxnRequest({ expected, writes }: StoreTransaction): TxnRequest {
   return create(TxnRequestSchema, {
@@ -116,8 +128,10 @@
 }
 
 /**
- * @param answer - the service's answer to a transaction.
- * @returns How the transaction ended.
+ * Converts the response to a transaction.
+ *
+ * @param answer - the response.
+ * @returns The outcome of the transaction.
  */
 export function toTransactionResult(answer: TxnResponse): TransactionResult {
   const revision = Number(answer.header?.revision ?? 0);
@@ -128,8 +142,8 @@
   return { kind: 'conflict', revision, current };
 }
 
-/** Codes by which the service says that it looked at a request and did nothing. */
-const WITHOUT_EFFECT: ReadonlySet<Code> = new Set([
+/** Status codes with which the store rejects a request without having applied it. */
+const CODES_WITHOUT_EFFECT: ReadonlySet<Code> = new Set([
   Code.InvalidArgument,
   Code.FailedPrecondition,
   Code.NotFound,
@@ -139,26 +153,26 @@
   Code.Unimplemented,
 ]);
 
-/** Whether a call can change anything. */
+/** Kind of a call, which decides what its failure means: a failed `write` may have taken effect. */
 export type CallKind = 'read' | 'write' | 'lease';
 
 function failureOf(error: ConnectError, kind: CallKind): StoreFailure {
   if (error.code === Code.NotFound) return 'lease_lost';
   if (error.code === Code.InvalidArgument && error.message.includes('too large'))
     return 'too_large';
-  if (kind === 'write' && !WITHOUT_EFFECT.has(error.code)) return 'unsure';
+  if (kind === 'write' && !CODES_WITHOUT_EFFECT.has(error.code)) return 'unsure';
   if (error.code === Code.DeadlineExceeded) return 'timeout';
   return 'unavailable';
 }
 
 /**
- * Tells what a failed call means. A write that was sent and got no clear refusal may have taken effect:
- * calling it failed would make its author repeat it, so it is `unsure`, also for a plain `Unavailable`,
- * which a member says of a proposal that another member may still commit.
+ * Classifies the failure of a call. A write that was sent and not clearly rejected may have taken effect. If it were
+ * reported as failed, the caller would repeat it, so it is `unsure`. That includes the status `Unavailable`, which a
+ * member returns also for a proposal that another member may still commit.
  *
- * @param error - what the call threw after it was sent.
- * @param kind - what kind of call it was.
- * @returns The store's error.
+ * @param error - the error of a call that was sent.
+ * @param kind - the kind of the call.
+ * @returns The error to throw.
  */
 export function toStoreError(error: unknown, kind: CallKind): PlatformStoreError {
   if (error instanceof PlatformStoreError) return error;
--- a/src/store/platformFeature.ts
+++ b/src/store/platformFeature.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's key-value service: its settings and its log events, numbers 1800 to 1899.
+ * Settings and log events, numbers 1800 to 1899, of the connection to the store, the platform's key-value service.
  */
 import { z } from 'zod';
 
@@ -9,7 +9,7 @@
 const milliseconds = (standard: number, text: string) =>
   z.int().positive().default(standard).describe(`${text}, in milliseconds.`);
 
-/** Settings of the connection to the platform. */
+/** Schema of the settings of the connection to the store. */
 export const platformSettings = z.strictObject({
   addresses: z
     .array(z.url({ protocol: /^https?$/ }))
@@ -25,10 +25,10 @@
   pingTimeoutMilliseconds: milliseconds(3000, 'How long such a check may take'),
 });
 
-/** Settings of the connection to the platform, with defaults filled in. */
+/** Settings of the connection to the store, with defaults filled in. */
 export type PlatformSettings = z.infer<typeof platformSettings>;
 
-/** Events of the platform's store. */
+/** Log events of the connection to the store. */
 export const platformLogEvents = {
   unavailable: defineLogEvent({
     number: 1800,
@@ -36,7 +36,7 @@
     level: 'warn',
     text: "The platform's key-value service stopped answering this daemon.",
     operatorAction:
-      'Requests go on. Changes of configuration wait. Look at the platform if this lasts for minutes.',
+      'Requests are still served; changes of the configuration wait. Check the service if this lasts for minutes.',
   }),
   available: defineLogEvent({
     number: 1801,
@@ -49,12 +49,13 @@
     number: 1802,
     name: 'platform.unsure',
     level: 'info',
-    text: 'The answer to a write was lost; its author reads back whether it took effect.',
-    operatorAction: 'None; when frequent, look at the network to the platform.',
+    text: 'The answer to a write was lost; the writer reads the entry to find out whether the write took effect.',
+    operatorAction:
+      'None; if it happens often, check the network between this daemon and the service.',
   }),
 } as const;
 
-/** The platform feature. */
+/** The platform feature: the connection to the store. */
 export const platformFeature = defineFeature({
   name: 'platform',
   settings: platformSettings,
