--- a/src/liveness/LivenessDecisions.ts
+++ b/src/liveness/LivenessDecisions.ts
@@ -1,14 +1,17 @@
 /**
- * Which daemons of the fleet are alive, by what they say and do not say: a failure detector.
+ * Failure detector: decides which daemons of the fleet are available, from the messages that arrive and those that do
+ * not.
  *
- * What goes wrong without it: the store keeps a daemon's entry until its lease ends, and for as long as the store itself
- * is away. One would see the directory name a daemon that has been off for 8 s, and callers whose connections hang until
- * they give up. Daemons hear from each other about once a second anyway, so that they know long before the lease ends.
+ * Without it, the store keeps a daemon's entry until its lease ends, and for as long as the store itself is away. The
+ * directory would name a daemon that has been down for 8 s, and callers would be left with connections that hang
+ * until they time out. Daemons exchange messages about once a second anyway, so they can detect a failure long before
+ * the lease ends.
  *
- * Silence alone proves nothing, since the fault may lie here: a daemon that was paused or cut off, or whose link is full,
- * hears nobody. So a daemon counts as dead only where another one has not heard it either and calls to it fail, or its
- * own host refuses them. Where nobody else is left to be asked, the store must have answered meanwhile as
- * quickly as a daemon would. Who can be sure of nothing takes everybody for alive.
+ * Silence alone proves nothing, because the fault may be on this side: a daemon that was paused or cut off, or whose
+ * link is saturated, receives no messages either. A daemon therefore counts as unresponsive only if calls to it fail
+ * and another daemon has not heard it either, or if its own host refuses the calls. If no other daemon is left to
+ * ask, the store must have answered in the meantime as quickly as a daemon would. A daemon that can confirm nothing
+ * treats all others as available.
  */
 import { OutOfUse } from './OutOfUse.js';
 import { livenessHash } from './ToldSilences.js';
@@ -23,56 +26,71 @@
 import { WatchList } from './WatchList.js';
 
 /**
- * Between ticks, in ms. All actions come from there: where many daemons die at once, the others are told of them in one
+ * Interval between ticks, in ms. All actions come from ticks, so that daemons that fail together are broadcast in one
  * message.
  */
 const TICK_MILLISECONDS = 100;
 
-/** Of a daemon that is told who is silent, and watches those that tell only: most daemons of a large fleet; in ms. */
-const TOLD_TICK_MILLISECONDS = 200;
+/**
+ * Tick interval, in ms, of a daemon that receives broadcasts of unresponsive daemons and watches only the
+ * broadcasters, as most daemons of a large fleet do.
+ */
+const BROADCAST_RECIPIENT_TICK_MILLISECONDS = 200;
 
-/** A tick that comes later than this after the one before follows a pause of this process, in ms. */
+/** A longer gap between two ticks, in ms, means that this process was paused. */
 const PAUSE_MILLISECONDS = 600;
 
-/** Daemons that are asked about one that is not heard: one of them may be dead or cut off too. */
-const HELPERS = 3;
+/**
+ * Number of daemons that are asked about a suspected one; more than one, because one of them may be dead or cut off
+ * too.
+ */
+const CONSULTED_DAEMONS = 3;
 
-/** Between calls to a silent daemon, which is heard by itself once it is back unless its messages get lost; in ms. */
-const RECHECK_MILLISECONDS = 2_000;
+/**
+ * Interval between probes of an unresponsive daemon, in ms. Once it is back, its messages are received without a
+ * probe, unless they get lost.
+ */
+const REPROBE_MILLISECONDS = 2_000;
 
-/** A daemon that tells is heard at least this often; in ms. */
-const TELL_MILLISECONDS = 1_000;
+/** Longest interval between two broadcasts of a broadcaster, in ms. */
+const BROADCAST_MILLISECONDS = 1_000;
 
 /**
- * Between calls to those that tell, of a daemon that cannot read their messages, in ms: it has started while the store
- * was away, and would name the dead for as long as that lasts.
+ * Interval, in ms, between calls to the broadcasters by a daemon that cannot read their broadcasts. It started while
+ * the store was away, and would otherwise name dead daemons to callers until the store is back.
  */
 const PULL_MILLISECONDS = 500;
 
-/** Silent daemons in one message, which has to fit into a datagram of 1,400 bytes. */
-const MAXIMUM_TOLD = 320;
+/**
+ * Maximum number of unresponsive daemons in one broadcast, which has to fit into a datagram of 1,400 bytes.
+ */
+const MAXIMUM_BROADCAST_HASHES = 320;
 
 /** Options of {@link LivenessDecisions}. */
 export interface LivenessDecisionsOptions {
   /** This daemon's name. */
   daemon: string;
-  /** Silence from which on something is wrong, in ms: longer than any daemon is silent by itself. */
+  /**
+   * Silence after which a daemon is suspected, in ms; longer than any daemon's normal pause between messages.
+   */
   quietMilliseconds: () => number;
-  /** Whether this daemon can read others' messages: it knows the fleet's secret. */
+  /**
+   * Whether this daemon can read the messages of others, that is, whether it knows the fleet's secret.
+   */
   canHear: () => boolean;
-  /** Gives numbers from 0 up to 1. */
+  /** Returns numbers from 0 (inclusive) to 1 (exclusive). */
   random: () => number;
 }
 
 type Actions = LivenessAction[];
 
-/** The decisions of one daemon. */
+/** The failure detector of one daemon. */
 export class LivenessDecisions {
   private readonly options: LivenessDecisionsOptions;
 
   private readonly watchList = new WatchList();
 
-  private readonly outOfUse = new OutOfUse();
+  private readonly unavailable = new OutOfUse();
 
   private duties: LivenessDuties = {
     listed: [],
@@ -84,63 +102,69 @@
 
   private tickedAt = Number.NEGATIVE_INFINITY;
 
-  private toldAt = Number.NEGATIVE_INFINITY;
+  private broadcastAt = Number.NEGATIVE_INFINITY;
 
   private pulledAt = Number.NEGATIVE_INFINITY;
 
-  private nextTeller = 0;
+  private nextBroadcaster = 0;
 
-  /** When the latest call to the store was made that was answered quickly, monotonic ms. */
+  /**
+   * Start of the latest call to the store that was answered as quickly as a daemon would answer, in monotonic ms.
+   */
   private storeCalledAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * @param options - who this daemon is, and how patient it is.
+   * @param options - this daemon's name and the detector's thresholds.
    */
   constructor(options: LivenessDecisionsOptions) {
     this.options = options;
   }
 
-  /** @returns Until {@link tick} has to be called again, in ms. */
+  /** @returns Time until {@link tick} has to be called again, in ms. */
   get tickMilliseconds(): number {
-    return this.duties.tellers.length > 0 ? TOLD_TICK_MILLISECONDS : TICK_MILLISECONDS;
+    return this.duties.tellers.length > 0
+      ? BROADCAST_RECIPIENT_TICK_MILLISECONDS
+      : TICK_MILLISECONDS;
   }
 
-  /** @returns How often the set of daemons that are out of use has changed. */
+  /** @returns How often the set of unavailable daemons has changed. */
   get changes(): number {
-    return this.outOfUse.changes;
+    return this.unavailable.changes;
   }
 
   /**
-   * @param name - of a listed daemon.
-   * @returns Whether callers and other daemons should do without it.
+   * @param name - name of a listed daemon.
+   * @returns Whether callers and other daemons should avoid it.
    */
   isOut(name: string): boolean {
-    return this.outOfUse.all.has(name);
+    return this.unavailable.all.has(name);
   }
 
-  /** @returns Names of the listed daemons that are out of use. */
+  /** @returns Names of the listed daemons that are unavailable. */
   get outNames(): ReadonlySet<string> {
-    return this.outOfUse.all;
+    return this.unavailable.all;
   }
 
   /**
-   * @param duties - from now on.
+   * Replaces this daemon's duties.
+   *
+   * @param duties - the new duties.
    * @param now - monotonic milliseconds.
    */
   assign(duties: LivenessDuties, now: number): void {
     this.duties = duties;
-    this.outOfUse.touch();
+    this.unavailable.touch();
     const { daemon: own } = this.options;
     const watched = duties.watched.filter((name) => name !== own);
     this.watchList.assign({ listed: duties.listed, watched }, now);
   }
 
   /**
-   * A daemon has sent something, whatever it was.
+   * Records that a message of any kind has arrived from a daemon.
    *
-   * @param name - of the daemon.
+   * @param name - name of the sender.
    * @param now - monotonic milliseconds.
-   * @param isLeaving - whether it has said that it stops; `undefined` where it has said nothing about that.
+   * @param isLeaving - whether the sender has announced that it stops; `undefined` if the message does not say so.
    */
   heard(name: string, now: number, isLeaving?: boolean): void {
     const daemon = this.watchList.byName.get(name);
@@ -149,41 +173,48 @@
     const staysLeaving = daemon.phase === 'leaving' && isLeaving === undefined;
     const phase = isLeaving || staysLeaving ? 'leaving' : 'heard';
     if (daemon.phase === phase) return;
-    this.outOfUse.touch();
+    this.unavailable.touch();
     daemon.enter(phase, now);
-    if (phase === 'leaving') daemon.probeAt(now + RECHECK_MILLISECONDS);
+    if (phase === 'leaving') daemon.probeAt(now + REPROBE_MILLISECONDS);
   }
 
   /**
-   * @param teller - a daemon that watches all others.
-   * @param silent - hashes of those that it has found silent.
+   * Takes a broadcast of unresponsive daemons.
+   *
+   * @param broadcaster - name of the broadcaster, which watches all other daemons.
+   * @param silent - hashes of the names of the daemons that it found unresponsive.
    * @param now - monotonic milliseconds.
    */
-  takeTold(teller: string, silent: readonly number[], now: number): void {
-    this.heard(teller, now);
-    this.outOfUse.takeTold(teller, silent, now);
+  takeTold(broadcaster: string, silent: readonly number[], now: number): void {
+    this.heard(broadcaster, now);
+    this.unavailable.takeTold(broadcaster, silent, now);
   }
 
   /**
-   * @param calledAt - when a call to the store was made that was answered as quickly as a daemon would; monotonic ms.
+   * Records a call to the store that was answered as quickly as a daemon would answer.
+   *
+   * @param calledAt - start of the call, in monotonic ms.
    */
   storeAnswered(calledAt: number): void {
     this.storeCalledAt = calledAt;
   }
 
   /**
-   * The others have got another message of this daemon.
+   * Records that this daemon has sent another message to all others, which shows that it is alive and makes an empty
+   * broadcast unnecessary.
    *
    * @param now - monotonic milliseconds.
    */
   toldOtherwise(now: number): void {
-    if (this.outOfUse.all.size === 0) this.toldAt = now;
+    if (this.unavailable.all.size === 0) this.broadcastAt = now;
   }
 
   /**
-   * @param names - of daemons.
+   * Answers another daemon's question about suspected daemons.
+   *
+   * @param names - names of the daemons asked about.
    * @param now - monotonic milliseconds.
-   * @returns What another daemon is told of them.
+   * @returns This daemon's opinion of each.
    */
   opinionsOn(names: readonly string[], now: number): LivenessOpinions {
     const quiet = this.options.quietMilliseconds();
@@ -194,13 +225,18 @@
     return Object.fromEntries(opinions);
   }
 
-  /** @returns Hashes of those that this daemon has found silent itself; `undefined` where it tells nobody. */
+  /**
+   * @returns Hashes of the names of the daemons that this one found unresponsive itself; `undefined` if it is not a
+   * broadcaster.
+   */
   get toldSilences(): readonly number[] | undefined {
-    return this.duties.isTelling ? this.ownSilences() : undefined;
+    return this.duties.isTelling ? this.ownUnresponsiveHashes() : undefined;
   }
 
   /**
-   * @param opinions - what a daemon that was asked has said.
+   * Takes the answer of a daemon that was asked about suspected daemons.
+   *
+   * @param opinions - its opinions.
    * @param now - monotonic milliseconds.
    */
   takeOpinions(opinions: LivenessOpinions, now: number): void {
@@ -212,8 +248,10 @@
   }
 
   /**
-   * @param name - of a daemon that was called.
-   * @param outcome - how that ended.
+   * Takes the result of a probe.
+   *
+   * @param name - name of the probed daemon.
+   * @param outcome - how the probe ended.
    * @param now - monotonic milliseconds.
    */
   probeEnded(name: string, outcome: ProbeOutcome, now: number): void {
@@ -222,56 +260,64 @@
       return;
     }
     const daemon = this.watchList.byName.get(name);
-    if (daemon?.isOut) daemon.probeAt(now + RECHECK_MILLISECONDS);
-    if (daemon?.phase === 'probed') this.judge(daemon, outcome === 'refused', now);
+    if (daemon?.isOut) daemon.probeAt(now + REPROBE_MILLISECONDS);
+    if (daemon?.phase === 'probed') this.concludeProbe(daemon, outcome === 'refused', now);
   }
 
   /**
+   * Returns the actions that are due; to be called every {@link tickMilliseconds}.
+   *
    * @param now - monotonic milliseconds.
-   * @returns What is due.
+   * @returns The actions, in the order in which to carry them out.
    */
   tick(now: number): readonly LivenessAction[] {
-    this.forgivePause(now);
-    const isDeaf = this.duties.tellers.length > 0 && !this.options.canHear();
-    const calls = isDeaf
-      ? this.pull(now)
-      : this.askAbout(this.watchList.doubt(now, this.options.quietMilliseconds()), now);
-    const changed = this.update(now);
-    return [...calls, ...this.probesDue(now), ...changed, ...this.tell(now)];
+    this.discountPause(now);
+    const cannotRead = this.duties.tellers.length > 0 && !this.options.canHear();
+    const calls = cannotRead
+      ? this.pullFromBroadcasters(now)
+      : this.consult(this.watchList.doubt(now, this.options.quietMilliseconds()), now);
+    const changed = this.updateUnavailable(now);
+    return [...calls, ...this.probesDue(now), ...changed, ...this.broadcast(now)];
   }
 
-  /** Silence says nothing to a daemon that cannot hear: it asks those that tell, one after the other. */
-  private pull(now: number): Actions {
+  /**
+   * Calls the broadcasters one after the other. A daemon that cannot read messages cannot conclude anything from
+   * silence.
+   */
+  private pullFromBroadcasters(now: number): Actions {
     if (now - this.pulledAt < PULL_MILLISECONDS) return [];
     this.pulledAt = now;
-    this.nextTeller = (this.nextTeller + 1) % this.duties.tellers.length;
-    return [{ kind: 'probe', daemon: this.duties.tellers[this.nextTeller] ?? '' }];
+    this.nextBroadcaster = (this.nextBroadcaster + 1) % this.duties.tellers.length;
+    return [{ kind: 'probe', daemon: this.duties.tellers[this.nextBroadcaster] ?? '' }];
   }
 
-  private forgivePause(now: number): void {
+  private discountPause(now: number): void {
     const pause = now - this.tickedAt;
     this.tickedAt = now;
     const isPause = pause >= PAUSE_MILLISECONDS && Number.isFinite(pause);
     if (isPause) this.watchList.forgive(pause, now);
   }
 
-  /** One question names all of them: whoever loses power takes a whole data centre along. */
-  private askAbout(doubted: readonly WatchedDaemon[], now: number): Actions {
+  /**
+   * Asks about all suspected daemons in one question, because a power failure takes down a whole data centre at once.
+   */
+  private consult(doubted: readonly WatchedDaemon[], now: number): Actions {
     if (doubted.length === 0) return [];
     const daemons = doubted.map(({ name }) => name);
-    const helpers = this.helpers();
-    if (helpers.length > 0) return helpers.map((helper) => ({ kind: 'ask', helper, daemons }));
-    // Nobody is left to be asked.
-    for (const daemon of doubted) this.callNow(daemon, now);
+    const chooseHelpers = this.helpers();
+    if (chooseHelpers.length > 0)
+      return chooseHelpers.map((helper) => ({ kind: 'ask', helper, daemons }));
+    // No other daemon is left to ask.
+    for (const daemon of doubted) this.probeNow(daemon, now);
     return [];
   }
 
-  private callNow(daemon: WatchedDaemon, now: number): void {
+  private probeNow(daemon: WatchedDaemon, now: number): void {
     daemon.enter('probed', now);
     daemon.probeAt(now);
   }
 
-  /** @returns Some of those that watch the same daemons and that this one does not doubt. */
+  /** @returns Some daemons that watch the same ones as this daemon and that it does not suspect. */
   private helpers(): string[] {
     const { daemon: own, random } = this.options;
     const isCandidate = (name: string) => {
@@ -280,7 +326,7 @@
     };
     const candidates = this.duties.witnesses.filter(isCandidate);
     const chosen: string[] = [];
-    while (chosen.length < HELPERS && candidates.length > 0) {
+    while (chosen.length < CONSULTED_DAEMONS && candidates.length > 0) {
       const index = Math.floor(random() * candidates.length);
       chosen.push(...candidates.splice(index, 1));
     }
@@ -295,20 +341,20 @@
     }
     if (opinion !== 'silent') return;
     daemon.confirm();
-    if (daemon.phase === 'doubted') this.callNow(daemon, now);
+    if (daemon.phase === 'doubted') this.probeNow(daemon, now);
   }
 
-  private judge(daemon: WatchedDaemon, isRefused: boolean, now: number): void {
-    const isStoreNear = this.storeCalledAt > daemon.doubtedSince;
-    // Its own host says that nothing listens there: that needs no second witness.
-    if (!isRefused && !daemon.isConfirmed && !isStoreNear) {
-      // Nothing says whether the fault lies here; somebody may be there to be asked by now.
+  private concludeProbe(daemon: WatchedDaemon, isRefused: boolean, now: number): void {
+    const isStoreReachable = this.storeCalledAt > daemon.doubtedSince;
+    // If the daemon's own host reports that nothing listens there, no second opinion is needed.
+    if (!isRefused && !daemon.isConfirmed && !isStoreReachable) {
+      // The fault may still be on this side; by now another daemon may be available to ask.
       daemon.enter('doubted', now);
       return;
     }
-    this.outOfUse.touch();
+    this.unavailable.touch();
     daemon.enter('silent', now);
-    daemon.probeAt(now + RECHECK_MILLISECONDS);
+    daemon.probeAt(now + REPROBE_MILLISECONDS);
   }
 
   private probesDue(now: number): Actions {
@@ -316,25 +362,28 @@
     return due.map(({ name }) => ({ kind: 'probe', daemon: name }));
   }
 
-  private update(now: number): Actions {
+  private updateUnavailable(now: number): Actions {
     const { listed } = this.duties;
     const others = listed.filter((name) => name !== this.options.daemon);
     const quietMilliseconds = this.options.quietMilliseconds();
     const watched = this.watchList.byName;
-    const changed = this.outOfUse.update({ listed: others, watched, quietMilliseconds }, now);
-    if (changed.length > 0) this.toldAt = Number.NEGATIVE_INFINITY;
+    const changed = this.unavailable.update({ listed: others, watched, quietMilliseconds }, now);
+    if (changed.length > 0) this.broadcastAt = Number.NEGATIVE_INFINITY;
     return changed;
   }
 
-  private tell(now: number): Actions {
-    if (!this.duties.isTelling || now - this.toldAt < TELL_MILLISECONDS) return [];
-    this.toldAt = now;
-    return [{ kind: 'tell', silent: this.ownSilences() }];
+  private broadcast(now: number): Actions {
+    if (!this.duties.isTelling || now - this.broadcastAt < BROADCAST_MILLISECONDS) return [];
+    this.broadcastAt = now;
+    return [{ kind: 'tell', silent: this.ownUnresponsiveHashes() }];
   }
 
-  /** What others have told is not told again: two daemons would keep each other's word alive for good. */
-  private ownSilences(): readonly number[] {
+  /**
+   * Leaves out what other daemons broadcast: two broadcasters that repeated each other's lists would keep them alive
+   * for ever.
+   */
+  private ownUnresponsiveHashes(): readonly number[] {
     const own = this.watchList.all.filter(({ isOut }) => isOut);
-    return own.slice(0, MAXIMUM_TOLD).map(({ name }) => livenessHash(name));
+    return own.slice(0, MAXIMUM_BROADCAST_HASHES).map(({ name }) => livenessHash(name));
   }
 }
--- a/src/liveness/LivenessPeers.ts
+++ b/src/liveness/LivenessPeers.ts
@@ -1,8 +1,9 @@
 /**
- * Calls between daemons about who is alive: a probe of one, and the question what another one hears.
+ * Requests between daemons for the failure detector: a probe of one daemon, and a question about what it has heard of
+ * others.
  *
- * Calls go over connections, which stand a lost packet, and need no secret: a daemon that starts while the store is away
- * does not know the fleet's, and cannot be heard by its messages.
+ * Requests use TCP connections, which tolerate a lost packet, and need no secret: a daemon that starts while the
+ * store is away does not know the fleet's secret yet, so the others cannot read its datagrams.
  */
 import { Agent } from 'node:http';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -12,13 +13,17 @@
 import { askPeer } from '../sync/askPeer.js';
 import type { LivenessOpinions, ProbeResult } from './livenessTypes.js';
 
-/** Who this is; and with names in the body, what it hears of them. */
+/**
+ * Path of these requests. The answer holds the daemon's name and, for the names in the body, its opinions of them.
+ */
 export const LIVENESS_PATH = '/liveness';
 
-/** A daemon within a region answers in a few ms, a busy one in some tens; in ms. */
-const SILENCE_MILLISECONDS = 300;
+/**
+ * Timeout of a request, in ms: a daemon within a region answers in a few ms, a busy one in some tens.
+ */
+const ANSWER_TIMEOUT_MILLISECONDS = 300;
 
-/** The names of a fleet of thousands. */
+/** Maximum size of a question, in bytes; enough for the names of a fleet of thousands. */
 const MAXIMUM_QUESTION_BYTES = 131_072;
 
 const OK = 200;
@@ -39,9 +44,11 @@
   daemon: string;
   /** Whether this daemon is in a planned stop. */
   isLeaving: () => boolean;
-  /** What this daemon hears of others. */
+  /** Returns this daemon's opinions of the named daemons. */
   opinionsOn: (names: readonly string[]) => LivenessOpinions;
-  /** Hashes of those that this daemon has found silent, where it is one of those that tell the others. */
+  /**
+   * Hashes of the names of the daemons that this one found unresponsive; `undefined` if it is not a broadcaster.
+   */
   toldSilences: () => readonly number[] | undefined;
 }
 
@@ -49,25 +56,25 @@
   return (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
 }
 
-/** Asks, and answers. */
+/** Client and server side of these requests. */
 export class LivenessPeers {
   private readonly options: LivenessPeersOptions;
 
   private readonly agent = new Agent({ keepAlive: false });
 
   /**
-   * @param options - the daemon.
+   * @param options - this daemon's name and the source of its answers.
    */
   constructor(options: LivenessPeersOptions) {
     this.options = options;
   }
 
   /**
-   * Calls twice at the same time: the first packet of a call may be lost, and is sent again only a second later.
+   * Probes a daemon by two concurrent calls: if the first packet of a call is lost, it is resent only a second later.
    *
-   * @param name - of a daemon.
-   * @param address - for other daemons' questions.
-   * @returns How the calls ended; another daemon at its address is a refusal.
+   * @param name - name of the daemon.
+   * @param address - its address for requests of other daemons.
+   * @returns How the probe ended; an answer by a different daemon at that address counts as a refusal.
    */
   async probe(name: string, address: string): Promise<ProbeResult> {
     const results = await Promise.all([
@@ -83,30 +90,32 @@
       if (daemon !== name) return { outcome: 'refused' };
       return { outcome: isLeaving ? 'leaving' : 'answered', silent };
     } catch (error) {
-      // The failure is the answer to the probe.
+      // The failure is the result of the probe.
       return { outcome: isRefusal(error) ? 'refused' : 'timeout' };
     }
   }
 
   /**
-   * @param address - of the daemon that is asked.
-   * @param names - of the daemons that it is asked about.
-   * @returns What it hears of them; `undefined` where it does not answer.
+   * Asks a daemon for its opinions of others.
+   *
+   * @param address - address of the daemon that is asked.
+   * @param names - names of the daemons that it is asked about.
+   * @returns Its opinions; `undefined` if it does not answer.
    */
   async ask(address: string, names: readonly string[]): Promise<LivenessOpinions | undefined> {
     try {
       return (await this.call(address, names)).opinions;
     } catch {
-      // Others are asked then.
+      // The caller then asks other daemons.
       return undefined;
     }
   }
 
   /**
-   * Answers another daemon's question. Whoever asks learns no more than what the directory tells callers.
+   * Answers another daemon's question. The answer discloses no more than the directory tells callers.
    *
-   * @param request - a question at {@link LIVENESS_PATH}.
-   * @param response - to it.
+   * @param request - a request at {@link LIVENESS_PATH}.
+   * @param response - the response to write.
    */
   answer(request: IncomingMessage, response: ServerResponse): void {
     const chunks: Buffer[] = [];
@@ -139,7 +148,7 @@
     try {
       return questionSchema.parse(JSON.parse(text)).daemons;
     } catch {
-      // The asker is told so by the status.
+      // The response status reports the error to the sender.
       return undefined;
     }
   }
@@ -149,7 +158,7 @@
       address,
       path: LIVENESS_PATH,
       body: JSON.stringify({ daemons }),
-      silenceMilliseconds: SILENCE_MILLISECONDS,
+      silenceMilliseconds: ANSWER_TIMEOUT_MILLISECONDS,
       agent: this.agent,
     });
     return answerSchema.parse(JSON.parse(answer.toString()));
--- a/src/liveness/LivenessTask.ts
+++ b/src/liveness/LivenessTask.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out what the failure detector decides: calls other daemons, and tells them whom this one has found silent.
+ * Runs the failure detector: probes and asks other daemons, and broadcasts which ones this daemon found unresponsive.
  */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 
@@ -14,11 +14,13 @@
 import type { LivenessPeers } from './LivenessPeers.js';
 import type { LivenessAction, LivenessDuties } from './livenessTypes.js';
 
-/** From so many times the longest pause between two messages of a daemon on something is wrong. */
+/**
+ * A daemon is suspected after this multiple of the longest normal pause between two of its messages.
+ */
 const QUIET_FACTOR = 1.2;
 
-/** Names in one line of the log. */
-const MAXIMUM_NAMES = 12;
+/** Maximum number of daemon names in one log line. */
+const MAXIMUM_LOGGED_NAMES = 12;
 
 /** Options of a {@link LivenessTask}. */
 export interface LivenessTaskOptions {
@@ -28,17 +30,17 @@
   socket: FleetSocket;
   clock: Clock;
   log: Log;
-  /** Calls other daemons. */
+  /** Sends probes and questions to other daemons. */
   peers: LivenessPeers;
-  /** Whom this daemon watches, as things are now. */
+  /** Returns this daemon's current duties. */
   duties: () => LivenessDuties;
-  /** All other daemons. */
+  /** Returns the addresses of all other daemons. */
   others: () => readonly HostAndPort[];
-  /** Longest pause between two messages of a daemon, in ms. */
+  /** Longest normal pause between two messages of a daemon, in ms. */
   longestPauseMilliseconds: () => number;
 }
 
-/** Owns the timer and the calls under way. */
+/** Owns the tick timer and the pending requests. */
 export class LivenessTask {
   private readonly options: LivenessTaskOptions;
 
@@ -46,11 +48,13 @@
 
   private timer: NodeJS.Timeout | undefined;
 
-  /** How often the list and the set of those out of use had changed when the duties were assigned. */
-  private assignedAt = '';
+  /**
+   * Change counts of the daemon list and of the set of unavailable daemons when the duties were last assigned.
+   */
+  private assignedState = '';
 
   /**
-   * @param options - the daemon and its means.
+   * @param options - this daemon and what the detector depends on.
    */
   constructor(options: LivenessTaskOptions) {
     const { daemon, knowledge, longestPauseMilliseconds, socket } = options;
@@ -62,17 +66,17 @@
       quietMilliseconds: () => QUIET_FACTOR * longestPauseMilliseconds(),
     });
     socket.handle(MessageKind.SILENT_DAEMONS, (message) => {
-      const { daemon: teller, silent } = fromBinary(SilentDaemonsSchema, message);
-      if (teller !== daemon) this.decisions.takeTold(teller, silent, this.now);
+      const { daemon: broadcaster, silent } = fromBinary(SilentDaemonsSchema, message);
+      if (broadcaster !== daemon) this.decisions.takeTold(broadcaster, silent, this.now);
     });
   }
 
-  /** @returns How often it has changed who is out of use. */
+  /** @returns How often the set of unavailable daemons has changed. */
   get changes(): number {
     return this.decisions.changes;
   }
 
-  /** @returns How many listed daemons are out of use. */
+  /** @returns Number of listed daemons that are unavailable. */
   get outCount(): number {
     return this.decisions.outNames.size;
   }
@@ -81,7 +85,7 @@
     return this.options.clock.monotonicMilliseconds();
   }
 
-  /** Watches from now on. */
+  /** Starts the ticks. */
   start(): void {
     this.timer = setTimeout(() => {
       this.tick();
@@ -89,48 +93,55 @@
     }, this.decisions.tickMilliseconds);
   }
 
-  /** Watches no more. */
+  /** Stops the ticks. */
   stop(): void {
     clearTimeout(this.timer);
   }
 
   /**
-   * @param name - of a listed daemon.
-   * @returns Whether it has died, does not answer or stops.
+   * @param name - name of a listed daemon.
+   * @returns Whether it has died, does not answer, or is stopping.
    */
   isOut(name: string): boolean {
     return this.decisions.isOut(name);
   }
 
   /**
-   * @param name - of a daemon that has sent something.
-   * @param isLeaving - whether it stops; `undefined` where the message does not say so.
+   * Records that a message has arrived from a daemon.
+   *
+   * @param name - name of the sender.
+   * @param isLeaving - whether it is stopping; `undefined` if the message does not say so.
    */
   heard(name: string, isLeaving?: boolean): void {
     this.decisions.heard(name, this.now, isLeaving);
   }
 
-  /** All others have been sent another message. */
+  /** Records that another message was sent to all other daemons. */
   toldOtherwise(): void {
     this.decisions.toldOtherwise(this.now);
   }
 
   /**
-   * @param calledAt - when a call to the store was made that was answered as quickly as a daemon would, monotonic ms.
+   * Records a call to the store that was answered as quickly as a daemon would answer.
+   *
+   * @param calledAt - start of the call, in monotonic ms.
    */
   storeAnswered(calledAt: number): void {
     this.decisions.storeAnswered(calledAt);
   }
 
   /**
-   * @param names - of daemons that another one asks about.
-   * @returns The answer.
+   * @param names - names of daemons that another daemon asks about.
+   * @returns This daemon's opinions of them.
    */
   opinionsOn(names: readonly string[]) {
     return this.decisions.opinionsOn(names, this.now);
   }
 
-  /** @returns What those that call this daemon are told, where it is one of those that tell. */
+  /**
+   * @returns The unresponsive daemons that callers of this daemon are told of; `undefined` if it is not a
+   * broadcaster.
+   */
   get toldSilences(): readonly number[] | undefined {
     return this.decisions.toldSilences;
   }
@@ -143,8 +154,8 @@
   private assign(): void {
     const { knowledge, duties } = this.options;
     const state = `${knowledge.daemonChanges} ${this.decisions.changes}`;
-    if (state === this.assignedAt) return;
-    this.assignedAt = state;
+    if (state === this.assignedState) return;
+    this.assignedState = state;
     this.decisions.assign(duties(), this.now);
   }
 
@@ -157,7 +168,7 @@
         void this.ask(action.helper, action.daemons);
         break;
       case 'tell':
-        this.tell(action.silent);
+        this.broadcast(action.silent);
         break;
       default:
         this.logChange('daemonsOut', action.silent);
@@ -185,7 +196,7 @@
     if (opinions) this.decisions.takeOpinions(opinions, this.now);
   }
 
-  private tell(silent: readonly number[]): void {
+  private broadcast(silent: readonly number[]): void {
     const { daemon, socket, others } = this.options;
     const message = create(SilentDaemonsSchema, { daemon, silent: [...silent] });
     const bytes = toBinary(SilentDaemonsSchema, message);
@@ -194,7 +205,7 @@
 
   private logChange(event: keyof typeof livenessLogEvents, names: readonly string[]): void {
     if (names.length === 0) return;
-    const daemons = names.slice(0, MAXIMUM_NAMES);
+    const daemons = names.slice(0, MAXIMUM_LOGGED_NAMES);
     const out = this.outCount;
     this.options.log.write(livenessLogEvents[event], { daemons, count: names.length, out });
   }
--- a/src/liveness/OutOfUse.ts
+++ b/src/liveness/OutOfUse.ts
@@ -1,62 +1,66 @@
 /**
- * Which listed daemons are out of use, by what this daemon has found out and what others tell.
+ * The set of listed daemons that are unavailable, from this daemon's own findings and from the broadcasts of others.
  */
 import { ToldSilences } from './ToldSilences.js';
 import type { LivenessAction } from './livenessTypes.js';
 import type { WatchedDaemon } from './WatchedDaemon.js';
 
-/** What the set follows from. */
+/** What the set is computed from. */
 export interface OutOfUseQuestion {
   /** Names of the listed daemons. */
   readonly listed: readonly string[];
-  /** Those that this daemon watches itself, by name. */
+  /** The daemons that this one watches itself, by name. */
   readonly watched: ReadonlyMap<string, WatchedDaemon>;
-  /** Silence from which on something is wrong, in ms. */
+  /** Silence after which a daemon is suspected, in ms. */
   readonly quietMilliseconds: number;
 }
 
-/** Keeps the set, and says how it changes. */
+/** Maintains the set and reports how it changes. */
 export class OutOfUse {
-  /** How often it has changed. */
+  /** How often the set has changed. */
   changes = 0;
 
   private names: ReadonlySet<string> = new Set();
 
   private readonly told = new ToldSilences();
 
-  /** Whether something has happened that may change it. */
+  /** Whether something has happened that may change the set. */
   private isStale = false;
 
-  /** @returns Names of the daemons in it. */
+  /** @returns Names of the unavailable daemons. */
   get all(): ReadonlySet<string> {
     return this.names;
   }
 
-  /** What it follows from has changed. */
+  /** Marks the set as stale, so that the next update computes it anew. */
   touch(): void {
     this.isStale = true;
   }
 
   /**
-   * @param teller - a daemon that watches all others.
-   * @param silent - hashes of those that it has found silent.
+   * Takes a broadcast of unresponsive daemons.
+   *
+   * @param broadcaster - name of the broadcaster, which watches all other daemons.
+   * @param silent - hashes of the names of the daemons that it found unresponsive.
    * @param now - monotonic milliseconds.
    */
-  takeTold(teller: string, silent: readonly number[], now: number): void {
-    if (this.told.take(teller, silent, now)) this.isStale = true;
+  takeTold(broadcaster: string, silent: readonly number[], now: number): void {
+    if (this.told.take(broadcaster, silent, now)) this.isStale = true;
   }
 
   /**
-   * @param question - as things are now.
+   * Computes the set anew if it is stale.
+   *
+   * @param question - the current inputs.
    * @param now - monotonic milliseconds.
-   * @returns What has changed since the last time; nothing where nothing has.
+   * @returns A `changed` action with the difference since the last update; empty if there is none.
    */
   update(question: OutOfUseQuestion, now: number): LivenessAction[] {
     if (this.told.expire(now)) this.isStale = true;
     if (!this.isStale) return [];
     this.isStale = false;
     const before = this.names;
-    const names = question.listed.filter((name) => this.isOut(name, question, now));
+    const names = question.listed.filter((name) => this.isUnavailable(name, question, now));
     this.names = new Set(names);
     const silent = names.filter((name) => !before.has(name));
     const back = [...before].filter((name) => !this.names.has(name));
@@ -65,11 +69,11 @@
     return [{ kind: 'changed', silent, back }];
   }
 
-  private isOut(name: string, question: OutOfUseQuestion, now: number): boolean {
+  private isUnavailable(name: string, question: OutOfUseQuestion, now: number): boolean {
     const { watched, quietMilliseconds } = question;
     const daemon = watched.get(name);
     if (daemon?.isOut) return true;
-    // What this daemon hears itself goes before what others tell.
+    // What this daemon has heard itself takes precedence over broadcasts.
     return !daemon?.isHeard(now, quietMilliseconds) && this.told.has(name);
   }
 }
--- a/src/liveness/ToldSilences.ts
+++ b/src/liveness/ToldSilences.ts
@@ -1,67 +1,74 @@
 /**
- * Which daemons others have found silent: in a large fleet a few watch all, and tell everybody.
+ * Broadcasts of unresponsive daemons that other daemons have sent: in a large fleet a few daemons watch all others,
+ * and broadcast what they find to the rest.
  */
 import murmurhash from 'murmurhash';
 
 /**
- * A word that is not repeated for this long is forgotten, in ms: who told it may have died, or this daemon may be cut
- * off, and would send callers to too few.
+ * A broadcast that is not repeated for this long is forgotten, in ms. Its sender may have died, or this daemon may be
+ * cut off; with an outdated list it would send callers to too few daemons.
  */
-const LIFE_MILLISECONDS = 3_000;
+const EXPIRY_MILLISECONDS = 3_000;
 
-interface Told {
+interface Broadcast {
   readonly at: number;
   readonly hashes: ReadonlySet<number>;
 }
 
 /**
- * @param name - of a daemon.
- * @returns Stands for it in messages: three hundred daemons fit into one datagram.
+ * Hashes a daemon's name, so that three hundred daemons fit into one datagram.
+ *
+ * @param name - name of a daemon.
+ * @returns The hash that stands for it in messages.
  */
 export function livenessHash(name: string): number {
   return murmurhash.v3(name);
 }
 
-/** Keeps the latest word of each daemon that tells. */
+/** Keeps the latest broadcast of each broadcaster. */
 export class ToldSilences {
-  private readonly byTeller = new Map<string, Told>();
+  private readonly byBroadcaster = new Map<string, Broadcast>();
 
   /**
-   * @param teller - name of the daemon that tells.
-   * @param silent - hashes of all that it has found silent; those of its earlier words are good no more.
+   * Replaces the earlier broadcast of the same broadcaster.
+   *
+   * @param broadcaster - name of the broadcaster.
+   * @param silent - hashes of the names of all daemons that it found unresponsive.
    * @param now - monotonic milliseconds.
-   * @returns Whether this differs from its word before.
+   * @returns Whether the list differs from the earlier one.
    */
-  take(teller: string, silent: readonly number[], now: number): boolean {
-    const before = this.byTeller.get(teller)?.hashes ?? new Set();
-    this.byTeller.set(teller, { at: now, hashes: new Set(silent) });
+  take(broadcaster: string, silent: readonly number[], now: number): boolean {
+    const before = this.byBroadcaster.get(broadcaster)?.hashes ?? new Set();
+    this.byBroadcaster.set(broadcaster, { at: now, hashes: new Set(silent) });
     return before.size !== silent.length || silent.some((hash) => !before.has(hash));
   }
 
   /**
+   * Forgets broadcasts that are too old.
+   *
    * @param now - monotonic milliseconds.
-   * @returns Whether a word has been forgotten.
+   * @returns Whether any was forgotten.
    */
   expire(now: number): boolean {
-    const before = this.byTeller.size;
-    for (const [teller, { at }] of this.byTeller) {
-      if (now - at >= LIFE_MILLISECONDS) this.byTeller.delete(teller);
+    const before = this.byBroadcaster.size;
+    for (const [broadcaster, { at }] of this.byBroadcaster) {
+      if (now - at >= EXPIRY_MILLISECONDS) this.byBroadcaster.delete(broadcaster);
     }
-    return this.byTeller.size < before;
+    return this.byBroadcaster.size < before;
   }
 
   /**
-   * @param name - of a daemon.
-   * @returns Whether somebody has found it silent.
+   * @param name - name of a daemon.
+   * @returns Whether any broadcaster found it unresponsive.
    */
   has(name: string): boolean {
     if (this.isEmpty) return false;
     const hash = livenessHash(name);
-    return [...this.byTeller.values()].some(({ hashes }) => hashes.has(hash));
+    return [...this.byBroadcaster.values()].some(({ hashes }) => hashes.has(hash));
   }
 
-  /** Whether nobody has found anybody silent. */
+  /** Whether no broadcast names any daemon. */
   private get isEmpty(): boolean {
-    return [...this.byTeller.values()].every(({ hashes }) => hashes.size === 0);
+    return [...this.byBroadcaster.values()].every(({ hashes }) => hashes.size === 0);
   }
 }
--- a/src/liveness/WatchList.ts
+++ b/src/liveness/WatchList.ts
@@ -1,39 +1,47 @@
 /**
- * The daemons that this one watches.
+ * The daemons whose messages this daemon watches for.
  */
 import { WatchedDaemon } from './WatchedDaemon.js';
 
-/** Without a useful answer others are asked after this time, in ms. */
+/**
+ * If no useful answer about a suspected daemon has arrived after this time, others are asked again; in ms.
+ */
 const ASK_AGAIN_MILLISECONDS = 400;
 
-/** Calls at once that are not urgent: a daemon that is cut off would call the whole fleet again and again. */
-const CALLS_AT_ONCE = 8;
+/**
+ * Maximum number of non-urgent probes per tick. Without a limit, a daemon that is cut off would call the whole fleet
+ * again and again.
+ */
+const PROBES_AT_ONCE = 8;
 
-/** Whom to watch. */
+/** The daemons to watch. */
 export interface WatchAssignment {
   /** Names of all listed daemons. */
   readonly listed: readonly string[];
-  /** Names of those to watch, without this daemon. */
+  /** Names of the daemons to watch, without this one. */
   readonly watched: readonly string[];
 }
 
-/** Keeps them by name. */
+/** Holds the watched daemons by name. */
 export class WatchList {
   readonly byName = new Map<string, WatchedDaemon>();
 
-  /** @returns All of them. */
+  /** @returns All watched daemons. */
   get all(): WatchedDaemon[] {
     return [...this.byName.values()];
   }
 
   /**
-   * @param assignment - from now on.
+   * Replaces the daemons to watch.
+   *
+   * @param assignment - the new assignment.
    * @param now - monotonic milliseconds.
    */
   assign({ listed, watched }: WatchAssignment, now: number): void {
     const [isListed, isAssigned] = [new Set(listed), new Set(watched)];
     for (const { name, isOut } of this.all) {
-      // A silent daemon loses its place to the next one, and would come back to it if its silence were forgotten.
+      // An unresponsive daemon loses its duty to the next one. If its state were forgotten here, it would get the
+      // duty back at once.
       const isKept = isAssigned.has(name) || (isOut && isListed.has(name));
       if (!isKept) this.byName.delete(name);
     }
@@ -43,9 +51,10 @@
   }
 
   /**
-   * This daemon did not listen for a while: doubts begin anew, and verdicts are looked at again.
+   * Makes up for a pause of this process, in which it received nothing: suspicions start afresh, and unavailable
+   * daemons are probed again.
    *
-   * @param milliseconds - for how long.
+   * @param milliseconds - length of the pause.
    * @param now - monotonic milliseconds.
    */
   forgive(milliseconds: number, now: number): void {
@@ -57,9 +66,12 @@
   }
 
   /**
+   * Marks as suspected the daemons that have been silent for too long, and again those about which no useful answer
+   * has arrived.
+   *
    * @param now - monotonic milliseconds.
-   * @param quietMilliseconds - silence from which on something is wrong.
-   * @returns Those that others have to be asked about, which are doubted from now on.
+   * @param quietMilliseconds - silence after which a daemon is suspected, in ms.
+   * @returns The daemons about which others have to be asked.
    */
   doubt(now: number, quietMilliseconds: number): readonly WatchedDaemon[] {
     const due = this.all.filter((daemon) => {
@@ -71,13 +83,16 @@
   }
 
   /**
+   * Takes the daemons whose probes are due and marks their probes as pending.
+   *
    * @param now - monotonic milliseconds.
-   * @returns Those to call, whose calls are under way from now on.
+   * @returns The daemons to probe; those that another daemon has confirmed as silent come first and are not limited
+   * in number.
    */
   takeProbesDue(now: number): readonly WatchedDaemon[] {
     const due = this.all.filter((daemon) => daemon.isProbeDue(now));
     const isUrgent = ({ phase, isConfirmed }: WatchedDaemon) => phase === 'probed' && isConfirmed;
-    const others = due.filter((daemon) => !isUrgent(daemon)).slice(0, CALLS_AT_ONCE);
+    const others = due.filter((daemon) => !isUrgent(daemon)).slice(0, PROBES_AT_ONCE);
     const taken = [...due.filter(isUrgent), ...others];
     for (const daemon of taken) daemon.startProbe();
     return taken;
--- a/src/liveness/WatchedDaemon.ts
+++ b/src/liveness/WatchedDaemon.ts
@@ -1,40 +1,47 @@
 /**
- * What is known of the life of one daemon that this one watches.
+ * State of the failure detector for one watched daemon.
  */
 import type { LivenessOpinion } from './livenessTypes.js';
 
 /**
- * `heard`: it has sent something lately. `doubted`: it has not, and others are asked whether they hear it. `probed`:
- * others do not hear it either, or nobody can be asked; it is called. `silent`: it has answered no call. `leaving`: it
- * has said that it stops.
+ * Phase of a watched daemon:
+ * - `heard`: a message has arrived lately.
+ * - `doubted`: none has arrived for too long, and other daemons are asked whether they hear it.
+ * - `probed`: other daemons do not hear it either, or none can be asked; a probe is pending.
+ * - `silent`: unresponsive, no probe was answered.
+ * - `leaving`: the daemon has announced that it stops.
  */
 export type WatchPhase = 'heard' | 'doubted' | 'probed' | 'silent' | 'leaving';
 
-/** Moves from phase to phase; never by itself. */
+/** Holds the state; its owner makes all phase transitions. */
 export class WatchedDaemon {
   readonly name: string;
 
   phase: WatchPhase = 'heard';
 
-  /** When the phase began, monotonic ms. */
+  /** Start of the current phase, in monotonic ms. */
   phaseSince: number;
 
-  /** When it was doubted first since it was heard, monotonic ms. */
+  /**
+   * When it was first suspected since it was last heard, in monotonic ms; infinite if it is not suspected.
+   */
   doubtedSince = Number.POSITIVE_INFINITY;
 
-  /** Whether another daemon has said that it does not hear this one either. */
+  /** Whether another daemon has confirmed that it does not hear this one either. */
   isConfirmed = false;
 
-  /** When the next probe is due, monotonic ms; infinite while one is under way. */
+  /** When the next probe is due, in monotonic ms; infinite while one is pending. */
   private nextProbeAt = Number.POSITIVE_INFINITY;
 
   private heardAt = Number.NEGATIVE_INFINITY;
 
-  /** Silence counts from here on: before, this daemon was not listening. */
+  /**
+   * Silence counts only from this time on, because this process was not listening before; in monotonic ms.
+   */
   private countedFrom: number;
 
   /**
-   * @param name - of the daemon.
+   * @param name - name of the watched daemon.
    * @param now - monotonic milliseconds.
    */
   constructor(name: string, now: number) {
@@ -43,14 +50,14 @@
     this.countedFrom = now;
   }
 
-  /** @returns Whether it is of no use to callers. */
+  /** @returns Whether it is unavailable to callers. */
   get isOut(): boolean {
     return this.phase === 'silent' || this.phase === 'leaving';
   }
 
   /**
    * @param now - monotonic milliseconds.
-   * @returns For how long it has been silent while this daemon was listening, in ms.
+   * @returns How long it has been silent while this process was listening, in ms.
    */
   silence(now: number): number {
     return now - Math.max(this.heardAt, this.countedFrom);
@@ -58,15 +65,17 @@
 
   /**
    * @param now - monotonic milliseconds.
-   * @param quietMilliseconds - silence from which on something is wrong.
-   * @returns Whether it has been heard lately, here or by another daemon.
+   * @param quietMilliseconds - silence after which a daemon is suspected, in ms.
+   * @returns Whether it has been heard lately, by this daemon or by another one.
    */
   isHeard(now: number, quietMilliseconds: number): boolean {
     return now - this.heardAt < quietMilliseconds;
   }
 
   /**
-   * @param phase - from now on.
+   * Enters a phase.
+   *
+   * @param phase - the new phase.
    * @param now - monotonic milliseconds.
    */
   enter(phase: WatchPhase, now: number): void {
@@ -80,48 +89,50 @@
   }
 
   /**
-   * @param at - when it was heard, here or by another daemon; monotonic ms.
+   * Records that it was heard.
+   *
+   * @param at - when it was heard, by this daemon or by another one; in monotonic ms.
    */
   hearAt(at: number): void {
     this.heardAt = Math.max(this.heardAt, at);
   }
 
   /**
-   * This daemon did not listen for a while, which says nothing about the others.
+   * Excludes from its silence a time in which this process was not listening, which says nothing about other daemons.
    *
-   * @param milliseconds - for how long.
+   * @param milliseconds - length of that time.
    */
   forgive(milliseconds: number): void {
     this.countedFrom = Math.max(this.heardAt, this.countedFrom) + milliseconds;
   }
 
-  /** Another daemon does not hear it either. */
+  /** Records that another daemon does not hear it either. */
   confirm(): void {
     this.isConfirmed = true;
   }
 
-  /** @param at - when it is to be called next, monotonic ms. */
+  /** @param at - when the next probe is due, in monotonic ms. */
   probeAt(at: number): void {
     this.nextProbeAt = at;
   }
 
   /**
    * @param now - monotonic milliseconds.
-   * @returns Whether it is to be called.
+   * @returns Whether a probe is due.
    */
   isProbeDue(now: number): boolean {
     return now >= this.nextProbeAt;
   }
 
-  /** A probe is under way: none is due until it has ended. */
+  /** Marks a probe as pending; none is due until it has ended. */
   startProbe(): void {
     this.nextProbeAt = Number.POSITIVE_INFINITY;
   }
 
   /**
    * @param now - monotonic milliseconds.
-   * @param quietMilliseconds - silence from which on something is wrong.
-   * @returns What another daemon is told of it.
+   * @param quietMilliseconds - silence after which a daemon is suspected, in ms.
+   * @returns The opinion of it that is given to other daemons.
    */
   opinion(now: number, quietMilliseconds: number): LivenessOpinion {
     if (this.isHeard(now, quietMilliseconds)) return Math.round(now - this.heardAt);
