--- a/src/quarantine/CrashRecord.ts
+++ b/src/quarantine/CrashRecord.ts
@@ -1,21 +1,26 @@
 /**
- * The crashes of runners under one request, and whether they still count.
+ * Runner crashes that occurred while a given request was running there, and which of them still count against it.
  */
 import type { CrashNews, RequestStanding, RunnerCrash } from './quarantineTypes.js';
 
-/** Distinct crashes after which a request is sent to no more runners. */
+/** Number of distinct crashes after which a request is sent to no more runners. */
 const QUARANTINE_CRASHES = 3;
 
-/** Daemons see one crash this far apart at most; a runner needs longer to start again under the same life; in ms. */
+/**
+ * Two reports of the same incarnation at most this far apart are the same crash, in ms. Daemons notice one crash
+ * within this time; a runner needs longer to start again under the same incarnation name.
+ */
 const SAME_CRASH_MILLISECONDS = 1_000;
 
-/** Of more than these the oldest are forgotten. */
+/** Maximum number of crashes kept for a request; the oldest are dropped. */
 const MAXIMUM_CRASHES = 8;
 
-/** An answer just before a crash speaks for a request as one after it does; in ms. */
+/**
+ * An answer up to this long before a crash clears the request as an answer after the crash does; in ms.
+ */
 const TRUST_MILLISECONDS = 5_000;
 
-/** See the module's comment. */
+/** Crashes of one request; see the comment of the module. */
 export class CrashRecord {
   readonly digest: string;
 
@@ -24,32 +29,34 @@
   private clearedAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * @param digest - of the request.
+   * @param digest - digest of the request.
    */
   constructor(digest: string) {
     this.digest = digest;
   }
 
-  /** @returns Crashes since it was last cleared. */
+  /** @returns Crashes since the request was last cleared. */
   get counted(): readonly RunnerCrash[] {
     return this.crashes.filter(({ at }) => at > this.clearedAt);
   }
 
-  /** @returns What may be done with the request. */
+  /** @returns The request's state, from the number of crashes that count. */
   get standing(): RequestStanding {
     const { length } = this.counted;
     if (length >= QUARANTINE_CRASHES) return 'quarantined';
     return length > 0 ? 'suspect' : 'sound';
   }
 
-  /** @returns When the last thing was learnt of it, monotonic ms. */
+  /** @returns When the record last changed, in monotonic ms. */
   get touchedAt(): number {
     return Math.max(this.clearedAt, ...this.crashes.map(({ at }) => at));
   }
 
   /**
-   * @param crash - of a runner that had the request.
-   * @returns Whether it was not known.
+   * Adds a crash, or moves a known one to the earlier of its two times.
+   *
+   * @param crash - crash of a runner on which the request was running.
+   * @returns Whether the crash was unknown.
    */
   add(crash: RunnerCrash): boolean {
     const known = this.crashes.findIndex(
@@ -67,8 +74,10 @@
   }
 
   /**
-   * @param at - when the request was answered or released, monotonic ms.
-   * @returns Whether that changes which crashes count.
+   * Stops counting crashes up to a point in time.
+   *
+   * @param at - when the request was answered or released, in monotonic ms.
+   * @returns Whether this changes which crashes count.
    */
   clear(at: number): boolean {
     const before = this.counted.length;
@@ -77,15 +86,17 @@
   }
 
   /**
-   * @param answeredAt - when a runner last answered the request, monotonic ms.
-   * @returns Whether that changes which crashes count.
+   * Stops counting crashes before an answer, and those shortly after it.
+   *
+   * @param answeredAt - when a runner last answered the request, in monotonic ms.
+   * @returns Whether this changes which crashes count.
    */
   answered(answeredAt: number): boolean {
     const excused = this.counted.filter(({ at }) => at <= answeredAt + TRUST_MILLISECONDS);
     return this.clear(Math.max(answeredAt, ...excused.map(({ at }) => at)));
   }
 
-  /** @returns What other daemons are told. */
+  /** @returns The form in which the record is sent to other daemons. */
   toNews(): CrashNews {
     const { digest, crashes, clearedAt } = this;
     const isCleared = Number.isFinite(clearedAt);
--- a/src/quarantine/CrashRelay.ts
+++ b/src/quarantine/CrashRelay.ts
@@ -1,9 +1,9 @@
 /**
- * Tells other daemons of crashes, and takes what they tell.
+ * Exchanges reports of runner crashes with the other daemons.
  *
- * In a small fleet all tell all. In a large one each daemon reports to those that hear all, and the first of these tell
- * everybody what more than one crash speaks against. Datagrams get lost, so that each is repeated, and daemons compare
- * what they keep from runners now and then.
+ * In a small fleet every daemon broadcasts to all. In a large one each daemon reports to a few that receive all
+ * reports, and the first of these broadcast the requests with more than one crash. Datagrams get lost, so each report
+ * is sent several times, and daemons compare their sets of quarantined requests at intervals (anti-entropy).
  */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 
@@ -24,34 +24,36 @@
 export interface CrashRelayOptions {
   /** This daemon's name. */
   daemon: string;
-  /** Where it takes datagrams. */
+  /** Address at which this daemon receives datagrams. */
   ownAddress: string;
   socket: Pick<FleetSocket, 'handle' | 'send'>;
   decisions: QuarantineDecisions;
-  /** Takes what another daemon tells. */
+  /** Merges the crash reports of another daemon. */
   learn: (news: readonly CrashNews[], teller: string) => void;
   clock: Clock;
-  /** Those that hear all crashes. */
+  /** Returns the daemons that receive all crash reports. */
   reportTo: () => readonly HostAndPort[];
-  /** Those that this daemon tells what others have reported. */
+  /** Returns the daemons to which this one broadcasts the reports of others. */
   tellTo: () => readonly HostAndPort[];
   /** Whether this daemon knows the secret of the fleet. */
   canTalk: () => boolean;
-  /** Asks another daemon over a connection, while this one cannot read messages. */
+  /**
+   * Fetches the reports of another daemon over a connection; used while this daemon cannot read datagrams.
+   */
   pull: () => void;
-  /** Calls later; replaced by tests. */
+  /** Schedules a call; replaced in tests. */
   later?: Later;
-  /** Gives numbers from 0 up to 1. */
+  /** Returns numbers from 0 (inclusive) to 1 (exclusive). */
   random?: () => number;
 }
 
-/** Records of four crashes in a datagram of 1,400 bytes. */
+/** Maximum number of records in a datagram of 1,400 bytes, with four crashes each. */
 const RECORDS_IN_DATAGRAM = 16;
 
-/** Datagrams to each recipient at once; queues on the way drop what comes faster. */
+/** Maximum number of datagrams sent to a recipient at once; network queues drop larger bursts. */
 const DATAGRAMS_AT_ONCE = 3;
 
-/** Between comparisons with another daemon, in ms. */
+/** Interval between comparisons with another daemon, in ms. */
 const EXCHANGE_MILLISECONDS = 1_000;
 
 /** Owns the timers. */
@@ -63,12 +65,12 @@
   private isStopped = false;
 
   /**
-   * @param options - decisions, and who is told.
+   * @param options - the decisions, and the recipients of reports.
    */
   constructor(options: CrashRelayOptions) {
     this.options = { later: setTimeout, random: Math.random, ...options };
     this.news = new RepeatedNews({
-      send: (news) => this.sendNews(news),
+      send: (news) => this.sendPending(news),
       later: this.options.later,
     });
     options.socket.handle(MessageKind.CRASH_REPORT, (message) =>
@@ -76,29 +78,29 @@
     );
   }
 
-  /** Compares with others from now on. */
+  /** Starts the periodic comparisons. */
   start(): void {
     this.options.later(() => {
       if (this.isStopped) return;
-      this.exchange();
+      this.compareWithPeer();
       this.start();
     }, EXCHANGE_MILLISECONDS);
   }
 
-  /** Tells and compares no more. */
+  /** Stops sending and comparing. */
   stop(): void {
     this.isStopped = true;
     this.news.stop();
   }
 
-  /** Tells others what has changed. */
+  /** Sends the records that have changed to other daemons. */
   tellChanges(): void {
     for (const [digest, source] of this.options.decisions.takeChanged()) {
       this.news.add({ key: digest, isSeen: source === 'seen' });
     }
   }
 
-  private sendNews(waiting: readonly WaitingNews[]): void {
+  private sendPending(waiting: readonly WaitingNews[]): void {
     const { decisions, reportTo, tellTo } = this.options;
     const seen = waiting.filter(({ isSeen }) => isSeen).map(({ key }) => decisions.newsOf(key));
     const known = waiting.map(({ key }) => decisions.newsOf(key));
@@ -145,8 +147,11 @@
     this.send(decisions.notable(), [parseAddress(answerTo)]);
   }
 
-  /** One that has just started, was cut off or stood still learns what it has missed. */
-  private exchange(): void {
+  /**
+   * Compares the quarantined requests with those of another daemon, so that a daemon that has just started, was cut
+   * off or was paused receives what it has missed.
+   */
+  private compareWithPeer(): void {
     const { decisions, clock, canTalk, pull, reportTo, random, ownAddress } = this.options;
     decisions.expire(clock.monotonicMilliseconds());
     if (!canTalk()) {
--- a/src/quarantine/CrashWatch.spec.ts
+++ b/src/quarantine/CrashWatch.spec.ts
@@ -42,7 +42,7 @@
     if (runner) watch.broke(runner, { digest, startedAt });
   }
 
-  it('takes one that refuses connections for crashed, with all that broke off, the latest first', () => {
+  it('reports a crash of a runner that refuses connections, with all interrupted requests, the latest first', () => {
     breakOff('a', 5);
     breakOff('b', 7);
     probes[0]?.('refused');
@@ -51,7 +51,7 @@
     expect([probes.length, counted]).toEqual([1, 1]);
   });
 
-  it('does not take one that resets connections, or is behind a cut, for crashed', () => {
+  it('reports no crash of a runner that resets connections or is partitioned', () => {
     for (const result of ['accepted', 'no_answer'] as const) {
       breakOff('a');
       probes.shift()?.(result);
@@ -62,7 +62,7 @@
     expect([crashes, probes.length, later.length]).toEqual([[], 0, 0]);
   });
 
-  it('takes one that is born anew for crashed', () => {
+  it('reports a crash of a runner that appears under a new incarnation', () => {
     breakOff('a');
     probes[0]?.('accepted');
     runners.put({ ...TEST_RUNNER, life: 'runner-1@2' });
@@ -71,7 +71,7 @@
     expect(crashes).toEqual(['runner-1 10000 a']);
   });
 
-  it('takes one that is born anew within two seconds for crashed, though its address took connections', () => {
+  it('reports a crash of a runner with a new incarnation within two seconds, though its address accepted connections', () => {
     breakOff('a');
     probes[0]?.('accepted');
     later[0]?.();
@@ -81,7 +81,7 @@
     expect(crashes).toEqual(['runner-1 10000 a']);
   });
 
-  it('takes one that refuses another request soon after for crashed', () => {
+  it('reports a crash of a runner that refuses another request soon after', () => {
     breakOff('a');
     probes[0]?.('no_answer');
     const runner = runners.get(TEST_RUNNER.id);
@@ -89,7 +89,7 @@
     expect(crashes).toEqual(['runner-1 10000 a']);
   });
 
-  it('puts a crash to the account of a request whose caller has left just before', () => {
+  it('counts a crash against a request whose caller disconnected just before', () => {
     const runner = runners.get(TEST_RUNNER.id);
     if (!runner) return;
     watch.abandoned(runner, { digest: 'a', startedAt: 1 });
@@ -101,20 +101,20 @@
     expect(crashes).toEqual(['runner-1 10000 a']);
   });
 
-  it('takes one in an evacuated data centre for crashed: it goes on with what it has', () => {
+  it('reports a crash of a runner in an evacuated data centre, which finishes its remaining requests', () => {
     runners.setEvacuated(new Set([TEST_RUNNER.dataCentre]));
     breakOff('a');
     probes[0]?.('refused');
     expect(crashes).toEqual(['runner-1 10000 a']);
   });
 
-  it('does not take one that leaves for crashed', () => {
+  it('reports no crash of a draining runner', () => {
     runners.put({ ...TEST_RUNNER, state: 'draining' });
     breakOff('a');
     expect(probes.length).toEqual(0);
   });
 
-  it('does not put what broke off later to the account of an earlier crash', () => {
+  it('does not count an earlier crash against a request interrupted later', () => {
     breakOff('a');
     probes[0]?.('refused');
     clock.advance(2_000);
--- a/src/quarantine/CrashWatch.ts
+++ b/src/quarantine/CrashWatch.ts
@@ -1,6 +1,7 @@
 /**
- * Finds out whether a runner has crashed, from requests that broke off there: one that lives accepts connections after
- * it has reset some, one behind a cut says nothing, and one that has crashed refuses them or is born anew.
+ * Detects runner crashes from requests that were interrupted there. A running runner that has only reset some
+ * connections accepts new ones, and a runner behind a network partition does not answer. A crashed runner refuses
+ * connections, or appears under a new incarnation.
  */
 import murmurhash from 'murmurhash';
 
@@ -11,17 +12,17 @@
 import type { Clock } from '../time/Clock.js';
 import type { RunnerCrash } from './quarantineTypes.js';
 
-/** A runner's crash, or requests that broke off with it and were not known when it was told first. */
+/** A runner's crash, or further requests interrupted by a crash that was already reported. */
 export interface SeenCrash {
   readonly runner: Runner;
   readonly crash: RunnerCrash;
-  /** Of the requests, the one that began last first. */
+  /** Digests of the interrupted requests, the one that began last first. */
   readonly digests: readonly string[];
-  /** Whether this crash is told for the first time. */
+  /** Whether this crash is reported for the first time. */
   readonly isFirst: boolean;
 }
 
-/** Told of crashes. */
+/** Called for each detected crash. */
 export type CrashListener = (seen: SeenCrash) => void;
 
 /** Options of a {@link CrashWatch}. */
@@ -29,38 +30,41 @@
   runners: Pick<RunnerTable, 'get' | 'ofLife' | 'obstacleOf' | 'takesNewWork'>;
   clock: Clock;
   onCrash: CrashListener;
-  /** Asks whether a runner accepts connections; replaced by tests. */
+  /** Checks whether a runner accepts connections; replaced in tests. */
   probe?: (runner: Runner, done: (result: ProbeResult) => void) => void;
-  /** Calls later; replaced by tests. */
+  /** Schedules a call; replaced in tests. */
   later?: (call: () => void, milliseconds: number) => unknown;
 }
 
-/** A request that broke off. */
+/** A request that was interrupted at a runner. */
 export interface BrokenRequest {
   readonly digest: string;
-  /** When it was sent to the runner, monotonic ms. */
+  /** When it was sent to the runner, in monotonic ms. */
   readonly startedAt: number;
 }
 
-/** A runner that accepts connections is asked once more after this time: its process may have been ending; in ms. */
-const SECOND_LOOK_MILLISECONDS = 250;
+/**
+ * A runner that accepts connections is probed again after this time, in ms, because its process may still have been
+ * ending.
+ */
+const SECOND_PROBE_MILLISECONDS = 250;
 
-/** What breaks off and what a runner says after this time belongs to another cause, in ms. */
+/** Interruptions, refusals and restarts after this time belong to another cause; in ms. */
 const CASE_MILLISECONDS = 2_000;
 
-/** Runners at which requests were given up lately. */
-const MAXIMUM_ABANDONED = 256;
+/** Maximum number of runners for which recently abandoned requests are kept. */
+const MAXIMUM_ABANDONED_RUNNERS = 256;
 
-/** A runner at which requests have broken off. */
+/** A runner at which requests were interrupted, and whether it is known to have crashed. */
 class CrashCase {
   readonly runner: Runner;
 
-  /** When the first request broke off, monotonic ms. */
+  /** When the first request was interrupted, in monotonic ms. */
   readonly at: number;
 
   isCrash = false;
 
-  private isTold = false;
+  private isReported = false;
 
   private requests: BrokenRequest[] = [];
 
@@ -73,21 +77,21 @@
     this.requests.push(request);
   }
 
-  /** @returns Whether this is news. */
+  /** @returns Whether the crash was not confirmed before. */
   confirm(): boolean {
-    const isNews = !this.isCrash;
+    const isNew = !this.isCrash;
     this.isCrash = true;
-    return isNews;
+    return isNew;
   }
 
-  /** @returns Whether it was not told before. */
-  markTold(): boolean {
-    const isFirst = !this.isTold;
-    this.isTold = true;
+  /** @returns Whether the crash was not reported before. */
+  markReported(): boolean {
+    const isFirst = !this.isReported;
+    this.isReported = true;
     return isFirst;
   }
 
-  /** @returns Those that have not been taken yet, the one that began last first. */
+  /** @returns The requests that have not been taken yet, the one that began last first. */
   takeRequests(): BrokenRequest[] {
     const latestFirst = this.requests.sort((one, other) => other.startedAt - one.startedAt);
     this.requests = [];
@@ -101,47 +105,56 @@
 
   private readonly cases = new Map<string, CrashCase>();
 
-  /** By life, requests that their daemon gave up there lately: what they began may still crash the runner. */
+  /**
+   * Requests that this daemon abandoned lately, by incarnation of the runner: the work that they began there may
+   * still crash the runner.
+   */
   private readonly abandonedRequests = new Map<string, CrashCase>();
 
   /**
-   * @param options - the runners, and who is told.
+   * @param options - the runners, and the listener for crashes.
    */
   constructor(options: CrashWatchOptions) {
     this.options = { probe: probeRunner, later: setTimeout, ...options };
   }
 
   /**
-   * @param runner - at which a request broke off.
-   * @param request - that did.
+   * Records a request that was interrupted, and probes the runner.
+   *
+   * @param runner - the runner on which it was running.
+   * @param request - the interrupted request.
    */
   broke(runner: Runner, request: BrokenRequest): void {
     if (this.joinCase(runner, request)) return;
-    if (!this.shouldLive(runner)) return;
+    if (!this.shouldBeRunning(runner)) return;
     const opened = this.open(runner);
     opened.add(request);
-    this.look(opened, () => {
+    this.examine(opened, () => {
       this.options.later(
-        () => this.look(opened, () => this.closeLater(opened)),
-        SECOND_LOOK_MILLISECONDS,
+        () => this.examine(opened, () => this.closeLater(opened)),
+        SECOND_PROBE_MILLISECONDS,
       );
     });
   }
 
   /**
-   * @param runner - whose host has refused a connection.
+   * Records that a runner's host has refused a connection, which confirms an open case.
+   *
+   * @param runner - the runner.
    */
   refused(runner: Runner): void {
     const known = this.caseOf(runner);
     if (known) this.confirm(known);
-    else if (this.recentOf(this.abandonedRequests, runner) && this.shouldLive(runner)) {
+    else if (this.recentOf(this.abandonedRequests, runner) && this.shouldBeRunning(runner)) {
       this.confirm(this.open(runner));
     }
   }
 
   /**
-   * @param runner - at which a request was broken off because its caller has left or its time is over.
-   * @param request - that was.
+   * Records a request that was aborted because its caller has disconnected or its deadline has passed.
+   *
+   * @param runner - the runner on which it was running.
+   * @param request - the aborted request.
    */
   abandoned(runner: Runner, request: BrokenRequest): void {
     if (this.joinCase(runner, request)) return;
@@ -153,10 +166,11 @@
     this.abandonedRequests.delete(life);
     this.abandonedRequests.set(life, kept);
     const [oldest = life] = this.abandonedRequests.keys();
-    if (this.abandonedRequests.size > MAXIMUM_ABANDONED) this.abandonedRequests.delete(oldest);
+    if (this.abandonedRequests.size > MAXIMUM_ABANDONED_RUNNERS)
+      this.abandonedRequests.delete(oldest);
   }
 
-  /** @returns Whether there is an open case of the runner, which has the request now. */
+  /** @returns Whether the runner has an open case, to which the request was added. */
   private joinCase(runner: Runner, request: BrokenRequest): boolean {
     const known = this.caseOf(runner);
     if (!known) return false;
@@ -167,8 +181,8 @@
 
   private open(runner: Runner): CrashCase {
     const opened = new CrashCase(runner, this.options.clock.monotonicMilliseconds());
-    const given = this.recentOf(this.abandonedRequests, runner)?.takeRequests() ?? [];
-    for (const request of given) opened.add(request);
+    const abandonedBefore = this.recentOf(this.abandonedRequests, runner)?.takeRequests() ?? [];
+    for (const request of abandonedBefore) opened.add(request);
     this.abandonedRequests.delete(runner.entry.life);
     this.cases.set(runner.entry.life, opened);
     return opened;
@@ -186,21 +200,23 @@
     return undefined;
   }
 
-  /** One that leaves ends by itself, and breaks off what it still has. */
-  private shouldLive(runner: Runner): boolean {
+  /**
+   * A draining runner ends by itself, and its remaining requests are interrupted without a crash.
+   */
+  private shouldBeRunning(runner: Runner): boolean {
     const { runners } = this.options;
     if (runners.ofLife(runner.entry.life) !== runner) return false;
     return runners.takesNewWork(runner) || runners.obstacleOf(runner.entry) === 'evacuated';
   }
 
-  private look(examined: CrashCase, onAlive: () => void): void {
+  private examine(examined: CrashCase, onAlive: () => void): void {
     this.options.probe(examined.runner, (result) => {
-      if (result === 'refused' || this.isBornAnew(examined)) this.confirm(examined);
+      if (result === 'refused' || this.hasRestarted(examined)) this.confirm(examined);
       else onAlive();
     });
   }
 
-  private isBornAnew({ runner }: CrashCase): boolean {
+  private hasRestarted({ runner }: CrashCase): boolean {
     const { id, life } = runner.entry;
     return (this.options.runners.get(id)?.entry.life ?? life) !== life;
   }
@@ -215,7 +231,7 @@
     const { life } = ended.runner.entry;
     this.options.later(() => {
       if (this.cases.get(life) === ended) this.cases.delete(life);
-      if (this.isBornAnew(ended) && ended.confirm()) this.report(ended);
+      if (this.hasRestarted(ended) && ended.confirm()) this.report(ended);
     }, CASE_MILLISECONDS);
   }
 
@@ -223,6 +239,6 @@
     const { runner, at } = confirmed;
     const crash = { life: murmurhash.v3(runner.entry.life), at };
     const digests = confirmed.takeRequests().map(({ digest }) => digest);
-    this.options.onCrash({ runner, crash, digests, isFirst: confirmed.markTold() });
+    this.options.onCrash({ runner, crash, digests, isFirst: confirmed.markReported() });
   }
 }
--- a/src/quarantine/QuarantineDecisions.spec.ts
+++ b/src/quarantine/QuarantineDecisions.spec.ts
@@ -22,7 +22,7 @@
     for (const life of [1, 2, 3]) crash(life, life * 100);
   }
 
-  it('quarantines a request under which three lives have ended', () => {
+  it('quarantines a request after crashes of three incarnations that ran it', () => {
     crash(1, 100);
     crash(2, 200);
     expect(decisions.standingOf(DIGEST)).toEqual('suspect');
@@ -30,7 +30,7 @@
     expect(decisions.standingOf(DIGEST)).toEqual('quarantined');
   });
 
-  it('counts one crash once that several daemons have seen, and a second one under the same life', () => {
+  it('counts a crash reported by several daemons once, and a later one of the same incarnation again', () => {
     crash(1, 100);
     decisions.merge(
       [{ digest: DIGEST, crashes: [{ life: 1, at: 140 }], clearedAt: undefined }],
@@ -50,7 +50,7 @@
     expect(decisions.standingOf(DIGEST)).toEqual('sound');
   });
 
-  it('trusts a request that was answered just before, and tells those that do not know of it', () => {
+  it('clears a request that was answered just before a reported crash, and reports that to other daemons', () => {
     decisions.answered(DIGEST, 50);
     decisions.merge(
       [{ digest: DIGEST, crashes: [{ life: 1, at: 100 }], clearedAt: undefined }],
@@ -66,7 +66,7 @@
     expect(decisions.standingOf(DIGEST)).toEqual('quarantined');
   });
 
-  it('quarantines a request that was cleared of many crashes before', () => {
+  it('quarantines a request although many earlier crashes were cleared', () => {
     for (let life = 1; life <= 20; life += 1) {
       crash(life, life * 10_000);
       decisions.answered(DIGEST, life * 10_000 + 100);
@@ -75,7 +75,7 @@
     expect(decisions.standingOf(DIGEST)).toEqual('quarantined');
   });
 
-  it('keeps it for a day, and then lets it try again', () => {
+  it('keeps a request quarantined for a day after the last crash', () => {
     crashThree();
     expect(decisions.remainingMilliseconds(DIGEST, 1_300)).toEqual(DAY_MILLISECONDS - 1_000);
     decisions.expire(300 + DAY_MILLISECONDS - 1);
@@ -84,7 +84,7 @@
     expect(decisions.standingOf(DIGEST)).toEqual('sound');
   });
 
-  it('keeps those with the most crashes where it cannot keep all', () => {
+  it('keeps the requests with the most crashes when it reaches the maximum number of records', () => {
     crashThree();
     for (let life = 10; life < 210; life += 1) {
       const neighbours = Array.from({ length: 50 }, (_, index) =>
--- a/src/quarantine/QuarantineDecisions.ts
+++ b/src/quarantine/QuarantineDecisions.ts
@@ -1,8 +1,9 @@
 /**
- * Decides which requests are sent to no more runners because those that ran them have crashed.
+ * Decides which requests are sent to no more runners because the runners that ran them have crashed.
  *
- * A crash speaks against all that ran there. A request is told from its neighbours by the number of runners that ended
- * under it without any that has answered it: neighbours are answered by the next runner.
+ * A crash counts against all requests that were running there. The one that causes crashes is told from the others by
+ * the number of runners that crashed while running it before any runner answered it; the others are answered by the
+ * next runner.
  */
 import murmurhash from 'murmurhash';
 
@@ -10,39 +11,44 @@
 import type { CrashNews, RequestStanding, RunnerCrash } from './quarantineTypes.js';
 import { RecentAnswers } from './RecentAnswers.js';
 
-/** A request in quarantine may try again after this time, in ms. */
+/** Time after the last crash at which a quarantined request may be tried again, in ms. */
 export const QUARANTINE_MILLISECONDS = 86_400_000;
 
-/** A crash that no other one follows is forgotten after this time, in ms. */
+/** Time after which the crashes of a request that is not quarantined are forgotten, in ms. */
 const SUSPICION_MILLISECONDS = 3_600_000;
 
-/** Requests that something is known of; those with the fewest crashes go first. */
+/** Maximum number of records; those with the fewest crashes are dropped first. */
 const MAXIMUM_RECORDS = 1_024;
 
-/** Requests that one crash makes suspect: of those with as many crashes the ones that began last. */
+/**
+ * Maximum number of requests that one crash makes suspect; among those with equal numbers of crashes, the ones that
+ * began last are chosen.
+ */
 const MAXIMUM_SUSPECTS = 32;
 
-/** From this many crashes on a request is worth telling to daemons that have not seen any of them. */
-const TOLD_CRASHES = 2;
+/**
+ * Number of crashes from which on a request is broadcast to daemons that have observed none of them.
+ */
+const MINIMUM_BROADCAST_CRASHES = 2;
 
 /**
- * @param news - of a request.
- * @returns Whether daemons that have seen none of the crashes should know it.
+ * @param news - crashes of a request.
+ * @returns Whether daemons that have observed none of the crashes should know of them.
  */
 export function isNotable({ crashes }: CrashNews): boolean {
-  return crashes.length >= TOLD_CRASHES;
+  return crashes.length >= MINIMUM_BROADCAST_CRASHES;
 }
 
 /**
- * @param news - of requests.
- * @returns The same for the same requests.
+ * @param news - crashes of several requests.
+ * @returns A hash of the digests; equal for equal sets of requests.
  */
 export function hashOfRequests(news: readonly CrashNews[]): number {
   const digests = news.map(({ digest }) => digest).sort();
   return murmurhash.v3(digests.join());
 }
 
-/** Hears of requests whose standing changes. */
+/** Called when the state of a request changes. */
 export type StandingListener = (digest: string, before: RequestStanding) => void;
 
 /** Options of a {@link QuarantineDecisions}. */
@@ -50,7 +56,7 @@
   onStanding?: StandingListener;
 }
 
-/** Holds the records. */
+/** Holds the crash records. */
 export class QuarantineDecisions {
   private readonly records = new Map<string, CrashRecord>();
 
@@ -58,49 +64,54 @@
 
   private readonly onStanding: StandingListener;
 
-  private keptHash: number | undefined;
+  private cachedHash: number | undefined;
 
-  /** Digests of records that have changed since they were last taken, by whether this daemon saw the cause itself. */
+  /**
+   * Digests of records that have changed since they were last taken; `seen` if this daemon observed the cause itself,
+   * `told` if another daemon reported it.
+   */
   private changed = new Map<string, 'seen' | 'told'>();
 
   /**
-   * @param options - who hears of changes.
+   * @param options - the listener for changes.
    */
   constructor({ onStanding = () => undefined }: QuarantineDecisionsOptions = {}) {
     this.onStanding = onStanding;
   }
 
-  /** @returns How many requests are in quarantine. */
+  /** @returns Number of quarantined requests. */
   get quarantinedCount(): number {
     return this.quarantined().length;
   }
 
-  /** @returns The same for two daemons that have the same requests in quarantine. */
+  /**
+   * @returns A hash of the quarantined requests; equal for daemons that have quarantined the same ones.
+   */
   get quarantinedHash(): number {
-    this.keptHash ??= hashOfRequests(this.quarantined());
-    return this.keptHash;
+    this.cachedHash ??= hashOfRequests(this.quarantined());
+    return this.cachedHash;
   }
 
   /**
-   * @param digest - of a request.
-   * @returns What may be done with it.
+   * @param digest - digest of a request.
+   * @returns Its state.
    */
   standingOf(digest: string): RequestStanding {
     return this.records.get(digest)?.standing ?? 'sound';
   }
 
   /**
-   * @param digest - of a request.
-   * @returns Crashes of runners that count against it.
+   * @param digest - digest of a request.
+   * @returns Number of crashes that count against it.
    */
   crashesOf(digest: string): number {
     return this.records.get(digest)?.counted.length ?? 0;
   }
 
   /**
-   * @param digest - of a request in quarantine.
+   * @param digest - digest of a quarantined request.
    * @param now - monotonic ms.
-   * @returns Until it may try again, in ms.
+   * @returns Time until it may be tried again, in ms.
    */
   remainingMilliseconds(digest: string, now: number): number {
     const touchedAt = this.records.get(digest)?.touchedAt ?? now;
@@ -108,10 +119,10 @@
   }
 
   /**
-   * A runner of which this daemon had requests has crashed.
+   * Records the crash of a runner on which requests of this daemon were running.
    *
-   * @param digests - of these requests, the one that began last first.
-   * @param crash - of the runner.
+   * @param digests - digests of these requests, the one that began last first.
+   * @param crash - the crash.
    * @param now - monotonic ms.
    */
   crashed(digests: readonly string[], crash: RunnerCrash, now: number): void {
@@ -121,11 +132,13 @@
     for (const digest of suspects) {
       this.update({ digest, crashes: [crash], clearedAt: undefined }, 'seen', now);
     }
-    this.limit(now);
+    this.dropExcess(now);
   }
 
   /**
-   * @param digest - of a request that a runner has answered.
+   * Records that a runner has answered a request, which clears earlier crashes.
+   *
+   * @param digest - digest of the request.
    * @param now - monotonic ms.
    */
   answered(digest: string, now: number): void {
@@ -133,34 +146,36 @@
     const record = this.records.get(digest);
     if (!record) return;
     const before = record.standing;
-    if (record.answered(now)) this.note(record, before, 'seen');
+    if (record.answered(now)) this.recordChange(record, before, 'seen');
   }
 
   /**
    * Lets a request be sent to runners again.
    *
-   * @param digest - of the request.
+   * @param digest - digest of the request.
    * @param now - monotonic ms.
-   * @returns Whether it was kept from any.
+   * @returns Whether it was quarantined.
    */
   release(digest: string, now: number): boolean {
     const record = this.records.get(digest);
     if (!record) return false;
     const before = record.standing;
-    if (record.clear(now)) this.note(record, before, 'seen');
+    if (record.clear(now)) this.recordChange(record, before, 'seen');
     return before === 'quarantined';
   }
 
   /**
-   * @param news - of another daemon.
+   * Merges the records of another daemon.
+   *
+   * @param news - its records.
    * @param now - monotonic ms.
    */
   merge(news: readonly CrashNews[], now: number): void {
     for (const one of news) this.update(one, 'told', now);
-    this.limit(now);
+    this.dropExcess(now);
   }
 
-  /** @returns What all daemons should know, the gravest first. */
+  /** @returns The records that all daemons should know, those with the most crashes first. */
   notable(): CrashNews[] {
     return [...this.records.values()]
       .sort((one, other) => other.counted.length - one.counted.length)
@@ -168,7 +183,7 @@
       .filter(isNotable);
   }
 
-  /** @returns What is kept from runners. */
+  /** @returns The records of quarantined requests. */
   quarantined(): CrashNews[] {
     return [...this.records.values()]
       .filter(({ standing }) => standing === 'quarantined')
@@ -176,14 +191,17 @@
   }
 
   /**
-   * @param digest - of a request.
-   * @returns What is known of it.
+   * @param digest - digest of a request.
+   * @returns Its record; `undefined` if there is none.
    */
   newsOf(digest: string): CrashNews | undefined {
     return this.records.get(digest)?.toNews();
   }
 
-  /** @returns Digests that have changed since the last call, by whether this daemon saw the cause itself. */
+  /**
+   * @returns Digests that have changed since the last call; `seen` if this daemon observed the cause itself, `told`
+   * if another daemon reported it.
+   */
   takeChanged(): ReadonlyMap<string, 'seen' | 'told'> {
     const { changed } = this;
     if (changed.size > 0) this.changed = new Map();
@@ -191,7 +209,7 @@
   }
 
   /**
-   * Forgets what is too old.
+   * Removes records that are too old.
    *
    * @param now - monotonic ms.
    */
@@ -206,17 +224,21 @@
     const cleared = clearedAt !== undefined && record.clear(clearedAt);
     if (added || cleared) {
       this.records.set(digest, record);
-      // Told of a crash, this daemon may know better: it has answers that the teller does not know of.
+      // This daemon may have seen an answer that the sender of the report does not know of.
       const answeredAt = this.answers.of(digest);
-      const knowsBetter = answeredAt !== undefined && record.answered(answeredAt);
-      this.note(record, before, knowsBetter ? 'seen' : source);
+      const wasAnswered = answeredAt !== undefined && record.answered(answeredAt);
+      this.recordChange(record, before, wasAnswered ? 'seen' : source);
     }
     this.forgetOld(record, now);
   }
 
-  private note(record: CrashRecord, before: RequestStanding, source: 'seen' | 'told'): void {
+  private recordChange(
+    record: CrashRecord,
+    before: RequestStanding,
+    source: 'seen' | 'told',
+  ): void {
     const { digest, standing } = record;
-    this.keptHash = undefined;
+    this.cachedHash = undefined;
     if (this.changed.get(digest) !== 'seen') this.changed.set(digest, source);
     if (standing !== before) this.onStanding(digest, before);
   }
@@ -226,18 +248,18 @@
     const life = isQuarantined ? QUARANTINE_MILLISECONDS : SUSPICION_MILLISECONDS;
     if (now - record.touchedAt < life) return;
     this.records.delete(record.digest);
-    this.keptHash = undefined;
+    this.cachedHash = undefined;
     if (isQuarantined) this.onStanding(record.digest, 'quarantined');
   }
 
-  private limit(now: number): void {
+  private dropExcess(now: number): void {
     this.expire(now);
     if (this.records.size <= MAXIMUM_RECORDS) return;
-    const byWorth = [...this.records.values()].sort(
+    const fewestCrashesFirst = [...this.records.values()].sort(
       (one, other) => one.counted.length - other.counted.length || one.touchedAt - other.touchedAt,
     );
-    const superfluous = byWorth.slice(0, this.records.size - MAXIMUM_RECORDS);
-    for (const { digest } of superfluous) this.records.delete(digest);
-    this.keptHash = undefined;
+    const excess = fewestCrashesFirst.slice(0, this.records.size - MAXIMUM_RECORDS);
+    for (const { digest } of excess) this.records.delete(digest);
+    this.cachedHash = undefined;
   }
 }
--- a/src/quarantine/QuarantineKeeper.spec.ts
+++ b/src/quarantine/QuarantineKeeper.spec.ts
@@ -11,7 +11,7 @@
 const DIGEST = 'f'.repeat(32);
 const BOOT_MILLISECONDS = 1_700_000_000_000;
 
-function createKept(clock: ManualClock, pages: string[] = []) {
+function createStored(clock: ManualClock, pages: string[] = []) {
   const log = new MemoryLog();
   const crashes = { increment: () => undefined };
   const quarantine = new RequestQuarantine({ runners: new RunnerTable(), clock, log, crashes });
@@ -25,9 +25,9 @@
 }
 
 describe(QuarantineKeeper.name, () => {
-  it('gives a daemon that starts when no other lives what was quarantined', async () => {
+  it('restores the quarantined requests of a daemon that starts while no other is running', async () => {
     const pages: string[] = [];
-    const before = createKept(
+    const before = createStored(
       new ManualClock({ monotonicMilliseconds: 9_000, wallMilliseconds: BOOT_MILLISECONDS }),
       pages,
     );
@@ -37,15 +37,15 @@
     await before.keeper.keep();
     expect(pages.length).toEqual(1);
     const clock = new ManualClock({ wallMilliseconds: BOOT_MILLISECONDS + 60_000 });
-    const after = createKept(clock);
+    const after = createStored(clock);
     after.keeper.take(pages[0] ?? '');
     expect(after.quarantine.standingOf(DIGEST)).toEqual('quarantined');
     expect(after.quarantine.retryAfterSeconds(DIGEST)).toEqual(86_400 - 68);
   });
 
-  it('writes a page without requests that were released', async () => {
+  it('removes released requests from the stored list', async () => {
     const pages: string[] = [];
-    const { quarantine, keeper } = createKept(
+    const { quarantine, keeper } = createStored(
       new ManualClock({ monotonicMilliseconds: 50 }),
       pages,
     );
@@ -57,8 +57,8 @@
     expect(pages[1]).toEqual('{"requests":[]}');
   });
 
-  it('refuses a page of another form', () => {
-    const { keeper } = createKept(new ManualClock());
+  it('rejects a stored list that does not match the schema', () => {
+    const { keeper } = createStored(new ManualClock());
     expect(() => keeper.take('{"requests":[{"digest":"x"}]}')).toThrow();
   });
 });
--- a/src/quarantine/QuarantineKeeper.ts
+++ b/src/quarantine/QuarantineKeeper.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the quarantined requests in the store, for daemons that start when no other one lives.
+ * Saves the quarantined requests in the store, for daemons that start while no other daemon is running.
  */
 import type { Log } from '../logging/Log.js';
 import type { FleetStore } from '../sync/FleetStore.js';
@@ -15,11 +15,11 @@
   quarantine: RequestQuarantine;
   clock: Clock;
   log: Log;
-  /** Whether this daemon writes for all. */
+  /** Whether this daemon is the one that writes to the store for the fleet. */
   isFirst: () => boolean;
 }
 
-/** Between looks at whether anything has changed, in ms. */
+/** Interval between checks for changes, in ms. */
 const INTERVAL_MILLISECONDS = 1_000;
 
 /** Owns the timer. */
@@ -28,34 +28,36 @@
 
   private timer: NodeJS.Timeout | undefined;
 
-  /** Of what the store holds, as far as this daemon knows. */
-  private keptHash: number;
+  /** Hash of the list in the store, as far as this daemon knows. */
+  private storedHash: number;
 
   private isWriting = false;
 
   /**
-   * @param options - what is kept, and where.
+   * @param options - the quarantine and the store.
    */
   constructor(options: QuarantineKeeperOptions) {
     this.options = options;
-    this.keptHash = options.quarantine.decisions.quarantinedHash;
+    this.storedHash = options.quarantine.decisions.quarantinedHash;
   }
 
-  /** Writes each change from now on. */
+  /** Starts to write changes to the store. */
   start(): void {
     this.timer = setInterval(() => {
       void this.keep();
     }, INTERVAL_MILLISECONDS);
   }
 
-  /** Writes no more. */
+  /** Stops writing. */
   stop(): void {
     clearInterval(this.timer);
   }
 
   /**
-   * @param page - as the store holds it.
-   * @throws When it cannot be read.
+   * Merges the list from the store.
+   *
+   * @param page - the list as the store holds it.
+   * @throws When it cannot be parsed.
    */
   take(page: string): void {
     const { quarantine, clock } = this.options;
@@ -63,20 +65,20 @@
     const offset = this.wallOffset;
     const news = fromPage(page, (wall) => Math.min(now, wall - offset));
     quarantine.learn(news, 'store');
-    this.keptHash = hashOfRequests(news);
+    this.storedHash = hashOfRequests(news);
   }
 
-  /** Writes the list if it has changed and this daemon writes for all. */
+  /** Writes the list if it has changed and this daemon writes for the fleet. */
   async keep(): Promise<void> {
     const { store, quarantine, log, isFirst } = this.options;
     const { decisions } = quarantine;
     const hash = decisions.quarantinedHash;
-    if (hash === this.keptHash || this.isWriting || !isFirst()) return;
+    if (hash === this.storedHash || this.isWriting || !isFirst()) return;
     this.isWriting = true;
     const offset = this.wallOffset;
     try {
       await store.saveQuarantine(toPage(decisions.quarantined(), (at) => Math.round(at + offset)));
-      this.keptHash = hash;
+      this.storedHash = hash;
     } catch (error) {
       log.write(quarantineLogEvents.keepingFailed, { error: (error as Error).message });
     } finally {
@@ -84,7 +86,10 @@
     }
   }
 
-  /** Times in the store are of the wall clock: monotonic ones mean nothing to another process. */
+  /**
+   * Difference between wall clock and monotonic clock, in ms. The store holds wall clock times, because monotonic
+   * times mean nothing to another process.
+   */
   private get wallOffset(): number {
     const { clock } = this.options;
     return clock.wallMilliseconds() - clock.monotonicMilliseconds();
--- a/src/quarantine/QuarantinePage.ts
+++ b/src/quarantine/QuarantinePage.ts
@@ -1,5 +1,5 @@
 /**
- * The quarantined requests over HTTP: other daemons read them, and operators release them.
+ * HTTP endpoint of the quarantined requests: other daemons read the list, and operators read it and release requests.
  */
 import { Agent } from 'node:http';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -10,11 +10,14 @@
 import type { CrashNews } from './quarantineTypes.js';
 import type { RequestQuarantine } from './RequestQuarantine.js';
 
-/** The list; with a digest behind it one request. */
+/** Path of the list; followed by a slash and a digest, of one request. */
 export const QUARANTINE_PATH = '/quarantine';
 
-/** A daemon within a region answers in a few ms, a busy one in some tens; in ms. */
-const SILENCE_MILLISECONDS = 300;
+/**
+ * Timeout of a request to another daemon, in ms: a daemon within a region answers in a few ms, a busy one in some
+ * tens.
+ */
+const ANSWER_TIMEOUT_MILLISECONDS = 300;
 
 const OK = 200;
 const NO_CONTENT = 204;
@@ -27,24 +30,24 @@
   clock: Clock;
 }
 
-/** Answers, and asks. */
+/** Server and client of the endpoint. */
 export class QuarantinePage {
   private readonly options: QuarantinePageOptions;
 
   private readonly agent = new Agent({ keepAlive: false });
 
   /**
-   * @param options - what is shown.
+   * @param options - the quarantine and the clock.
    */
   constructor(options: QuarantinePageOptions) {
     this.options = options;
   }
 
   /**
-   * Shows the list.
+   * Answers with the list.
    *
-   * @param _request - of another daemon or an operator.
-   * @param response - to it.
+   * @param _request - request of another daemon or an operator.
+   * @param response - the response to write.
    */
   answer(_request: IncomingMessage, response: ServerResponse): void {
     const { quarantine, clock } = this.options;
@@ -54,10 +57,10 @@
   }
 
   /**
-   * Shows the list, or releases one request of it.
+   * Answers with the list, or releases one request from quarantine.
    *
-   * @param request - of an operator.
-   * @param response - to it.
+   * @param request - request of an operator.
+   * @param response - the response to write.
    */
   answerOperator(request: IncomingMessage, response: ServerResponse): void {
     const { method, url = '' } = request;
@@ -69,13 +72,15 @@
   }
 
   /**
-   * @param address - of another daemon for such questions.
-   * @returns What it keeps from runners.
+   * Fetches the list of another daemon.
+   *
+   * @param address - its address for requests of other daemons.
+   * @returns The records on its list.
    * @throws When it does not answer.
    */
   async fetch(address: string): Promise<readonly CrashNews[]> {
     const { agent } = this;
-    const silenceMilliseconds = SILENCE_MILLISECONDS;
+    const silenceMilliseconds = ANSWER_TIMEOUT_MILLISECONDS;
     const answer = await askPeer({ address, path: QUARANTINE_PATH, silenceMilliseconds, agent });
     const now = this.options.clock.monotonicMilliseconds();
     return fromPage(answer.toString(), (age) => now - age);
--- a/src/quarantine/QuarantineTask.ts
+++ b/src/quarantine/QuarantineTask.ts
@@ -1,6 +1,6 @@
 /**
- * Puts together what keeps requests that crash runners from reaching more of them: decisions, what daemons tell each
- * other, what the store keeps, and what operators see.
+ * Connects the parts of the quarantine, which keeps a request that crashes runners from reaching more of them: the
+ * decisions, the exchange between daemons, the copy in the store, and the endpoint for operators.
  */
 import type { RequestListener } from 'node:http';
 
@@ -19,7 +19,7 @@
 
 /** Options of a {@link QuarantineTask}. */
 export interface QuarantineTaskOptions {
-  /** This daemon as others know it. */
+  /** This daemon's entry, as other daemons know it. */
   daemon: DaemonEntry;
   socket: FleetSocket;
   store: Pick<FleetStore, 'saveQuarantine'>;
@@ -27,21 +27,21 @@
   clock: Clock;
   log: Log;
   registry: MetricRegistry;
-  /** Those that hear all crashes. */
+  /** Returns the daemons that receive all crash reports. */
   reportTo: () => readonly HostAndPort[];
-  /** Those that this daemon tells what others have reported. */
+  /** Returns the daemons to which this one broadcasts the reports of others. */
   tellTo: () => readonly HostAndPort[];
   /** Whether this daemon knows the secret of the fleet. */
   canTalk: () => boolean;
-  /** Addresses of daemons that may be asked. */
+  /** Returns the addresses of daemons from which the list can be fetched. */
   peers: () => readonly string[];
-  /** Whether this daemon writes for all. */
+  /** Whether this daemon is the one that writes to the store for the fleet. */
   isFirst: () => boolean;
 }
 
 /** Owns the parts. */
 export class QuarantineTask {
-  /** Asked on the way of each request. */
+  /** The quarantine, consulted for each request. */
   readonly quarantine: RequestQuarantine;
 
   private readonly options: QuarantineTaskOptions;
@@ -53,7 +53,7 @@
   private readonly page: QuarantinePage;
 
   /**
-   * @param options - the daemon and its means.
+   * @param options - this daemon and what the quarantine depends on.
    */
   constructor(options: QuarantineTaskOptions) {
     const { daemon, socket, store, runners, clock, log, registry } = options;
@@ -87,30 +87,32 @@
     });
   }
 
-  /** @returns Answers other daemons. */
+  /** @returns Handler of requests from other daemons. */
   get peerHandler(): RequestListener {
     return (request, response) => this.page.answer(request, response);
   }
 
-  /** @returns Answers operators. */
+  /** @returns Handler of requests from operators. */
   get operatorHandler(): RequestListener {
     return (request, response) => this.page.answerOperator(request, response);
   }
 
-  /** Compares with others and writes to the store from now on. */
+  /** Starts the exchange with other daemons and the writes to the store. */
   start(): void {
     this.relay.start();
     this.keeper.start();
   }
 
-  /** Ends both. */
+  /** Stops both. */
   stop(): void {
     this.relay.stop();
     this.keeper.stop();
   }
 
   /**
-   * @param page - as the store holds it.
+   * Merges the list from the store; logs an error if it cannot be parsed.
+   *
+   * @param page - the list as the store holds it.
    */
   takeKept(page: string): void {
     try {
--- a/src/quarantine/RecentAnswers.ts
+++ b/src/quarantine/RecentAnswers.ts
@@ -1,17 +1,17 @@
 /**
- * When requests were last answered by a runner: what has been answered does not crash runners.
+ * Times at which requests were last answered by a runner: a request that was answered does not crash runners.
  */
 
-/** Some minutes of a daemon's requests. */
+/** Maximum number of entries; holds some minutes of a daemon's requests. */
 const MAXIMUM_ENTRIES = 2_048;
 
-/** Keeps the latest ones. */
+/** Keeps the latest answers. */
 export class RecentAnswers {
-  /** By digest, the oldest first. */
+  /** Time of the last answer by digest, in monotonic ms; the oldest first. */
   private readonly answeredAt = new Map<string, number>();
 
   /**
-   * @param digest - of a request that a runner has answered.
+   * @param digest - digest of a request that a runner has answered.
    * @param now - monotonic ms.
    */
   record(digest: string, now: number): void {
@@ -23,8 +23,8 @@
   }
 
   /**
-   * @param digest - of a request.
-   * @returns When a runner last answered it, monotonic ms; `undefined` where nothing is known of that.
+   * @param digest - digest of a request.
+   * @returns When a runner last answered it, in monotonic ms; `undefined` if no answer is known.
    */
   of(digest: string): number | undefined {
     return this.answeredAt.get(digest);
--- a/src/quarantine/RequestQuarantine.ts
+++ b/src/quarantine/RequestQuarantine.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps requests that crash runners from reaching more of them.
+ * Keeps a request that crashes runners from reaching more of them.
  *
- * Without it each arrival is a new request to each daemon: one caller that repeats a request under which runners crash
- * ends all runners of a small site in turn, with all that runs there.
+ * Without it, each arrival looks like a new request to each daemon: a single caller that repeats a request that
+ * crashes runners takes down all runners of a small site in turn, with everything that runs there.
  */
 import type { Log } from '../logging/Log.js';
 import type { Counter } from '../metrics/Counter.js';
@@ -14,12 +14,12 @@
 import { quarantineLogEvents } from './quarantineFeature.js';
 import type { CrashNews, RequestStanding } from './quarantineTypes.js';
 
-/** Digests in one line of the log. */
-const MAXIMUM_LOGGED = 12;
+/** Maximum number of digests in one log line. */
+const MAXIMUM_LOGGED_DIGESTS = 12;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Called when a request that is under way is quarantined. */
+/** Called when an in-flight request is quarantined. */
 export type QuarantineListener = () => void;
 
 /** Options of a {@link RequestQuarantine}. */
@@ -27,15 +27,15 @@
   runners: CrashWatchOptions['runners'];
   clock: Clock;
   log: Log;
-  /** Counts crashes that this daemon has seen. */
+  /** Counts the crashes that this daemon has detected. */
   crashes: Pick<Counter, 'increment'>;
-  /** Something has changed that others should know. */
+  /** Called when a change has to be sent to other daemons. */
   onChange?: () => void;
   probe?: CrashWatchOptions['probe'];
   later?: CrashWatchOptions['later'];
 }
 
-/** Holds what is known, and the requests under way. */
+/** Holds the crash records and the in-flight requests. */
 export class RequestQuarantine {
   readonly decisions: QuarantineDecisions;
 
@@ -43,20 +43,20 @@
 
   private readonly watch: CrashWatch;
 
-  /** Who is telling something at the moment. */
-  private teller: string | undefined;
+  /** The daemon whose records are being merged at the moment; `undefined` outside a merge. */
+  private mergeSource: string | undefined;
 
-  /** Requests under way by digest. */
+  /** Listeners of the in-flight requests, by digest. */
   private readonly underWay = new Map<string, Set<QuarantineListener>>();
 
   /**
-   * @param options - runners, and who is told.
+   * @param options - the runners, and the listener for changes.
    */
   constructor(options: RequestQuarantineOptions) {
     const { runners, clock, probe, later } = options;
     this.options = options;
     this.decisions = new QuarantineDecisions({
-      onStanding: (digest, before) => this.standingChanged(digest, before),
+      onStanding: (digest, before) => this.handleStateChange(digest, before),
     });
     this.watch = new CrashWatch({
       runners,
@@ -71,33 +71,33 @@
           life: crash.life,
           milliseconds: Math.round(now - crash.at),
           requests: digests.length,
-          digests: digests.slice(0, MAXIMUM_LOGGED).join(),
+          digests: digests.slice(0, MAXIMUM_LOGGED_DIGESTS).join(),
         });
         this.decisions.crashed(digests, crash, now);
-        this.changed();
+        this.notifyChange();
       },
     });
   }
 
   /**
-   * @param digest - of a request.
-   * @returns What may be done with it.
+   * @param digest - digest of a request.
+   * @returns Its state.
    */
   standingOf(digest: string): RequestStanding {
     return this.decisions.standingOf(digest);
   }
 
   /**
-   * @param digest - of a request.
-   * @returns Whether more than one runner has crashed under it.
+   * @param digest - digest of a request.
+   * @returns Whether more than one runner has crashed while running it.
    */
   isRepeatedSuspect(digest: string): boolean {
     return this.decisions.crashesOf(digest) > 1;
   }
 
   /**
-   * @param digest - of a request in quarantine.
-   * @returns When to come back, in whole seconds.
+   * @param digest - digest of a quarantined request.
+   * @returns Value of the `Retry-After` header, in whole seconds.
    */
   retryAfterSeconds(digest: string): number {
     const remaining = this.decisions.remainingMilliseconds(digest, this.now);
@@ -105,16 +105,18 @@
   }
 
   /**
-   * @param digest - of a request that has come.
-   * @returns Whether the same request is under way at this daemon.
+   * @param digest - digest of a request that has arrived.
+   * @returns Whether the same request is in flight at this daemon.
    */
   isUnderWay(digest: string): boolean {
     return this.underWay.has(digest);
   }
 
   /**
-   * @param digest - of a request that is on its way to runners.
-   * @param listener - told when it must reach no more of them.
+   * Adds a request that is about to be sent to runners.
+   *
+   * @param digest - its digest.
+   * @param listener - called when the request must be sent to no more runners.
    */
   begin(digest: string, listener: QuarantineListener): void {
     const listeners = this.underWay.get(digest) ?? new Set();
@@ -123,8 +125,10 @@
   }
 
   /**
-   * @param digest - of a request that is over.
-   * @param listener - as it began.
+   * Removes a request that has ended.
+   *
+   * @param digest - its digest.
+   * @param listener - the one that was given to {@link begin}.
    */
   end(digest: string, listener: QuarantineListener): void {
     const listeners = this.underWay.get(digest);
@@ -133,54 +137,66 @@
   }
 
   /**
-   * @param runner - whose connection broke off under a request.
-   * @param request - that was there.
+   * Records a request whose connection to the runner broke.
+   *
+   * @param runner - the runner on which it was running.
+   * @param request - the interrupted request.
    */
   broke(runner: Runner, request: BrokenRequest): void {
     this.watch.broke(runner, request);
   }
 
   /**
-   * @param runner - at which a request was given up.
-   * @param request - that was there.
+   * Records a request that this daemon has aborted.
+   *
+   * @param runner - the runner on which it was running.
+   * @param request - the aborted request.
    */
   abandoned(runner: Runner, request: BrokenRequest): void {
     this.watch.abandoned(runner, request);
   }
 
   /**
-   * @param runner - whose host has refused a connection.
+   * Records that a runner's host has refused a connection.
+   *
+   * @param runner - the runner.
    */
   refused(runner: Runner): void {
     this.watch.refused(runner);
   }
 
   /**
-   * @param digest - of a request that a runner has answered whole.
+   * Records that a runner has answered a request completely.
+   *
+   * @param digest - digest of the request.
    */
   answered(digest: string): void {
     this.decisions.answered(digest, this.now);
-    this.changed();
+    this.notifyChange();
   }
 
   /**
-   * @param news - of another daemon, or as the store keeps them.
-   * @param teller - who tells them.
+   * Merges the records of another daemon, or those from the store.
+   *
+   * @param news - the records.
+   * @param source - name or address of the daemon, or `store`.
    */
-  learn(news: readonly CrashNews[], teller: string): void {
-    this.teller = teller;
+  learn(news: readonly CrashNews[], source: string): void {
+    this.mergeSource = source;
     this.decisions.merge(news, this.now);
-    this.teller = undefined;
-    this.changed();
+    this.mergeSource = undefined;
+    this.notifyChange();
   }
 
   /**
-   * @param digest - that an operator lets through again.
-   * @returns Whether it was in quarantine.
+   * Releases a request for an operator.
+   *
+   * @param digest - digest of the request.
+   * @returns Whether it was quarantined.
    */
   release(digest: string): boolean {
     const wasQuarantined = this.decisions.release(digest, this.now);
-    this.changed();
+    this.notifyChange();
     return wasQuarantined;
   }
 
@@ -188,11 +204,11 @@
     return this.options.clock.monotonicMilliseconds();
   }
 
-  private changed(): void {
+  private notifyChange(): void {
     this.options.onChange?.();
   }
 
-  private standingChanged(digest: string, before: RequestStanding): void {
+  private handleStateChange(digest: string, before: RequestStanding): void {
     const { log } = this.options;
     if (before === 'quarantined') {
       log.write(quarantineLogEvents.requestReleased, { digest });
@@ -202,7 +218,7 @@
     const crashes = this.decisions.newsOf(digest)?.crashes ?? [];
     log.write(quarantineLogEvents.requestQuarantined, {
       digest,
-      toldBy: this.teller,
+      toldBy: this.mergeSource,
       lives: crashes.map(({ life }) => life).join(),
       ages: crashes.map(({ at }) => Math.round(this.now - at)).join(),
       underWay: this.underWay.get(digest)?.size ?? 0,
--- a/src/quarantine/crashNewsCodec.ts
+++ b/src/quarantine/crashNewsCodec.ts
@@ -1,5 +1,6 @@
 /**
- * Encodes what daemons tell each other of crashes. Times are told as ages: daemons share no clock.
+ * Encodes and decodes the crash records that daemons exchange. Messages hold ages instead of times, because daemons
+ * share no clock.
  */
 import { create } from '@bufbuild/protobuf';
 import { z } from 'zod';
@@ -8,44 +9,47 @@
 import type { CrashRecord as CrashMessage } from '../generated/baobabdock/v1/news_pb.js';
 import type { CrashNews } from './quarantineTypes.js';
 
-/** Enough for a quarantine; a datagram holds sixteen requests then. */
-const MAXIMUM_TOLD_CRASHES = 4;
+/**
+ * Maximum number of crashes sent for a request: enough to quarantine it, and few enough for sixteen requests in a
+ * datagram.
+ */
+const MAXIMUM_SENT_CRASHES = 4;
 
-/** Converts between this daemon's monotonic clock and what a page says; both in ms. */
+/** Converts between this daemon's monotonic clock and the times in a JSON document; both in ms. */
 export type TimeConversion = (milliseconds: number) => number;
 
 const recordSchema = z.object({
   digest: z.string().regex(/^[0-9a-f]{32}$/u),
-  /** Hash of the runner's life, and when it ended. */
+  /** Hash of the name of the runner's incarnation, and when it ended. */
   crashes: z.array(z.tuple([z.int().nonnegative(), z.number().nonnegative()])),
   clearedAt: z.number().nonnegative().optional(),
 });
 
-const pageSchema = z.object({ requests: z.array(recordSchema) });
+const documentSchema = z.object({ requests: z.array(recordSchema) });
 
 function ageOf(at: number, now: number): number {
   return Math.max(0, Math.round(now - at));
 }
 
 /**
- * @param news - of one request.
- * @param now - monotonic ms of this daemon.
- * @returns A message.
+ * @param news - crashes of one request.
+ * @param now - this daemon's monotonic time, in ms.
+ * @returns The message.
  */
 export function toMessage({ digest, crashes, clearedAt }: CrashNews, now: number): CrashMessage {
   return create(CrashRecordSchema, {
     digest: Buffer.from(digest, 'hex'),
     crashes: crashes
-      .slice(-MAXIMUM_TOLD_CRASHES)
+      .slice(-MAXIMUM_SENT_CRASHES)
       .map(({ life, at }) => ({ life, ageMilliseconds: ageOf(at, now) })),
     clearedAgeMilliseconds: clearedAt === undefined ? undefined : ageOf(clearedAt, now),
   });
 }
 
 /**
- * @param message - of another daemon.
- * @param now - monotonic ms of this daemon.
- * @returns What it says.
+ * @param message - message of another daemon.
+ * @param now - this daemon's monotonic time, in ms.
+ * @returns The crashes that it reports.
  */
 export function fromMessage(message: CrashMessage, now: number): CrashNews {
   const { digest, crashes, clearedAgeMilliseconds } = message;
@@ -57,29 +61,29 @@
 }
 
 /**
- * @param news - of requests.
- * @param toPageTime - how the page tells times.
- * @returns JSON.
+ * @param news - crashes of several requests.
+ * @param toDocumentTime - converts monotonic times to those in the document.
+ * @returns The JSON document.
  */
-export function toPage(news: readonly CrashNews[], toPageTime: TimeConversion): string {
+export function toPage(news: readonly CrashNews[], toDocumentTime: TimeConversion): string {
   const requests = news.map(({ digest, crashes, clearedAt }) => ({
     digest,
-    crashes: crashes.map(({ life, at }) => [life, toPageTime(at)]),
-    clearedAt: clearedAt === undefined ? undefined : toPageTime(clearedAt),
+    crashes: crashes.map(({ life, at }) => [life, toDocumentTime(at)]),
+    clearedAt: clearedAt === undefined ? undefined : toDocumentTime(clearedAt),
   }));
   return JSON.stringify({ requests });
 }
 
 /**
- * @param text - JSON.
- * @param fromPageTime - how the page tells times.
- * @returns What it says.
- * @throws When it is no such page.
+ * @param text - a JSON document.
+ * @param fromDocumentTime - converts times in the document to monotonic ones.
+ * @returns The crashes that it lists.
+ * @throws When the document does not match the schema.
  */
-export function fromPage(text: string, fromPageTime: TimeConversion): CrashNews[] {
-  return pageSchema.parse(JSON.parse(text)).requests.map(({ digest, crashes, clearedAt }) => ({
+export function fromPage(text: string, fromDocumentTime: TimeConversion): CrashNews[] {
+  return documentSchema.parse(JSON.parse(text)).requests.map(({ digest, crashes, clearedAt }) => ({
     digest,
-    crashes: crashes.map(([life, time]) => ({ life, at: fromPageTime(time) })),
-    clearedAt: clearedAt === undefined ? undefined : fromPageTime(clearedAt),
+    crashes: crashes.map(([life, time]) => ({ life, at: fromDocumentTime(time) })),
+    clearedAt: clearedAt === undefined ? undefined : fromDocumentTime(clearedAt),
   }));
 }
--- a/src/quarantine/quarantine.spec.ts
+++ b/src/quarantine/quarantine.spec.ts
@@ -5,10 +5,12 @@
 import { TestCrashFleet } from './testCrashFleet.js';
 import type { TestCrashDaemon, TestCrashFleetOptions, TestRequest } from './testCrashFleet.js';
 
-/** In which all daemons have to know of the third crash, in ms. */
+/** Time within which all daemons have to know of the third crash, in ms. */
 const KNOWN_MILLISECONDS = 3_000;
 
-/** Arrivals at runners that are allowed after that, in all. */
+/**
+ * Total number of arrivals at runners that are allowed after that time, where many messages get lost.
+ */
 const LATE_ARRIVALS = 3;
 
 const SECONDS = 1_000;
@@ -19,7 +21,7 @@
   return number.toString(16).padStart(32, '0');
 }
 
-/** Sound requests in a second for each runner. */
+/** Harmless requests per second for each runner. */
 const RATE = 4;
 
 class Traffic {
@@ -36,15 +38,15 @@
     this.popular = popularShare;
   }
 
-  /** Sends sound requests for a time; one that breaks off is sent once more. */
+  /** Sends harmless requests for a time; one that is interrupted is sent once more. */
   run(milliseconds: number, perSecond: number): void {
     const pause = SECONDS / perSecond;
     for (let at = pause; at < milliseconds; at += pause) {
-      this.fleet.after(at, () => this.sendSound());
+      this.fleet.after(at, () => this.sendHarmless());
     }
   }
 
-  private sendSound(): void {
+  private sendHarmless(): void {
     this.sent += 1;
     const { random } = this.fleet;
     const isPopular = random() < this.popular;
@@ -74,7 +76,7 @@
   return new TestCrashFleet({ daemons: 9, runners: 12, seed: 1, ...options });
 }
 
-/** @returns How many requests have been in quarantine at any daemon, looked at again and again. */
+/** @returns Sum of the numbers of quarantined requests at all daemons, sampled every 50 ms. */
 function watchQuarantined(fleet: TestCrashFleet, milliseconds: number): () => number {
   let quarantined = 0;
   const look = () => {
@@ -89,9 +91,9 @@
   return quarantine.standingOf(FATAL.digest) === 'quarantined';
 }
 
-describe('a request that crashes runners, in virtual time', () => {
+describe('quarantine of a request that crashes runners, in virtual time', () => {
   for (const daemons of [3, 6, 20, 66, 195, 390]) {
-    it(`reaches no more runners soon after the third crash: ${daemons} daemons`, () => {
+    it(`sends the request to no more runners soon after the third crash: ${daemons} daemons`, () => {
       const fleet = fleetOf({ daemons, runners: Math.max(10, daemons), seed: daemons });
       const traffic = new Traffic(fleet);
       traffic.run(12 * SECONDS, RATE * Math.min(100, daemons));
@@ -103,7 +105,7 @@
     });
   }
 
-  it('reaches no more runners where every third message gets lost', () => {
+  it('sends the request to no more runners though every third message gets lost', () => {
     const fleet = fleetOf({ loss: 0.3 });
     repeatFatal(fleet, 12 * SECONDS);
     fleet.play(13 * SECONDS);
@@ -112,7 +114,7 @@
   });
 
   for (const daemons of [9, 66]) {
-    it(`is known to a daemon that has just started, or was cut off: ${daemons} daemons`, () => {
+    it(`reaches a daemon that has just started, or was partitioned: ${daemons} daemons`, () => {
       const fleet = fleetOf({ daemons });
       const [cut, started] = fleet.daemons as [TestCrashDaemon, TestCrashDaemon];
       cut.isCut = true;
@@ -125,7 +127,7 @@
     });
   }
 
-  it('reaches runners again once an operator has released it anywhere', () => {
+  it('ends at all daemons once an operator has released the request at one', () => {
     const fleet = fleetOf();
     repeatFatal(fleet, 4 * SECONDS);
     fleet.play(5 * SECONDS);
@@ -134,7 +136,7 @@
     expect(fleet.daemons.some(hasQuarantined)).toEqual(false);
   });
 
-  it('does not take sound requests with it where runners crash by themselves', () => {
+  it('refuses no harmless requests while runners also crash for other reasons', () => {
     const totals = { sent: 0, refused: 0 };
     for (let seed = 1; seed <= 40; seed += 1) {
       const fleet = fleetOf({ seed });
--- a/src/quarantine/quarantineTypes.ts
+++ b/src/quarantine/quarantineTypes.ts
@@ -1,26 +1,30 @@
 /**
- * What is known of requests under which runners have crashed.
+ * Crashes of runners, and the requests that were running there.
  */
 
-/** The end of one life of one runner. */
+/** A crash of one incarnation of a runner. */
 export interface RunnerCrash {
-  /** Hash of the runner's life. */
+  /** Hash of the name of the incarnation. */
   readonly life: number;
-  /** Monotonic ms. */
+  /** When it crashed, in monotonic ms. */
   readonly at: number;
 }
 
-/** What one daemon tells another of a request. */
+/** Crashes that occurred while a given request was running, as daemons exchange them. */
 export interface CrashNews {
-  /** Of the request. */
+  /** Digest of the request. */
   readonly digest: string;
   readonly crashes: readonly RunnerCrash[];
-  /** When it was last answered or released, monotonic ms; `undefined` where it never was. */
+  /**
+   * When the request was last answered or released, in monotonic ms; `undefined` if it never was.
+   */
   readonly clearedAt: number | undefined;
 }
 
 /**
- * `sound`: nothing speaks against it; `suspect`: runners have crashed under it, fewer than it takes; `quarantined`: it
- * is sent to no runner.
+ * State of a request:
+ * - `sound`: no crash counts against it.
+ * - `suspect`: runners have crashed while running it, but fewer than the quarantine requires.
+ * - `quarantined`: it is sent to no runner.
  */
 export type RequestStanding = 'sound' | 'suspect' | 'quarantined';
--- a/src/quarantine/requestDigest.spec.ts
+++ b/src/quarantine/requestDigest.spec.ts
@@ -17,7 +17,7 @@
     expect(requestDigest(again)).toEqual(requestDigest(REQUEST));
   });
 
-  it('tells requests apart that differ in anything but their arrival', () => {
+  it('differs for requests that differ in any compared part', () => {
     const others = [
       { ...REQUEST, method: 'PUT' },
       { ...REQUEST, target: '/chat/1?a=c' },
--- a/src/quarantine/requestDigest.ts
+++ b/src/quarantine/requestDigest.ts
@@ -1,12 +1,15 @@
 /**
- * What makes two requests the same: method, path with query, client account and body.
+ * Digest that identifies equal requests: those with the same method, path with query, client account and body.
  */
 import { createHash } from 'node:crypto';
 
-/** Half of SHA-256: no two requests have the same by chance; in hexadecimal digits. */
+/**
+ * Length in hexadecimal digits: half of a SHA-256 hash, long enough that two different requests do not collide by
+ * chance.
+ */
 const DIGEST_DIGITS = 32;
 
-/** A request, as far as it is compared. */
+/** The parts of a request that are compared. */
 export interface ComparedRequest {
   readonly method: string;
   /** Path with the query. */
@@ -16,8 +19,8 @@
 }
 
 /**
- * @param request - a request that was read whole.
- * @returns Hexadecimal; the same for each arrival of the request, at any daemon.
+ * @param request - a completely received request.
+ * @returns Hexadecimal digest; the same for each arrival of the request, at any daemon.
  */
 export function requestDigest({ method, target, clientAccount, body }: ComparedRequest): string {
   const head = JSON.stringify([method, target, clientAccount ?? null]);
--- a/src/quarantine/testCrashFleet.ts
+++ b/src/quarantine/testCrashFleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet whose runners crash, in virtual time: the real quarantines of all daemons and what they tell each other, with
- * a network that loses messages.
+ * Simulates, in virtual time, a fleet whose runners crash: the real quarantines and crash reports of all daemons,
+ * over a network that loses messages.
  */
 import { watchersOf, tellersOf } from '../coordination/coordinatorsOf.js';
 import type { MessageKind } from '../generated/baobabdock/v1/news_pb.js';
@@ -21,17 +21,19 @@
   daemons: number;
   runners: number;
   seed: number;
-  /** Share of datagrams that get lost. */
+  /** Share of datagrams that get lost, from 0 to 1. */
   loss?: number;
 }
 
-/** How a request ended: refused by its daemon, answered by a runner, or broken off by a runner's crash. */
+/**
+ * How a request ended: refused by its daemon, answered by a runner, or interrupted by the runner's crash.
+ */
 export type TestEnd = 'refused' | 'answered' | 'broken';
 
 /** A request to the fleet. */
 export interface TestRequest {
   readonly digest: string;
-  /** From its arrival at a runner to its answer, or to the crash that it causes, in ms. */
+  /** Time from its arrival at a runner to its answer, or to the crash that it causes, in ms. */
   readonly milliseconds: number;
   readonly isFatal: boolean;
 }
@@ -43,11 +45,11 @@
 
 interface RunningRequest {
   readonly digest: string;
-  /** Of its daemon. */
+  /** Quarantine of the daemon that sent it. */
   readonly quarantine: RequestQuarantine;
   readonly startedAt: number;
   readonly end: (end: TestEnd) => void;
-  /** Ends it where its daemon breaks it off. */
+  /** Called when the daemon aborts the request. */
   readonly stop: () => void;
 }
 
@@ -70,7 +72,7 @@
 
   handler: Handler = () => undefined;
 
-  /** Whether it reaches other daemons. */
+  /** Whether it is partitioned from the other daemons. */
   isCut = false;
 
   constructor(entry: DaemonEntry) {
@@ -78,16 +80,16 @@
   }
 }
 
-/** Plays daemons, runners and what is between them. */
+/** Simulates the daemons, the runners and the network between them. */
 export class TestCrashFleet {
   readonly daemons: TestCrashDaemon[] = [];
 
   readonly clock = new ManualClock();
 
-  /** Requests that reached a runner, by digest, with the times. */
+  /** Arrival times of requests at runners by digest, in monotonic ms. */
   readonly arrivals = new Map<string, number[]>();
 
-  /** When each runner crashed, monotonic ms. */
+  /** Time of each runner crash, in monotonic ms. */
   readonly crashes: number[] = [];
 
   readonly random: () => number;
@@ -103,7 +105,7 @@
   private readonly addresses = new Map<string, TestCrashDaemon>();
 
   /**
-   * @param options - its size, and the seed of all chance.
+   * @param options - size of the fleet, and the seed of the random numbers.
    */
   constructor({ daemons, runners, seed, loss = 0.02 }: TestCrashFleetOptions) {
     this.random = seededRandom(seed);
@@ -128,7 +130,9 @@
   }
 
   /**
-   * @param daemon - that starts knowing nothing.
+   * Starts a daemon, with no records, or restarts it.
+   *
+   * @param daemon - the daemon.
    */
   boot(daemon: TestCrashDaemon): void {
     const { clock, table } = this;
@@ -179,9 +183,11 @@
   }
 
   /**
-   * @param request - sent to a daemon.
-   * @param daemon - by default a random one.
-   * @param end - told how it ended.
+   * Sends a request to a daemon.
+   *
+   * @param request - the request.
+   * @param daemon - its recipient; by default a random one.
+   * @param end - called with the outcome.
    */
   send(
     request: TestRequest,
@@ -201,14 +207,18 @@
   }
 
   /**
-   * @param share - of all runners that crash at once, whatever runs there.
+   * Crashes some of the runners at once, whatever runs there.
+   *
+   * @param share - share of the runners, from 0 to 1.
    */
   crashRunners(share: number): void {
     for (const runner of this.runners) if (runner.isUp && this.random() < share) this.crash(runner);
   }
 
   /**
-   * @param milliseconds - for which everything goes on.
+   * Advances virtual time.
+   *
+   * @param milliseconds - by how much.
    */
   play(milliseconds: number): void {
     const end = this.now + milliseconds;
@@ -221,8 +231,10 @@
   }
 
   /**
-   * @param milliseconds - from now, at least one.
-   * @param call - made then.
+   * Schedules a call in virtual time.
+   *
+   * @param milliseconds - delay; at least one.
+   * @param call - the call.
    */
   after(milliseconds: number, call: () => void): void {
     const at = this.now + Math.max(1, Math.round(milliseconds));
