--- a/src/news/FleetSocket.ts
+++ b/src/news/FleetSocket.ts
@@ -1,6 +1,6 @@
 /**
- * The one socket by which a daemon exchanges datagrams with the others of its fleet. Each datagram is sealed; one
- * whose seal is not of the fleet is dropped.
+ * The UDP socket through which a daemon exchanges datagrams with the other daemons of its fleet. Each datagram is
+ * authenticated with the fleet's secret; one that fails authentication is dropped.
  */
 import { createSocket } from 'node:dgram';
 import type { Socket } from 'node:dgram';
@@ -15,13 +15,16 @@
 /** Options of a {@link FleetSocket}. */
 export interface FleetSocketOptions {
   log: Log;
-  /** The secret of the fleet, once it is known; nothing is sent or taken before. */
+  /**
+   * Returns the fleet's secret, or `undefined` while it is unknown; until then nothing is sent and everything
+   * received is dropped.
+   */
   secret: () => string | undefined;
-  /** Counts what is sent, by kind. */
+  /** Counts the bytes sent, by kind of message. */
   sentBytes?: Pick<Counter<'kind'>, 'add'>;
 }
 
-/** As the metric names them. */
+/** Values of the metric's label `kind`. */
 const KIND_NAMES: Readonly<Record<MessageKind, string>> = {
   [MessageKind.UNSPECIFIED]: 'news',
   [MessageKind.STORE_CHANGES]: 'store_changes',
@@ -32,7 +35,7 @@
   [MessageKind.LEAVING_RUNNERS]: 'leaving_runners',
 };
 
-/** Takes one kind of messages. */
+/** Handles messages of one kind. */
 export type MessageHandler = (message: Uint8Array) => void;
 
 /** Owns the socket. */
@@ -44,33 +47,37 @@
   private socket: Socket | undefined;
 
   /**
-   * @param options - log and secret.
+   * @param options - the log, the secret and the counter of sent bytes.
    */
   constructor(options: FleetSocketOptions) {
     this.options = options;
   }
 
-  /** @returns The port at which datagrams are taken. */
+  /** @returns The port at which datagrams are received; 0 while the socket is closed. */
   get port(): number {
     return this.socket?.address().port ?? 0;
   }
 
   /**
-   * @param kind - of messages.
-   * @param handler - takes them from now on.
+   * Sets the handler for a kind of messages.
+   *
+   * @param kind - kind of the messages.
+   * @param handler - called for each message of this kind.
    */
   handle(kind: MessageKind, handler: MessageHandler): void {
     this.handlers.set(kind, handler);
   }
 
   /**
-   * @param address - of this daemon for datagrams.
-   * @returns Once they are taken.
+   * Opens the socket.
+   *
+   * @param address - address at which this daemon receives datagrams.
+   * @returns Once the socket is bound.
    */
   listen({ host, port }: HostAndPort): Promise<void> {
     const socket = createSocket('udp4');
     this.socket = socket;
-    socket.on('message', (datagram) => this.take(datagram));
+    socket.on('message', (datagram) => this.receive(datagram));
     return new Promise((done, fail) => {
       socket.once('error', fail);
       socket.bind({ address: host, port }, () => {
@@ -82,9 +89,11 @@
   }
 
   /**
-   * @param kind - of the message.
-   * @param message - encoded.
-   * @param recipients - where it goes; sealed once for all of them.
+   * Sends a message; it is authenticated once for all recipients.
+   *
+   * @param kind - kind of the message.
+   * @param message - the encoded message.
+   * @param recipients - addresses of the recipients.
    */
   send(kind: MessageKind, message: Uint8Array, recipients: readonly HostAndPort[]): void {
     const { secret } = this.options;
@@ -95,13 +104,13 @@
     for (const { host, port } of recipients) this.socket?.send(datagram, port, host);
   }
 
-  /** Neither sends nor takes from now on. */
+  /** Stops sending and receiving. */
   close(): void {
     this.socket?.close();
     this.socket = undefined;
   }
 
-  private take(datagram: Buffer): void {
+  private receive(datagram: Buffer): void {
     const key = this.options.secret();
     if (key === undefined) return;
     try {
--- a/src/news/ForeignLoads.ts
+++ b/src/news/ForeignLoads.ts
@@ -1,32 +1,36 @@
 /**
- * The requests that other daemons have at runners.
+ * In-flight requests of other daemons, by runner.
  *
- * What goes wrong without it: each daemon of a small site has about one request at a runner, so that a bound
- * on its own count means nothing. One would see a runner with three times the mean while each daemon is
- * within its bound.
+ * Each daemon of a small site has only about one request at a runner, so a bound on its own count has no effect.
+ * Without these counts, a runner could have three times the mean load while each daemon is within its bound.
  */
 import type { DaemonNews, RunnerLoad } from '../generated/baobabdock/v1/news_pb.js';
 
-/** A daemon that says nothing for this long has died or is cut off; in ms. */
-const LIFE_MILLISECONDS = 2_500;
+/**
+ * The counts of a daemon are dropped if no message has arrived from it for this long, in ms; it has died or is cut
+ * off.
+ */
+const EXPIRY_MILLISECONDS = 2_500;
 
-interface Told {
+interface DaemonLoads {
   readonly life: number;
   readonly number: number;
   readonly at: number;
   readonly loads: readonly RunnerLoad[];
 }
 
-/** Sums what is told by runner; a message changes only what its daemon had told before. */
+/** Sums the counts by runner; each message replaces those of the same daemon. */
 export class ForeignLoads {
-  private readonly byDaemon = new Map<string, Told>();
+  private readonly byDaemon = new Map<string, DaemonLoads>();
 
   private readonly totals = new Map<string, number>();
 
   /**
-   * @param news - from another daemon.
+   * Takes the counts of another daemon.
+   *
+   * @param news - message of the daemon.
    * @param now - monotonic milliseconds.
-   * @returns Whether it is newer than what that daemon told before.
+   * @returns Whether the message is newer than the last one of that daemon; an older one is ignored.
    */
   take({ daemon, life, number, loads }: DaemonNews, now: number): boolean {
     const before = this.byDaemon.get(daemon);
@@ -38,21 +42,21 @@
   }
 
   /**
-   * @param runnerLife - one start of a runner.
-   * @returns Requests that other daemons have there.
+   * @param runnerLife - incarnation of a runner.
+   * @returns Number of requests that other daemons have there.
    */
   of(runnerLife: string): number {
     return this.totals.get(runnerLife) ?? 0;
   }
 
   /**
-   * Forgets daemons that have fallen silent.
+   * Drops the counts of daemons that have sent nothing for too long.
    *
    * @param now - monotonic milliseconds.
    */
   expire(now: number): void {
     for (const [daemon, { at, loads }] of this.byDaemon) {
-      if (now - at <= LIFE_MILLISECONDS) continue;
+      if (now - at <= EXPIRY_MILLISECONDS) continue;
       this.byDaemon.delete(daemon);
       this.add(loads, -1);
     }
--- a/src/news/NewsTask.spec.ts
+++ b/src/news/NewsTask.spec.ts
@@ -22,16 +22,16 @@
   let task: NewsTask;
   let registry: MetricRegistry;
   let revision: number;
-  let heard: number[];
-  let told: number[];
+  let receivedRevisions: number[];
+  let broadcastRevisions: number[];
 
   beforeEach(async () => {
     revision = 5;
-    heard = [];
-    told = [];
+    receivedRevisions = [];
+    broadcastRevisions = [];
     other = createSocket('udp4');
     other.on('message', (datagram) => {
-      told.push(Number(decodeNews(datagram, SECRET)?.revision));
+      broadcastRevisions.push(Number(decodeNews(datagram, SECRET)?.revision));
     });
     other.bind({ address: HOST, port: 0 });
     await once(other, 'listening');
@@ -42,12 +42,12 @@
       runners: new RunnerTable(),
       loads: new ForeignLoads(),
       warmPlaces: new WarmPlaces(),
-      // The clock stands still: only what is told at once is told a second time.
+      // The clock stands still, so that no unchanged state is sent again.
       clock,
       registry,
       log: new MemoryLog(),
       changedAtRevision: () => revision,
-      onRevision: (newer) => heard.push(newer),
+      onRevision: (newer) => receivedRevisions.push(newer),
       others: () => [other.address()].map(({ port }) => ({ host: HOST, port })),
       secret: () => SECRET,
     });
@@ -63,36 +63,36 @@
     while (!condition()) await new Promise(setImmediate);
   }
 
-  it('counts the bytes that it sends, by kind', async () => {
+  it('counts the bytes sent, by kind of message', async () => {
     revision = 1;
     task.tellChange();
-    await until(() => told.length > 0);
+    await until(() => broadcastRevisions.length > 0);
     const sent = registry.snapshot().find(({ name }) => name.includes('datagram_bytes'));
     const news = sent?.series.find(({ labels }) => labels.kind === 'news');
     expect((news?.value ?? 0) > 0).toEqual(true);
   });
 
-  it('tells of a change at once, and of each change once', async () => {
+  it('broadcasts each change at once, and only once', async () => {
     task.tellChange();
     task.tellChange();
     revision = 6;
     task.tellChange();
-    await until(() => told.length >= 2);
-    expect(told).toEqual([5, 6]);
+    await until(() => broadcastRevisions.length >= 2);
+    expect(broadcastRevisions).toEqual([5, 6]);
   });
 
-  it('leaves a change to the daemon that has told of it', async () => {
-    // Symptom: each change makes every daemon send to every other one. Sequence: one daemon tells of a change,
-    // the others read it. Cause: who has learnt of it from a message tells it again.
+  it('does not broadcast a change that another daemon has reported', async () => {
+    // Guards against a change that makes every daemon send to every other one. It happens when a daemon that has
+    // learnt of a change from a message broadcasts it again.
     const news = { daemon: 'daemon-2', life: 1, number: 1, revision: 9n };
     other.send(encodeNews(news, SECRET), task.port, HOST);
-    await until(() => heard.length > 0);
-    expect(heard).toEqual([9]);
+    await until(() => receivedRevisions.length > 0);
+    expect(receivedRevisions).toEqual([9]);
     revision = 9;
     task.tellChange();
     revision = 10;
     task.tellChange();
-    await until(() => told.includes(10));
-    expect(told.includes(9)).toEqual(false);
+    await until(() => broadcastRevisions.includes(10));
+    expect(broadcastRevisions.includes(9)).toEqual(false);
   });
 });
--- a/src/news/NewsTask.ts
+++ b/src/news/NewsTask.ts
@@ -1,6 +1,6 @@
 /**
- * Sends this daemon's news to the others and takes theirs, in datagrams: each message holds all counts, so that
- * a lost one is made good by the next.
+ * Broadcasts this daemon's state to the other daemons and receives theirs, in datagrams. Each message holds all
+ * counts, so the next message makes up for a lost one.
  */
 import { randomInt } from 'node:crypto';
 
@@ -26,82 +26,97 @@
   warmPlaces: WarmPlaces;
   clock: Clock;
   log: Log;
-  /** The store's revision of the latest change that bears on requests, as far as it is known here. */
+  /** Returns the store's revision of the latest known change that affects requests. */
   changedAtRevision: () => number;
-  /** Hears what another daemon knows of that. */
+  /** Called with the latest such revision that any other daemon has reported. */
   onRevision: (revision: number) => void;
-  /** The daemons that are told. */
+  /** Returns the addresses of the daemons to which the state is broadcast. */
   others: () => readonly HostAndPort[];
-  /** All daemons of the fleet; each of them tells those that are told. */
+  /**
+   * Returns the number of all daemons of the fleet, each of which broadcasts to the same recipients.
+   */
   daemons?: () => number;
-  /** The secret of the fleet, once it is known. */
+  /** Returns the fleet's secret, or `undefined` while it is unknown. */
   secret: () => string | undefined;
-  /** Requests that coordinators gave runners to, as far as the loads include them. */
+  /** Returns the latest grants of the coordinators that the reported loads include. */
   countedGrants?: () => MessageInitShape<typeof DaemonNewsSchema>['grants'];
   /** Whether this daemon is in a planned stop. */
   isLeaving?: () => boolean;
-  /** Where bytes of datagrams are counted. */
+  /** Registry for the counter of sent bytes. */
   registry: MetricRegistry;
-  /** Hears what another daemon has told. */
+  /** Called with each new message of another daemon. */
   onNews?: (news: DaemonNews) => void;
 }
 
-/** Between messages to up to eight others, in ms; a request lasts about three of them. */
+/**
+ * Interval between messages with up to eight recipients, in ms; a request lasts about three intervals.
+ */
 const INTERVAL_MILLISECONDS = 100;
 
 /**
- * Others for which the interval is kept; with more of them it grows in proportion, so that a daemon sends the
- * same number of datagrams a second at any size of the fleet: 80, about 20 µs each.
+ * Number of recipients up to which the interval applies. With more recipients the interval grows in proportion, so
+ * that a daemon sends the same number of datagrams per second at any fleet size: 80, about 20 µs each.
  */
-const OTHERS_AT_INTERVAL = 8;
+const RECIPIENTS_AT_INTERVAL = 8;
 
-/** Datagrams with news that a daemon takes a second; about 60 µs each. */
-const TAKEN_PER_SECOND = 320;
+/** Maximum number of these datagrams that a daemon receives per second; about 60 µs each. */
+const MAXIMUM_RECEIVED_PER_SECOND = 320;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Unchanged counts are told again after this time, so that they do not lapse; in ms. */
+/**
+ * Interval at which unchanged counts are sent again, in ms, so that the recipients do not drop them.
+ */
 const REPEAT_MILLISECONDS = 1_000;
 
-/** A timer may be this much early, in ms: the message would be sent an interval later, as if it had been lost. */
+/**
+ * A timer may fire this much too early, in ms. Without this tolerance the message would be sent an interval later, as
+ * if one had been lost.
+ */
 const TIMER_SLACK_MILLISECONDS = 20;
 
-/** New warm places in one message: it has to fit into a datagram of 1,400 bytes. */
+/**
+ * Maximum number of new warm places in one message, which has to fit into a datagram of 1,400 bytes.
+ */
 const MAXIMUM_WARM = 8;
 
-/** Warm places that wait to be told; older ones are dropped, others will find them by hashing. */
-const MAXIMUM_WAITING = 400;
+/**
+ * Maximum number of warm places waiting to be sent. The oldest ones are dropped; other daemons find them by hashing.
+ */
+const MAXIMUM_WAITING_WARM = 400;
 
-/** Two lives of one daemon get the same number once in this many restarts. */
-const LIVES = 2 ** 32;
+/**
+ * Number of possible incarnation numbers: two incarnations of a daemon get the same one once in this many restarts.
+ */
+const INCARNATION_NUMBERS = 2 ** 32;
 
-/** Owns the socket. */
+/** Owns the socket and the timer. */
 export class NewsTask {
-  /** Carries the other kinds of messages between daemons too. */
+  /** The socket; it also carries the other kinds of messages between daemons. */
   readonly socket: FleetSocket;
 
   private readonly options: Required<NewsTaskOptions>;
 
-  private readonly life = randomInt(LIVES);
+  private readonly life = randomInt(INCARNATION_NUMBERS);
 
-  private readonly waiting: MessageInitShape<typeof WarmPartSchema>[] = [];
+  private readonly waitingWarm: MessageInitShape<typeof WarmPartSchema>[] = [];
 
   private timer: NodeJS.Timeout | undefined;
 
   private number = 0;
 
-  private lastTold = '';
+  private lastSent = '';
 
   private lastSentAt = 0;
 
-  /** Of the latest change that this daemon was the first to tell of. */
-  private toldRevision = 0;
+  /** Revision of the latest change that this daemon reported before any other. */
+  private reportedRevision = 0;
 
-  /** Of the latest change that another daemon has told of. */
-  private heardRevision = 0;
+  /** Revision of the latest change that another daemon has reported. */
+  private receivedRevision = 0;
 
   /**
-   * @param options - what is told, and to whom.
+   * @param options - the state to broadcast, and its recipients.
    */
   constructor(options: NewsTaskOptions) {
     this.options = {
@@ -117,50 +132,55 @@
       labels: ['kind'] as const,
     });
     this.socket = new FleetSocket({ ...options, sentBytes });
-    this.socket.handle(MessageKind.UNSPECIFIED, (message) => this.take(message));
+    this.socket.handle(MessageKind.UNSPECIFIED, (message) => this.receive(message));
   }
 
   /**
-   * @param address - of this daemon for news.
-   * @returns Once news is taken.
+   * Opens the socket and starts to broadcast.
+   *
+   * @param address - address at which this daemon receives datagrams.
+   * @returns Once the socket is bound.
    */
   async listen(address: HostAndPort): Promise<void> {
     await this.socket.listen(address);
     this.schedule();
   }
 
-  /** @returns The port at which news is taken. */
+  /** @returns The port at which datagrams are received. */
   get port(): number {
     return this.socket.port;
   }
 
   /**
-   * @param key - a shared part of prompts.
-   * @param life - of the runner where it was sent for the first time.
+   * Adds a warm place to the next messages.
+   *
+   * @param key - key of a shared prompt part.
+   * @param life - incarnation of the runner to which it was sent for the first time.
    */
   tellWarm(key: string, life: string): void {
-    this.waiting.push({ key, runner: life });
-    if (this.waiting.length > MAXIMUM_WAITING) this.waiting.shift();
+    this.waitingWarm.push({ key, runner: life });
+    if (this.waitingWarm.length > MAXIMUM_WAITING_WARM) this.waitingWarm.shift();
   }
 
   /**
-   * Tells of a change at once if nobody else has: whichever daemon reads it first spares the others their wait.
-   * Who learnt of it from a message stays silent, or each change would be told by all to all.
+   * Broadcasts a change at once, if no other daemon has reported it: the first daemon that reads it saves the others
+   * the wait for their next read of the store. A daemon that learnt of the change from a message does not broadcast
+   * it, because otherwise every daemon would send each change to every other.
    */
   tellChange(): void {
     const revision = this.options.changedAtRevision();
-    if (revision <= Math.max(this.heardRevision, this.toldRevision)) return;
-    this.toldRevision = revision;
+    if (revision <= Math.max(this.receivedRevision, this.reportedRevision)) return;
+    this.reportedRevision = revision;
     this.send();
   }
 
-  /** Neither sends nor takes from now on. */
+  /** Stops sending and receiving. */
   close(): void {
     clearTimeout(this.timer);
     this.socket.close();
   }
 
-  /** @returns Longest pause between two messages where nothing changes, in ms. */
+  /** @returns Longest pause between two messages while nothing changes, in ms. */
   get longestPauseMilliseconds(): number {
     const interval = this.intervalMilliseconds;
     return interval * Math.ceil(REPEAT_MILLISECONDS / interval);
@@ -168,9 +188,10 @@
 
   private get intervalMilliseconds(): number {
     const { others, daemons } = this.options;
-    const forSending = INTERVAL_MILLISECONDS * Math.max(1, others().length / OTHERS_AT_INTERVAL);
-    const forTaking = (daemons() * MILLISECONDS_PER_SECOND) / TAKEN_PER_SECOND;
-    return Math.max(forSending, forTaking);
+    const forSending =
+      INTERVAL_MILLISECONDS * Math.max(1, others().length / RECIPIENTS_AT_INTERVAL);
+    const forReceiving = (daemons() * MILLISECONDS_PER_SECOND) / MAXIMUM_RECEIVED_PER_SECOND;
+    return Math.max(forSending, forReceiving);
   }
 
   private schedule(): void {
@@ -189,13 +210,13 @@
     const loads = busy.map(({ entry, inFlight }) => ({ runner: entry.life, requests: inFlight }));
     const grants = this.options.countedGrants();
     const isLeaving = this.options.isLeaving();
-    const told = JSON.stringify([loads, changedAtRevision(), grants, isLeaving]);
+    const content = JSON.stringify([loads, changedAtRevision(), grants, isLeaving]);
     const isDue = now - this.lastSentAt >= REPEAT_MILLISECONDS - TIMER_SLACK_MILLISECONDS;
-    if (told === this.lastTold && this.waiting.length === 0 && !isDue) return;
-    this.lastTold = told;
+    if (content === this.lastSent && this.waitingWarm.length === 0 && !isDue) return;
+    this.lastSent = content;
     this.lastSentAt = now;
     this.number += 1;
-    const warm = this.waiting.splice(0, MAXIMUM_WARM);
+    const warm = this.waitingWarm.splice(0, MAXIMUM_WARM);
     const { life, number } = this;
     const revision = BigInt(changedAtRevision());
     const state = { loads, warm, revision, grants, isLeaving };
@@ -203,13 +224,13 @@
     this.socket.send(MessageKind.UNSPECIFIED, toBinary(DaemonNewsSchema, news), others());
   }
 
-  private take(message: Uint8Array): void {
+  private receive(message: Uint8Array): void {
     const { loads, warmPlaces, clock, daemon, onRevision, onNews } = this.options;
     const news = fromBinary(DaemonNewsSchema, message);
     if (news.daemon === daemon) return;
     if (loads.take(news, clock.monotonicMilliseconds())) onNews(news);
     for (const { key: parts, runner } of news.warm) warmPlaces.learn(parts, runner);
-    this.heardRevision = Math.max(this.heardRevision, Number(news.revision));
-    onRevision(this.heardRevision);
+    this.receivedRevision = Math.max(this.receivedRevision, Number(news.revision));
+    onRevision(this.receivedRevision);
   }
 }
--- a/src/news/RepeatedNews.ts
+++ b/src/news/RepeatedNews.ts
@@ -1,15 +1,15 @@
 /**
- * Sends each piece of news several times: datagrams get lost.
+ * Sends each item several times, because datagrams get lost.
  */
 
-/** Calls later. */
+/** Schedules a call after a delay in ms. */
 export type Later = (call: () => void, milliseconds: number) => unknown;
 
-/** News to be sent. */
+/** An item to be sent. */
 export interface WaitingNews {
-  /** Names what it is about; a later one replaces it. */
+  /** Identifies the item's subject; a later item with the same key replaces an earlier one. */
   readonly key: string;
-  /** Whether this daemon has seen it itself; others have told it of the rest. */
+  /** Whether this daemon has observed it itself; otherwise another daemon reported it. */
   readonly isSeen: boolean;
 }
 
@@ -19,14 +19,14 @@
   later?: Later | undefined;
 }
 
-/** Each piece is sent so often. */
+/** Number of times that each item is sent. */
 const SENDS = 3;
 
-/** Between two of these, in ms. */
+/** Delay between these, in ms. */
 const RESEND_MILLISECONDS = 150;
 
-/** What is seen in the same moment goes into one message; in ms. */
-const GATHER_MILLISECONDS = 5;
+/** Delay in which items are collected into one message, in ms. */
+const COLLECT_MILLISECONDS = 5;
 
 /** Owns the timer. */
 export class RepeatedNews {
@@ -41,7 +41,7 @@
   private isStopped = false;
 
   /**
-   * @param options - how it is sent.
+   * @param options - how items are sent and calls are scheduled.
    */
   constructor({ send, later = setTimeout }: RepeatedNewsOptions) {
     this.send = send;
@@ -49,15 +49,17 @@
   }
 
   /**
-   * @param news - to be sent from now on.
+   * Adds an item, or restarts the sending of one with the same key.
+   *
+   * @param news - the item.
    */
   add({ key, isSeen }: WaitingNews): void {
     const wasSeen = this.waiting.get(key)?.isSeen ?? false;
     this.waiting.set(key, { left: SENDS, isSeen: isSeen || wasSeen });
-    this.schedule(GATHER_MILLISECONDS);
+    this.schedule(COLLECT_MILLISECONDS);
   }
 
-  /** Sends no more. */
+  /** Stops sending. */
   stop(): void {
     this.isStopped = true;
     this.waiting.clear();
--- a/src/news/news.spec.ts
+++ b/src/news/news.spec.ts
@@ -9,7 +9,7 @@
 import { ForeignLoads } from './ForeignLoads.js';
 import { decodeNews, encodeNews } from './newsCodec.js';
 
-/** Requests by runner. */
+/** Number of requests by runner. */
 type Counts = Readonly<Record<string, number>>;
 
 function newsOf({
@@ -20,8 +20,8 @@
   return create(DaemonNewsSchema, { daemon: 'd', life: 1, number: 1, loads, ...changes });
 }
 
-describe('news between daemons', () => {
-  it('is taken only with the seal of the fleet', () => {
+describe('messages between daemons', () => {
+  it('are accepted only with a valid authentication code', () => {
     const datagram = encodeNews(newsOf(), 'secret');
     expect(decodeNews(datagram, 'secret')).toEqual(newsOf());
     expect(decodeNews(datagram, 'other')).toEqual(undefined);
@@ -31,7 +31,7 @@
     expect(() => decodeNews(Buffer.alloc(4), 'secret')).toThrow();
   });
 
-  it('sums what daemons have, and lets older messages not undo newer ones', () => {
+  it('add up the requests of all daemons, and older messages do not replace newer ones', () => {
     const loads = new ForeignLoads();
     loads.take(newsOf({ number: 5, counts: { r: 3 } }), 0);
     loads.take(newsOf({ number: 4, counts: { r: 9 } }), 1);
@@ -41,18 +41,18 @@
     expect(loads.of('r')).toEqual(1);
   });
 
-  it('takes the news of a daemon that has started anew, whatever its clock says', () => {
-    // Symptom: a runner looks fuller or emptier than it is for seconds. Sequence: the time of day is set back,
-    // and a daemon starts anew. Cause: its lives were ordered by their time, and the new one looked older.
+  it('are accepted from a daemon that has restarted, whatever its clock says', () => {
+    // Guards against a runner that appears more or less loaded than it is for seconds. It happens when the time of
+    // day is set back and a daemon restarts, if its incarnations are ordered by time: the new one looks older.
     const loads = new ForeignLoads();
     loads.take(newsOf({ life: 9, number: 50, counts: { r: 3 } }), 0);
     loads.take(newsOf({ life: 4, number: 1, counts: { r: 1 } }), 1);
     expect(loads.of('r')).toEqual(1);
   });
 
-  it('forgets what a daemon had that has fallen silent', () => {
-    // Symptom: runners look full for good. Sequence: a daemon dies with requests under way. Cause: its last
-    // message stood for ever.
+  it('expire when a daemon sends no more', () => {
+    // Guards against runners that appear full for ever. It happens when a daemon dies with requests in flight, if its
+    // last message never expires.
     const loads = new ForeignLoads();
     loads.take(newsOf(), 0);
     loads.expire(2_501);
--- a/src/news/newsCodec.ts
+++ b/src/news/newsCodec.ts
@@ -1,5 +1,6 @@
 /**
- * Seals messages with the secret that the daemons of a fleet share, so that nobody else can steer choices.
+ * Authenticates messages with the secret that the daemons of a fleet share, so that nobody else can influence the
+ * choice of runners.
  */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 
@@ -13,50 +14,57 @@
 } from '../generated/baobabdock/v1/news_pb.js';
 import type { DaemonNews } from '../generated/baobabdock/v1/news_pb.js';
 
-/** Half of SHA-256 is as hard to guess as a random key of that length; in bytes. */
-const SEAL_BYTES = 16;
+/**
+ * Length of a message authentication code in bytes. Half of a SHA-256 hash is as hard to guess as a random key of
+ * that length.
+ */
+const AUTHENTICATION_CODE_BYTES = 16;
 
-/** A message that was sealed by a daemon of the fleet. */
+/** A message whose authentication code is valid. */
 export interface OpenedMessage {
   readonly kind: MessageKind;
   readonly message: Uint8Array;
 }
 
-/** The kind is sealed too, or a message of one kind could be passed off as one of another. */
-function sealOf(kind: MessageKind, message: Uint8Array, secret: string): Buffer {
+/**
+ * The code covers the kind, because otherwise a message of one kind could be passed off as one of another.
+ */
+function authenticationCodeOf(kind: MessageKind, message: Uint8Array, secret: string): Buffer {
   const hmac = createHmac('sha256', secret);
-  // News are sealed without their kind, as daemons of earlier versions do.
+  // Messages of the kind `UNSPECIFIED` are authenticated without their kind, as daemons of earlier versions do.
   if (kind !== MessageKind.UNSPECIFIED) hmac.update(Uint8Array.of(kind));
-  return hmac.update(message).digest().subarray(0, SEAL_BYTES);
+  return hmac.update(message).digest().subarray(0, AUTHENTICATION_CODE_BYTES);
 }
 
 /**
- * @param kind - of the message.
- * @param message - encoded.
- * @param secret - of the fleet.
- * @returns One datagram.
+ * @param kind - kind of the message.
+ * @param message - the encoded message.
+ * @param secret - the fleet's secret.
+ * @returns The datagram.
  */
 export function sealMessage(kind: MessageKind, message: Uint8Array, secret: string): Uint8Array {
-  const seal = sealOf(kind, message, secret);
+  const seal = authenticationCodeOf(kind, message, secret);
   return toBinary(SealedNewsSchema, create(SealedNewsSchema, { seal, message, kind }));
 }
 
 /**
- * @param datagram - as received.
- * @param secret - of the fleet.
- * @returns The message, or `undefined` where the seal is not one of the fleet.
- * @throws When it is no sealed message.
+ * @param datagram - a received datagram.
+ * @param secret - the fleet's secret.
+ * @returns The message, or `undefined` if its authentication code is not valid.
+ * @throws When the datagram cannot be decoded.
  */
 export function openMessage(datagram: Uint8Array, secret: string): OpenedMessage | undefined {
   const { seal, message, kind } = fromBinary(SealedNewsSchema, datagram);
-  if (seal.length !== SEAL_BYTES) return undefined;
-  return timingSafeEqual(seal, sealOf(kind, message, secret)) ? { kind, message } : undefined;
+  if (seal.length !== AUTHENTICATION_CODE_BYTES) return undefined;
+  return timingSafeEqual(seal, authenticationCodeOf(kind, message, secret))
+    ? { kind, message }
+    : undefined;
 }
 
 /**
  * @param news - the message.
- * @param secret - of the fleet.
- * @returns One datagram.
+ * @param secret - the fleet's secret.
+ * @returns The datagram.
  */
 export function encodeNews(
   news: MessageInitShape<typeof DaemonNewsSchema>,
@@ -67,10 +75,10 @@
 }
 
 /**
- * @param datagram - as received.
- * @param secret - of the fleet.
- * @returns The message, or `undefined` where the seal is not one of the fleet.
- * @throws When it is no message of this kind.
+ * @param datagram - a received datagram.
+ * @param secret - the fleet's secret.
+ * @returns The message, or `undefined` if its authentication code is not valid.
+ * @throws When the datagram or the message in it cannot be decoded.
  */
 export function decodeNews(datagram: Uint8Array, secret: string): DaemonNews | undefined {
   const opened = openMessage(datagram, secret);
