--- a/src/routing/PlacementDecisions.spec.ts
+++ b/src/routing/PlacementDecisions.spec.ts
@@ -74,8 +74,8 @@
 describe(PlacementDecisions.name, () => {
   for (const state of ['leaving', 'down', 'ejected', 'suspect'] as const) {
     it(`moves only a runner's own share when it is ${state}, and moves it back after`, () => {
-      // Symptom: caches all over the pool go cold when one runner flaps. Sequence: it leaves, returns,
-      // leaves. Cause: a placement that depends on the number or the positions of the others.
+      // Guards against cold caches all over the pool when one runner leaves and returns repeatedly. It happens if a
+      // placement depends on the number or the positions of the other runners.
       const gone = withState(QUESTION.candidates, 'runner-4', state);
       const returned = withState(gone, 'runner-4', 'live');
       let moved = 0;
@@ -109,7 +109,7 @@
     expect(Math.abs(share - 2 / 9) < 0.03).toEqual(true);
   });
 
-  it('stays where the chat is warm, on the least loaded, and names the others', () => {
+  it('chooses the least loaded warm runner, and lists the others as passed over', () => {
     const action = place({
       warm: [
         { runnerId: 'runner-1', cachedTokens: 900, ageMilliseconds: 5 },
@@ -137,7 +137,7 @@
     });
   });
 
-  it('weighs reuse against load as the policy says', () => {
+  it('weighs cache reuse against load by the policy', () => {
     const question = {
       warm: [{ runnerId: 'runner-0', cachedTokens: 900, ageMilliseconds: 5 }],
       mean: 1_000,
@@ -153,7 +153,7 @@
     );
   });
 
-  it('waits a moment where it is warm, but no longer than the cache is worth', () => {
+  it('waits at a warm runner, but not longer than the cached tokens are worth', () => {
     const warm = [{ runnerId: 'runner-0', cachedTokens: 600, ageMilliseconds: 5 }];
     const short = place({
       warm,
@@ -184,9 +184,9 @@
     ]);
   });
 
-  it('goes back to the gate that expects room first rather than to the one all believe lightest', () => {
-    // Symptom: one runner's queue overflows while others have room in a moment. Sequence: a busy pool; all
-    // daemons heard of the same lightest runner. Cause: everybody's last choice went there.
+  it('returns to the gate that expects room first instead of the reportedly least loaded one', () => {
+    // Guards against a queue that overflows at one runner while others have room within moments. It happens in a busy
+    // pool if all daemons know the same least loaded runner and make it their last choice.
     const refusals = ['runner-0', 'runner-2', 'runner-4'].map((id, index) =>
       refusal(id, { retryAfterMilliseconds: 300 - index * 100 }),
     );
@@ -227,14 +227,14 @@
     });
   }
 
-  it('keeps an account with limits on its own few runners', () => {
+  it('restricts an account with limits to a few runners of its own', () => {
     const used = new Set(
       CHATS.map((chat) => runnerOf({ chat, accountRunners: 3, dataCentre: 'none' })),
     );
     expect(used.size).toEqual(3);
   });
 
-  it('gives up at once without runners or time', () => {
+  it('gives up at once if there are no runners or no time is left', () => {
     expect(place({ candidates: [] })).toLooseEqual({
       kind: 'give_up',
       requestId: 'request',
--- a/src/routing/PlacementDecisions.ts
+++ b/src/routing/PlacementDecisions.ts
@@ -1,6 +1,7 @@
 /**
- * Chooses the runner for a request, and the next one after a refusal. It knows loads only roughly and late:
- * the gates keep the bound, the choice keeps the caches warm and spreads what has no cache to lose.
+ * Chooses the runner for a request, and the next one after a refusal. It knows loads only approximately and with a
+ * delay: the gates enforce the load bound, while this choice keeps caches warm and spreads requests that have no
+ * cached prefix.
  */
 import { Decisions } from '../decisions/Decisions.js';
 import { PlacementView } from './placementView.js';
@@ -18,31 +19,40 @@
 
 /** Options of {@link PlacementDecisions}. */
 export interface PlacementDecisionsOptions {
-  /** Gates that one request asks at most, so that a busy pool is not made busier by asking. */
+  /**
+   * Maximum number of gates that one request asks, so that asking does not add to the load of a busy pool.
+   */
   maximumAttempts?: number;
-  /** How long to wait at a warm runner for each cached token there, in ms; see the constant's comment. */
+  /**
+   * Longest worthwhile wait at a warm runner for each token cached there, in ms; see the comment of the default.
+   */
   waitMillisecondsPerCachedToken?: number;
   /** Longest wait at a warm runner that is preferred to a cold one, in ms. */
   maximumWarmWaitMilliseconds?: number;
 }
 
-/** Enough to find room in a pool that has some; each costs a hop. */
+/** Enough to find room in a pool that has some; each attempt costs a network hop. */
 export const DEFAULT_MAXIMUM_ATTEMPTS = 4;
 
 /**
- * An engine rebuilds some tokens in a ms, but it also holds up its whole batch meanwhile, and the chat's next
- * turns go to where it went. Measured: at 0.2 ms 95.2 % of returning chats landed warm, at 0.4 ms 97.0 %, at
- * 1 ms 97.5 %, while the slowest 5 % of requests waited 247, 354 and 333 ms to start.
+ * An engine recomputes some tokens per ms, but its whole batch is delayed meanwhile, and the chat's next turns go to
+ * the runner chosen now. Measured: at 0.2 ms 95.2 % of returning chats reached a warm runner, at 0.4 ms 97.0 %, at 1
+ * ms 97.5 %, while the slowest 5 % of requests waited 247, 354 and 333 ms to start.
  */
 export const DEFAULT_WAIT_MILLISECONDS_PER_CACHED_TOKEN = 1;
 
-/** A first token should come within a second. */
+/** In ms; the first token should arrive within a second. */
 export const DEFAULT_MAXIMUM_WARM_WAIT_MILLISECONDS = 700;
 
-/** A gate that expects room within this time is as good as a light one that nobody has asked. */
+/**
+ * A gate that expects room within this time, in ms, is preferred to a lightly loaded one that has not been asked.
+ */
 const SHORT_WAIT_MILLISECONDS = 500;
 
-/** Refusals of a gate that was asked to queue: asking elsewhere would find the same or worse. */
+/**
+ * Refusals of a gate that was asked to queue the request; asking another gate would give the same result or a worse
+ * one.
+ */
 const FINAL_REASONS: ReadonlySet<string> = new Set([
   'queue_full',
   'deadline_unreachable',
@@ -58,7 +68,7 @@
   readonly passedOver?: readonly PassedOver[];
 }
 
-/** Stateless: the answer depends on the question alone. */
+/** Stateless: the result depends on the question alone. */
 export class PlacementDecisions extends Decisions<PlacementMessage, PlacementAction> {
   private readonly maximumAttempts: number;
 
@@ -67,7 +77,7 @@
   private readonly maximumWarmWaitMilliseconds: number;
 
   /**
-   * @param options - limits.
+   * @param options - limits on attempts and waits.
    */
   constructor({
     maximumAttempts = DEFAULT_MAXIMUM_ATTEMPTS,
@@ -89,13 +99,15 @@
   }
 
   /**
-   * @param question - the request with all that is known and refused so far.
-   * @returns Where to go next, or that nobody is left.
+   * Chooses the next runner for a request.
+   *
+   * @param question - the request, with all that is known and all refusals so far.
+   * @returns The runner to ask next, or why no runner is left.
    */
   place(question: PlacementQuestion): PlacementAction {
     const view = new PlacementView(question);
     const attempt = question.refusals.length + 1;
-    const end = this.endOf(question, attempt);
+    const end = this.finalReasonOf(question, attempt);
     if (end) return PlacementDecisions.giveUp(question, view, end);
     const remaining = view.remaining();
     if (remaining === 0 && attempt === 1)
@@ -116,7 +128,7 @@
     };
   }
 
-  private endOf(question: PlacementQuestion, attempt: number): GiveUpReason | undefined {
+  private finalReasonOf(question: PlacementQuestion, attempt: number): GiveUpReason | undefined {
     if (question.deadlineMilliseconds <= 0) return 'deadline';
     const final = question.refusals.find((one) => one.lastChoice && FINAL_REASONS.has(one.reason));
     if (final?.reason === 'account_limit') return 'account_limit';
@@ -126,12 +138,16 @@
 
   private choose(question: PlacementQuestion, view: PlacementView): Chosen | undefined {
     return (
-      this.amongWarm(question, view) ?? this.waitAtWarm(question, view) ?? this.cold(question, view)
+      this.chooseWarm(question, view) ??
+      this.waitAtWarm(question, view) ??
+      this.chooseCold(question, view)
     );
   }
 
-  /** The best of the warm runners, or the lightest of the cold choices where load weighs more. */
-  private amongWarm(question: PlacementQuestion, view: PlacementView): Chosen | undefined {
+  /**
+   * The warm runner with the lowest cost, or the least loaded of the cold choices if load outweighs reuse.
+   */
+  private chooseWarm(question: PlacementQuestion, view: PlacementView): Chosen | undefined {
     if (view.warm.length === 0) return undefined;
     const { reuseWeight, coldChoices } = question.policy;
     const prompt = Math.max(1, question.promptTokens);
@@ -140,19 +156,21 @@
     const warmest = PlacementDecisions.least(view.warm, (entry) =>
       cost(entry.candidate, entry.cachedTokens),
     );
-    const cold = view
+    const coldCandidates = view
       .firstInOrder(0, coldChoices)
       .filter(({ id }) => !view.warm.some(({ candidate }) => candidate.id === id));
-    const lighter = cold.find(
+    const lighter = coldCandidates.find(
       (candidate) => cost(candidate, 0) < cost(warmest.candidate, warmest.cachedTokens),
     );
     if (!lighter)
       return {
         candidate: warmest.candidate,
         reason: 'warm',
-        passedOver: PlacementDecisions.lessGood(view.warm, warmest, view),
+        passedOver: PlacementDecisions.lessSuitable(view.warm, warmest, view),
       };
-    const coldest = PlacementDecisions.least(cold, (candidate) => view.relativeLoad(candidate));
+    const coldest = PlacementDecisions.least(coldCandidates, (candidate) =>
+      view.relativeLoad(candidate),
+    );
     const passedOver = view.warm.map(({ candidate }) => ({
       runnerId: candidate.id,
       reason: 'more_loaded' as const,
@@ -160,7 +178,9 @@
     return { candidate: coldest, reason: 'cold', passedOver };
   }
 
-  /** Waiting a moment where the prefix is cached, when that is shorter than rebuilding it elsewhere. */
+  /**
+   * Waits at a runner that has cached the prefix, if that takes less time than recomputing the prefix elsewhere.
+   */
   private waitAtWarm(question: PlacementQuestion, view: PlacementView): Chosen | undefined {
     if (view.warmRefused.length === 0) return undefined;
     const shortest = PlacementDecisions.least(
@@ -168,13 +188,13 @@
       ({ refusal }) => refusal.retryAfterMilliseconds,
     );
     const worth = shortest.cachedTokens * this.waitMillisecondsPerCachedToken;
-    const patience = Math.min(this.maximumWarmWaitMilliseconds, worth);
+    const longestWait = Math.min(this.maximumWarmWaitMilliseconds, worth);
     const wait = shortest.refusal.retryAfterMilliseconds;
-    if (wait > patience * question.policy.reuseWeight) return undefined;
+    if (wait > longestWait * question.policy.reuseWeight) return undefined;
     return { candidate: shortest.candidate, reason: 'warm_wait', lastChoice: true };
   }
 
-  private cold(question: PlacementQuestion, view: PlacementView): Chosen | undefined {
+  private chooseCold(question: PlacementQuestion, view: PlacementView): Chosen | undefined {
     const warmIds = new Set(question.warm.map(({ runnerId }) => runnerId));
     const asked = question.refusals.filter(({ runnerId }) => !warmIds.has(runnerId)).length;
     const first = view.firstInOrder(asked, Math.max(1, question.policy.coldChoices));
@@ -188,8 +208,9 @@
   }
 
   /**
-   * Whoever will have room first. A gate that refused said when, so it goes before one that is only believed
-   * to be light: every daemon hears of the same lightest runner, and its queue would get everybody's last choice.
+   * Chooses the runner that is expected to have room first. A gate that refused has given a time, so it takes
+   * precedence over a runner that is lightly loaded only by report: every daemon receives the same report, and that
+   * runner's queue would get the last choice of all of them.
    */
   private lastChoice(question: PlacementQuestion, view: PlacementView): Chosen | undefined {
     const waiting = this.waitAtWarm(question, view);
@@ -209,7 +230,7 @@
     return { candidate: light, reason: isWarm ? 'warm' : 'lightest' };
   }
 
-  private static lessGood(
+  private static lessSuitable(
     warm: readonly WarmCandidate[],
     chosen: WarmCandidate,
     view: PlacementView,
@@ -223,7 +244,7 @@
       }));
   }
 
-  /** The first of the least, so that equal ones keep their order. */
+  /** The first item with the lowest cost, so that equal items keep their order. */
   private static least<Item>(items: readonly Item[], cost: (item: Item) => number): Item {
     let best = items[0] as Item;
     let bestCost = cost(best);
@@ -246,12 +267,12 @@
       kind: 'give_up',
       requestId: question.requestId,
       reason,
-      retryAfterMilliseconds: PlacementDecisions.comeBackAfter(question.refusals),
+      retryAfterMilliseconds: PlacementDecisions.shortestRetryAfter(question.refusals),
       passedOver: view.passedOver(),
     };
   }
 
-  private static comeBackAfter(refusals: readonly PlacementRefusal[]): number {
+  private static shortestRetryAfter(refusals: readonly PlacementRefusal[]): number {
     const waits = refusals.map(({ retryAfterMilliseconds }) => retryAfterMilliseconds);
     return waits.length === 0 ? 0 : Math.min(...waits);
   }
--- a/src/routing/PlacementPool.ts
+++ b/src/routing/PlacementPool.ts
@@ -1,27 +1,30 @@
 /**
- * The runners of a pool, sorted out once for many requests: who may serve, from where, and how much each takes.
+ * The runners of a pool, indexed once for many requests: which of them may serve, how far away they are, and how much
+ * load each should take.
  */
 import type { RunnerState } from '../gates/gateTypes.js';
 import type { PlacementCandidate } from './placementTypes.js';
 
-/** 0: the same data centre, 1: the same region, 2: another region. */
+/**
+ * Distance between a daemon and a runner. 0: the same data centre, 1: the same region, 2: another region.
+ */
 export type Distance = 0 | 1 | 2;
 
-/** Where a daemon is. */
+/** Location of a daemon or a runner. */
 export interface Place {
   readonly dataCentre: string;
   readonly region: string;
 }
 
-/** Runners in reach of a place. */
+/** Runners that can be reached from a place. */
 export interface Reach {
-  /** Runners by distance; each list also holds the nearer ones. */
+  /** Runners by distance; each list also holds the nearer runners. */
   readonly within: readonly [
     readonly PlacementCandidate[],
     readonly PlacementCandidate[],
     readonly PlacementCandidate[],
   ];
-  /** The least distance at which there is anybody; 2 also when there is nobody. */
+  /** The smallest distance at which there is a runner; 2 also if there is none. */
   readonly nearest: Distance;
 }
 
@@ -36,7 +39,7 @@
   return candidate.dataCentre === place.dataCentre ? 0 : 1;
 }
 
-/** A reading of one list of runners; it never changes. */
+/** Immutable index of one list of runners. */
 export class PlacementPool {
   private static readonly pools = new WeakMap<readonly PlacementCandidate[], PlacementPool>();
 
@@ -44,7 +47,7 @@
 
   private readonly averageWeight: number;
 
-  /** Those that may be asked: live ones, or suspect ones where there is nobody else. */
+  /** Runners that may be asked: the live ones, or the suspect ones if none is live. */
   private readonly usable: readonly PlacementCandidate[];
 
   private readonly reaches = new Map<string, Reach>();
@@ -54,15 +57,17 @@
     const weight = candidates.reduce((sum, candidate) => sum + weightOf(candidate), 0);
     this.averageWeight = weight / Math.max(1, candidates.length);
     const live = candidates.filter(({ state }) => state === 'live');
-    // A suspicion is often wrong; when nobody else is left, trying is better than refusing.
+    // A suspicion is often wrong; if no other runner is left, trying a suspect one is better than refusing the
+    // request.
     this.usable = live.length > 0 ? live : candidates.filter(({ state }) => state === 'suspect');
   }
 
   /**
-   * Sorting out costs far more than one choice, so the result is kept as long as the list itself.
+   * Returns the index of a list. Building it costs far more than one choice, so it is cached as long as the list
+   * exists.
    *
-   * @param candidates - a list that is replaced, never changed, when the runners change.
-   * @returns Its pool.
+   * @param candidates - list of runners, which is replaced and never modified when the runners change.
+   * @returns Its index.
    */
   static of(candidates: readonly PlacementCandidate[]): PlacementPool {
     const known = PlacementPool.pools.get(candidates);
@@ -73,16 +78,16 @@
   }
 
   /**
-   * @param runnerId - a runner.
-   * @returns What is known of it.
+   * @param runnerId - identifier of a runner.
+   * @returns The runner; `undefined` if it is not in the pool.
    */
   candidate(runnerId: string): PlacementCandidate | undefined {
     return this.byId.get(runnerId);
   }
 
   /**
-   * @param runnerId - a runner.
-   * @returns Its state if that keeps it from being asked.
+   * @param runnerId - identifier of a runner.
+   * @returns Its state, if that keeps it from being asked.
    */
   obstacle(runnerId: string): Exclude<RunnerState, 'live'> | undefined {
     const state = this.byId.get(runnerId)?.state;
@@ -93,15 +98,15 @@
 
   /**
    * @param candidate - a runner.
-   * @returns How much of an average runner's load is fair for it.
+   * @returns Its fair share of the load, as a multiple of the average runner's.
    */
   fairShare(candidate: PlacementCandidate): number {
     return weightOf(candidate) / this.averageWeight;
   }
 
   /**
-   * @param place - where a daemon is.
-   * @returns Runners that may be asked, by distance from it.
+   * @param place - location of a daemon.
+   * @returns The runners that may be asked, by distance from it.
    */
   reachOf({ dataCentre, region }: Place): Reach {
     const key = `${region}\n${dataCentre}`;
--- a/src/routing/placementReach.spec.ts
+++ b/src/routing/placementReach.spec.ts
@@ -1,5 +1,5 @@
 /**
- * How far a request may go when the nearest runners refuse.
+ * Tests how far a request may go when the nearest runners refuse it.
  */
 import { describe, it } from 'node:test';
 
@@ -39,11 +39,10 @@
 
 describe('reach of a placement', () => {
   it('goes on to the region when the only warm runner is also the only one nearby, and is down', () => {
-    // Symptom: "not run: refused everywhere" after one refusal, while two live runners of the region were free.
-    // Sequence: each data centre has one runner; the chat is warm on the near one; that one is killed; its gate
-    //   says "runner refused".
-    // Cause: a refusal by a warm runner did not count as a step outward, so that the search stayed in the
-    //   caller's data centre, which had nobody left.
+    // Guards against "not run: refused everywhere" after one refusal, while two live runners of the region are free.
+    // It happens when each data centre has one runner, the chat is warm on the near one, and that one is killed, so
+    // that its gate answers "runner refused". If a refusal by a warm runner does not extend the search outward, the
+    // search stays in the caller's data centre, where no runner is left.
     const action = new PlacementDecisions().place(
       question({
         warm: [{ runnerId: 'near', cachedTokens: 900, ageMilliseconds: 10 }],
--- a/src/routing/placementTypes.ts
+++ b/src/routing/placementTypes.ts
@@ -1,50 +1,50 @@
 /**
- * What goes into and comes out of the choice of a runner for a request. All of it is JSON data, because
- * the same structure is recorded, replayed and written to the log.
+ * Inputs and results of the choice of a runner for a request. All of it is JSON data, because the same structure is
+ * recorded, replayed and written to the log.
  */
 import type { RefusalReason, RunnerState } from '../gates/gateTypes.js';
 import type { WarmPlace } from '../homes/homeTypes.js';
 
-/** How far a request may go when its nearest runners are busy. */
+/** How far from its daemon a request may go if the nearest runners are busy. */
 export type Overflow = 'never' | 'region' | 'anywhere';
 
-/** What operators set for a service, see `RoutingPolicy` in the schema. */
+/** The routing policy that operators set for a service; see `RoutingPolicy` in the schema. */
 export interface PlacementPolicy {
-  /** Highest load as a multiple of the mean. */
+  /** Highest load of a runner, as a multiple of the mean load. */
   readonly bound: number;
-  /** Warm runners that are compared. */
+  /** Maximum number of warm runners that are compared. */
   readonly warmChoices: number;
-  /** Runners in hash order among which a cold chat is balanced. */
+  /** Number of runners, first in hash order, among which a cold chat goes to the least loaded. */
   readonly coldChoices: number;
-  /** 0 (load only) to 1 (reuse only). */
+  /** Weight of cache reuse against load: from 0 (load only) to 1 (reuse only). */
   readonly reuseWeight: number;
   readonly overflow: Overflow;
 }
 
-/** A runner as the chooser sees it. */
+/** A runner that may be chosen. */
 export interface PlacementCandidate {
   readonly id: string;
   readonly state: RunnerState;
   readonly dataCentre: string;
   readonly region: string;
-  /** Runners with more of them take more; 0 counts as 1. */
+  /** Weight of the runner: its load share grows with the number of accelerators; 0 counts as 1. */
   readonly accelerators: number;
 }
 
-/** A gate that has been asked and ran nothing. */
+/** Refusal by a gate, which has not run the request. */
 export interface PlacementRefusal {
   readonly runnerId: string;
   readonly reason: RefusalReason;
-  /** Tokens, exact at that moment. */
+  /** Load in tokens, exact at the time of the refusal. */
   readonly load: number;
   readonly mean: number;
-  /** When the gate expects to have room. */
+  /** Time after which the gate expects to have room, in ms. */
   readonly retryAfterMilliseconds: number;
-  /** Whether it was asked to queue the request. */
+  /** Whether the gate was asked to queue the request. */
   readonly lastChoice: boolean;
 }
 
-/** A request to place, with all that the chooser knows. */
+/** A request for which a runner has to be chosen, with all that is known for the choice. */
 export interface PlacementQuestion {
   readonly requestId: string;
   readonly service: string;
@@ -52,27 +52,31 @@
   readonly clientAccount: string;
   readonly promptTokens: number;
   readonly maximumTokens: number;
-  /** Time that the caller still waits. */
+  /** Time until the caller's deadline, in ms. */
   readonly deadlineMilliseconds: number;
-  /** Where the daemon that asks is. */
+  /** Location of the daemon that asks. */
   readonly dataCentre: string;
   readonly region: string;
   readonly policy: PlacementPolicy;
-  /** A list that is replaced, never changed, when the runners change: what is worked out from it is kept. */
+  /**
+   * A list that is replaced and never modified when the runners change, because results derived from it are cached.
+   */
   readonly candidates: readonly PlacementCandidate[];
-  /** From the chat's home. */
+  /** Runners that have cached the chat's prefix, as reported by the chat's home. */
   readonly warm: readonly WarmPlace[];
-  /** Tokens of work on an average runner. */
+  /** Mean load of a runner, in tokens. */
   readonly mean: number;
-  /** Loads of some runners as last heard, in tokens; the lightest of each daemon that holds gates. */
+  /**
+   * Last reported loads of some runners, in tokens: the least loaded of each daemon that holds gates.
+   */
   readonly lightest: readonly { readonly runnerId: string; readonly load: number }[];
-  /** Runners of the pool that the account may use because of its limits; missing means all. */
+  /** Number of runners that the account may use because of its limits; `undefined` means all. */
   readonly accountRunners?: number;
-  /** Gates that have been asked, in order. */
+  /** Refusals so far, in the order in which the gates were asked. */
   readonly refusals: readonly PlacementRefusal[];
 }
 
-/** What happens to placement. */
+/** Input message of the placement decisions. */
 export interface PlacementMessage {
   readonly kind: 'place';
   readonly question: PlacementQuestion;
@@ -82,15 +86,15 @@
 export type ChoiceReason =
   /** The chat's prefix is cached there. */
   | 'warm'
-  /** Asked before; waiting there is shorter than rebuilding the cache elsewhere. */
+  /** It has refused, but waiting there takes less time than recomputing the prefix elsewhere. */
   | 'warm_wait'
-  /** The least loaded of the first in hash order. */
+  /** The least loaded of the first runners in hash order. */
   | 'cold'
   /** The next in hash order after refusals. */
   | 'next_in_order'
-  /** Asked before; it expects to have room first. */
+  /** It has refused, and expects to have room before the others. */
   | 'soonest'
-  /** One of the lightest that are known. */
+  /** One of the least loaded runners known. */
   | 'lightest';
 
 /** Why a runner was not chosen. */
@@ -111,35 +115,35 @@
   readonly reason: PassedOverReason;
 }
 
-/** Where to go next. */
+/** The runner to ask next. */
 export interface PlacementChoice {
   readonly kind: 'choose';
   readonly requestId: string;
   readonly runnerId: string;
   readonly reason: ChoiceReason;
-  /** Prompt tokens believed to be cached there. */
+  /** Estimated number of prompt tokens that are cached there. */
   readonly cachedTokens: number;
-  /** Whether the gate should queue the request rather than refuse it for the bound. */
+  /** Whether the gate should queue the request instead of refusing it because of the load bound. */
   readonly lastChoice: boolean;
-  /** Load there as a multiple of the mean, as believed. */
+  /** Estimated load there, as a multiple of the mean. */
   readonly relativeLoad: number;
-  /** 1 for the first gate that is asked. */
+  /** Number of the attempt; 1 for the first gate that is asked. */
   readonly attempt: number;
   readonly passedOver: readonly PassedOver[];
 }
 
-/** Why nobody is left to ask. */
+/** Why no runner is left to ask. */
 export type GiveUpReason = 'no_runner' | 'refused_everywhere' | 'account_limit' | 'deadline';
 
-/** Nobody is left; the caller gets its final answer at once. */
+/** No runner is left; the caller gets its final answer at once. */
 export interface PlacementGiveUp {
   readonly kind: 'give_up';
   readonly requestId: string;
   readonly reason: GiveUpReason;
-  /** When coming back helps; 0 when unknown. */
+  /** Time after which a retry may succeed, in ms; 0 if unknown. */
   readonly retryAfterMilliseconds: number;
   readonly passedOver: readonly PassedOver[];
 }
 
-/** What placement decides. */
+/** Result of the placement decisions. */
 export type PlacementAction = PlacementChoice | PlacementGiveUp;
--- a/src/routing/placementView.ts
+++ b/src/routing/placementView.ts
@@ -1,6 +1,6 @@
 /**
- * What a placement question means: which runners may be asked at all, how far away and how loaded they are,
- * and in which hash order they stand for the chat.
+ * Interpretation of one placement question: which runners may be asked, how far away and how loaded they are, and how
+ * they are ordered by hash for the chat.
  */
 import { PlacementPool } from './PlacementPool.js';
 import type { Distance, Reach } from './PlacementPool.js';
@@ -14,29 +14,33 @@
 import { rendezvousOrder } from './rendezvous.js';
 import { weightedOrder } from './weightedOrder.js';
 
-/** Another region costs tens of milliseconds; a request with less time left stays. */
-const LEAST_TIME_FOR_ANOTHER_REGION_MILLISECONDS = 500;
+/**
+ * Minimum time left, in ms, for a request to be sent to another region, which costs tens of milliseconds.
+ */
+const MINIMUM_TIME_FOR_ANOTHER_REGION_MILLISECONDS = 500;
 
-/** Light runners among which a last choice is spread. */
+/** Number of least loaded runners among which last choices are spread. */
 const LIGHT_CHOICES = 8;
 
-/** A runner where the chat is warm. */
+/** A runner that has cached the chat's prefix. */
 export interface WarmCandidate {
   readonly candidate: PlacementCandidate;
   readonly cachedTokens: number;
 }
 
-/** A warm runner that had no room when it was asked. */
+/** A warm runner that refused because it had no room. */
 export interface RefusedWarmCandidate extends WarmCandidate {
   readonly refusal: PlacementRefusal;
 }
 
-/** A reading of one question; made anew for each. */
+/** Derived data of one question; created anew for each. */
 export class PlacementView {
-  /** Warm runners that may be asked and have not been, the most cached first. */
+  /**
+   * Warm runners that may be asked and have not been asked yet, the one with the most cached tokens first.
+   */
   readonly warm: readonly WarmCandidate[];
 
-  /** Warm runners that were asked and had no room at that moment. */
+  /** Warm runners that were asked and had no room. */
   readonly warmRefused: readonly RefusedWarmCandidate[];
 
   private readonly question: PlacementQuestion;
@@ -51,10 +55,10 @@
 
   private readonly loads: ReadonlyMap<string, number>;
 
-  private readonly ofAccount: ReadonlySet<string> | undefined;
+  private readonly accountRunnerIds: ReadonlySet<string> | undefined;
 
   /**
-   * @param question - what is asked.
+   * @param question - the placement question.
    */
   constructor(question: PlacementQuestion) {
     this.question = question;
@@ -63,7 +67,7 @@
     this.furthest = this.furthestDistance();
     this.refusals = new Map(question.refusals.map((refusal) => [refusal.runnerId, refusal]));
     this.loads = new Map(question.lightest.map(({ runnerId, load }) => [runnerId, load]));
-    this.ofAccount = this.accountRunners();
+    this.accountRunnerIds = this.accountRunners();
     const warm = this.warmCandidates();
     this.warm = warm.filter(({ candidate }) => !this.refusals.has(candidate.id));
     this.warmRefused = warm.flatMap((entry) => {
@@ -73,8 +77,8 @@
   }
 
   /**
-   * @param refusal - of a gate.
-   * @returns Whether the gate would take the request later.
+   * @param refusal - refusal by a gate.
+   * @returns Whether the gate would accept the request later.
    */
   static hadNoRoom({ reason }: PlacementRefusal): boolean {
     return reason === 'above_bound' || reason === 'gate_opening';
@@ -82,7 +86,7 @@
 
   /**
    * @param candidate - a runner.
-   * @returns Load as a multiple of what is fair for it; 1 when nothing is known.
+   * @returns Its load as a multiple of its fair share; 1 if no load is known.
    */
   relativeLoad(candidate: PlacementCandidate): number {
     const refusal = this.refusals.get(candidate.id);
@@ -94,12 +98,12 @@
   }
 
   /**
-   * @param further - how much further than the nearest runners to go.
-   * @param choices - how many.
-   * @returns The first in hash order among those that may still be asked.
+   * @param further - distance to add to that of the nearest runners.
+   * @param choices - maximum number of runners to return.
+   * @returns The first runners in hash order that may still be asked.
    */
   firstInOrder(further: number, choices: number): PlacementCandidate[] {
-    // A nearest place whose only runner refused would otherwise look like a fleet that refused.
+    // Searches outward: if the only runner of the nearest place has refused, farther runners are still to be asked.
     for (let distance = this.reach.nearest + further; distance < this.furthest; distance += 1) {
       const found = this.firstWithin(distance as Distance, choices);
       if (found.length > 0) return found;
@@ -107,7 +111,7 @@
     return this.firstWithin(this.furthest, choices);
   }
 
-  /** @returns How many runners are left to be asked, counted no further than 2. */
+  /** @returns Number of runners left to ask; counting stops at 2. */
   remaining(): number {
     let left = 0;
     for (const { id } of this.allowed(this.reach.within[this.furthest])) {
@@ -118,9 +122,9 @@
   }
 
   /**
-   * Picks one of the lightest known by hash order of the chat, so that not everybody picks the same.
+   * Picks one of the least loaded runners by the chat's hash order, so that different chats pick different runners.
    *
-   * @returns A runner that has not been asked, or `undefined` when all have been.
+   * @returns A runner that has not been asked, or `undefined` if all have been.
    */
   lightOne(): PlacementCandidate | undefined {
     const light = this.allowed(this.reach.within[this.furthest])
@@ -131,16 +135,16 @@
   }
 
   /**
-   * @param runnerId - a runner.
-   * @returns What is known of it.
+   * @param runnerId - identifier of a runner.
+   * @returns The runner; `undefined` if it is not in the pool.
    */
   candidate(runnerId: string): PlacementCandidate | undefined {
     return this.pool.candidate(runnerId);
   }
 
   /**
-   * @param runnerId - a runner.
-   * @returns Prompt tokens that are believed to be cached there.
+   * @param runnerId - identifier of a runner.
+   * @returns Estimated number of prompt tokens that are cached there.
    */
   cachedTokens(runnerId: string): number {
     const place = this.question.warm.find((warm) => warm.runnerId === runnerId);
@@ -148,18 +152,18 @@
   }
 
   /**
-   * Names those that a reader of the log would have expected instead: the refusing ones, and the warm ones
-   * that may not be asked.
+   * Lists the runners that a reader of the log would have expected to be chosen: those that refused, and the warm
+   * ones that may not be asked.
    *
-   * @returns Runners and reasons, without the ones that were merely less good.
+   * @returns Runners and reasons, without those that were only less suitable.
    */
   passedOver(): PassedOver[] {
     const refused = this.question.refusals.map(({ runnerId, reason }) => ({ runnerId, reason }));
-    const gone = this.question.warm.flatMap(({ runnerId }): PassedOver[] => {
+    const notAskable = this.question.warm.flatMap(({ runnerId }): PassedOver[] => {
       const reason = this.refusals.has(runnerId) ? undefined : this.obstacle(runnerId);
       return reason ? [{ runnerId, reason }] : [];
     });
-    return [...refused, ...gone];
+    return [...refused, ...notAskable];
   }
 
   private firstWithin(distance: Distance, choices: number): PlacementCandidate[] {
@@ -182,14 +186,14 @@
 
   private furthestDistance(): Distance {
     const { policy, deadlineMilliseconds } = this.question;
-    const inTime = deadlineMilliseconds >= LEAST_TIME_FOR_ANOTHER_REGION_MILLISECONDS;
+    const inTime = deadlineMilliseconds >= MINIMUM_TIME_FOR_ANOTHER_REGION_MILLISECONDS;
     if (policy.overflow === 'anywhere' && inTime) return 2;
-    // A service that has no runner here at all is served from the nearest place that has some.
+    // A service without runners in this data centre or region is served from the nearest place that has some.
     const allowed = policy.overflow === 'never' ? 0 : 1;
     return Math.max(allowed, this.reach.nearest) as Distance;
   }
 
-  /** A limited account uses only its own few runners, see `accountRunnerCount`. */
+  /** An account with limits uses only a few runners of its own; see `accountRunnerCount`. */
   private accountRunners(): ReadonlySet<string> | undefined {
     const { accountRunners, clientAccount } = this.question;
     const near = this.reach.within[this.furthest];
@@ -199,12 +203,12 @@
   }
 
   private allowed(near: readonly PlacementCandidate[]): readonly PlacementCandidate[] {
-    const { ofAccount } = this;
-    if (!ofAccount) return near;
-    const own = near.filter(({ id }) => ofAccount.has(id));
+    const { accountRunnerIds } = this;
+    if (!accountRunnerIds) return near;
+    const own = near.filter(({ id }) => accountRunnerIds.has(id));
     return own.length > 0
       ? own
-      : this.reach.within[this.furthest].filter(({ id }) => ofAccount.has(id));
+      : this.reach.within[this.furthest].filter(({ id }) => accountRunnerIds.has(id));
   }
 
   private warmCandidates(): WarmCandidate[] {
--- a/src/routing/rendezvous.ts
+++ b/src/routing/rendezvous.ts
@@ -1,26 +1,29 @@
 /**
- * Rendezvous hashing: every daemon with the same list picks the same member for a key, and a member that
- * comes or goes moves only its own share (Thaler and Ravishankar, 1998).
+ * Rendezvous hashing: all daemons that have the same list pick the same member for a key, and a member that is added
+ * or removed moves only its own share of the keys (Thaler and Ravishankar, 1998).
  */
 import murmurhash from 'murmurhash';
 
-/** Anything with a name that hashing can order. */
+/** A member that can be ordered by the hash of its name. */
 export interface Named {
   readonly id: string;
 }
 
-/** Names of runners and daemons whose hashes are kept; more than the fleet has. */
-const MAXIMUM_KEPT_HASHES = 16_384;
+/** Maximum number of cached hashes of runner and daemon names; more than a fleet has. */
+const MAXIMUM_CACHED_HASHES = 16_384;
 
-const keptHashes = new Map<string, number>();
+const cachedHashes = new Map<string, number>();
 
-/** Hashing a name takes µs, and every request orders hundreds of the same names. */
+/**
+ * Returns the hash of a member's name from a cache, because hashing a name takes µs and each request orders hundreds
+ * of the same names.
+ */
 function hashOfMember(id: string): number {
-  const kept = keptHashes.get(id);
-  if (kept !== undefined) return kept;
-  if (keptHashes.size >= MAXIMUM_KEPT_HASHES) keptHashes.clear();
+  const cached = cachedHashes.get(id);
+  if (cached !== undefined) return cached;
+  if (cachedHashes.size >= MAXIMUM_CACHED_HASHES) cachedHashes.clear();
   const hash = murmurhash.v3(id);
-  keptHashes.set(id, hash);
+  cachedHashes.set(id, hash);
   return hash;
 }
 
@@ -39,24 +42,24 @@
 }
 
 /**
- * Scores a member for a key.
+ * Computes a member's score for a key.
  *
- * @param key - what is placed: a chat, a runner.
- * @param id - the member's name.
- * @returns A number from 0 to 2^32 - 1; the highest wins.
+ * @param key - the key to be placed, such as a chat or a runner.
+ * @param id - name of the member.
+ * @returns A number from 0 to 2^32 - 1; the highest score wins.
  */
 export function rendezvousScore(key: string, id: string): number {
   return mix(murmurhash.v3(key) ^ hashOfMember(id));
 }
 
-/** Scores members for the one key it was made for. */
+/** Computes the scores of members for one fixed key. */
 export type RendezvousScorer = (id: string) => number;
 
 /**
  * Prepares the scoring of many members for one key.
  *
- * @param key - what is placed.
- * @returns Gives the same as {@link rendezvousScore}.
+ * @param key - the key to be placed.
+ * @returns A function with the same results as {@link rendezvousScore}.
  */
 export function rendezvousScorer(key: string): RendezvousScorer {
   const seed = murmurhash.v3(key);
@@ -64,10 +67,10 @@
 }
 
 /**
- * Orders members for a key, the preferred first; equal scores are ordered by name.
+ * Orders members by their scores for a key, the highest first; members with equal scores are ordered by name.
  *
- * @param key - what is placed.
- * @param members - the candidates, in any order.
+ * @param key - the key to be placed.
+ * @param members - the members, in any order.
  * @returns A new array.
  */
 export function rendezvousOrder<Member extends Named>(
@@ -82,11 +85,11 @@
 }
 
 /**
- * Picks the preferred member for a key.
+ * Picks the member with the highest score for a key.
  *
- * @param key - what is placed.
- * @param members - the candidates, in any order.
- * @returns The winner, or `undefined` when there are no candidates.
+ * @param key - the key to be placed.
+ * @param members - the members, in any order.
+ * @returns The member, or `undefined` if there are none.
  */
 export function rendezvousPick<Member extends Named>(
   key: string,
--- a/src/routing/routingFeature.ts
+++ b/src/routing/routingFeature.ts
@@ -1,6 +1,6 @@
 /**
- * The choice of runners: its settings. Its decisions are logged by the owner of the request, which knows
- * the account and the outcome; see `requests.placed`.
+ * Settings of the choice of runners. The choices are logged together with the request, whose owner knows the account
+ * and the outcome; see `requests.placed`.
  */
 import { z } from 'zod';
 
@@ -11,7 +11,10 @@
   DEFAULT_WAIT_MILLISECONDS_PER_CACHED_TOKEN,
 } from './PlacementDecisions.js';
 
-/** Settings of the choice of runners; bound, choices and reuse weight are the operators' routing policies. */
+/**
+ * Settings of the choice of runners. The load bound, the numbers of choices and the reuse weight are not here but in
+ * the routing policies of the operators.
+ */
 export const routingSettings = z.strictObject({
   maximumAttempts: z
     .int()
--- a/src/routing/weightedOrder.ts
+++ b/src/routing/weightedOrder.ts
@@ -1,13 +1,13 @@
 /**
- * Rendezvous order with weights: a runner with twice the accelerators is first for twice the chats, and still
- * one that comes or goes moves only its own share (weighted rendezvous hashing).
+ * Weighted rendezvous hashing: a runner with twice the accelerators comes first for twice as many chats, and a runner
+ * that is added or removed still moves only its own share.
  */
 import { rendezvousScorer } from './rendezvous.js';
 import type { Named } from './rendezvous.js';
 
-/** A member that may take more than others. */
+/** A member with a weight. */
 export interface WeightedMember extends Named {
-  /** 0 counts as 1. */
+  /** Weight of the member; 0 counts as 1. */
   readonly accelerators: number;
 }
 
@@ -22,12 +22,12 @@
 }
 
 /**
- * Orders members for a key and keeps only the first ones: cheaper than sorting all.
+ * Returns the first members in the order for a key, which is cheaper than sorting all of them.
  *
- * @param key - what is placed.
- * @param members - the candidates, in any order.
- * @param count - how many are wanted.
- * @returns A new array of at most `count` members, the preferred first.
+ * @param key - the key to be placed.
+ * @param members - the members, in any order.
+ * @param count - maximum number of members to return.
+ * @returns A new array of at most `count` members, the first in order first.
  */
 export function weightedOrder<Member extends WeightedMember>(
   key: string,
@@ -38,7 +38,7 @@
   const first: { member: Member; score: number }[] = [];
   for (const member of members) {
     const weight = Math.max(1, member.accelerators);
-    // The logarithm turns equal shares into shares by weight; it keeps the order among equal weights.
+    // The logarithm makes the shares proportional to the weights; members of equal weight keep their order.
     const weighted = weight / -Math.log((score(member.id) + 1) / (SCORE_RANGE + 1));
     const last = first.at(-1);
     if (first.length < count || !last || weighted > last.score) {
