--- a/src/decisions/DecisionTask.ts
+++ b/src/decisions/DecisionTask.ts
@@ -1,10 +1,13 @@
 /**
- * Owns one decision class: feeds it messages one at a time, wakes it, carries out its actions.
+ * Runs a decision class: passes it one message at a time, sends it a tick when one is due, and carries out its
+ * actions.
  */
 import type { Clock } from '../time/Clock.js';
 import type { Decisions, Kinded } from './Decisions.js';
 
-/** One step of a session: what golden files and replays consist of. */
+/**
+ * One step of a decision class, as recorded in golden files and replays; `at` is in monotonic ms.
+ */
 export interface DecisionStep<Message, Action> {
   readonly at: number;
   readonly message: Message;
@@ -15,13 +18,15 @@
 export interface DecisionTaskOptions<Message extends Kinded, Action extends Kinded> {
   decisions: Decisions<Message, Action>;
   clock: Clock;
-  /** The message that wakes the decisions. */
+  /** The message that is sent when the time of {@link Decisions.nextWake} has come. */
   tick: Message;
   /** Called for each step, for recording; must not throw. */
   record?: (step: DecisionStep<Message, Action>) => void;
 }
 
-/** Subclasses carry out actions; whatever they learn comes back through {@link DecisionTask.send}. */
+/**
+ * Base class of the tasks that carry out actions; subclasses send the results back with {@link DecisionTask.send}.
+ */
 export abstract class DecisionTask<Message extends Kinded, Action extends Kinded> {
   protected readonly clock: Clock;
 
@@ -35,7 +40,7 @@
 
   private timer: NodeJS.Timeout | undefined;
 
-  /** When the timer fires, in monotonic milliseconds; nothing while there is none. */
+  /** When the timer fires, in monotonic ms; `undefined` if no timer is set. */
   private armedFor: number | undefined;
 
   private deciding = false;
@@ -53,17 +58,17 @@
   }
 
   /**
-   * Carries out one action; returns at once and reports results by {@link DecisionTask.send}.
+   * Carries out one action. Returns at once; results are reported later with {@link DecisionTask.send}.
    *
-   * @param action - what the decisions asked for.
+   * @param action - the action.
    */
   protected abstract perform(action: Action): void;
 
   /**
-   * Hands a message to the decisions. A message sent while one is being decided waits its turn:
-   * decisions would otherwise see their own state half changed.
+   * Passes a message to the decisions. A message that is sent while another one is being decided is queued, because
+   * the decisions would otherwise see their own state half changed.
    *
-   * @param message - what happened.
+   * @param message - the message.
    */
   send(message: Message): void {
     if (this.stopped) return;
@@ -78,7 +83,7 @@
     this.arm();
   }
 
-  /** Ends the task: later messages are dropped and no timer is left behind. */
+  /** Stops the task: later messages are dropped, and no timer remains. */
   stop(): void {
     this.stopped = true;
     this.mailbox.length = 0;
@@ -95,8 +100,8 @@
   }
 
   /**
-   * Each message may put the wake off, and a stream has thousands of them: a timer that fires too early is
-   * kept and armed anew when it does, instead of a new one for each message.
+   * Sets the timer. Each message may postpone the next wake-up, and a stream has thousands of messages, so a timer
+   * that fires too early is kept and set again when it fires, instead of being replaced for each message.
    */
   private arm(): void {
     if (this.stopped) return;
