--- a/src/liveness/LivenessDecisions.ts
+++ b/src/liveness/LivenessDecisions.ts
@@ -304,9 +304,8 @@
   private consult(doubted: readonly WatchedDaemon[], now: number): Actions {
     if (doubted.length === 0) return [];
     const daemons = doubted.map(({ name }) => name);
-    const chooseHelpers = this.helpers();
-    if (chooseHelpers.length > 0)
-      return chooseHelpers.map((helper) => ({ kind: 'ask', helper, daemons }));
+    const consulted = this.chooseHelpers();
+    if (consulted.length > 0) return consulted.map((helper) => ({ kind: 'ask', helper, daemons }));
     // No other daemon is left to ask.
     for (const daemon of doubted) this.probeNow(daemon, now);
     return [];
@@ -318,7 +317,7 @@
   }
 
   /** @returns Some daemons that watch the same ones as this daemon and that it does not suspect. */
-  private helpers(): string[] {
+  private chooseHelpers(): string[] {
     const { daemon: own, random } = this.options;
     const isCandidate = (name: string) => {
       if (name === own || this.isOut(name)) return false;
