--- a/src/sync/WarmPlacesKeeper.ts
+++ b/src/sync/WarmPlacesWriter.ts
@@ -11,8 +11,8 @@
 import type { FleetStore } from './FleetStore.js';
 import { syncLogEvents } from './syncFeature.js';
 
-/** Options of a {@link WarmPlacesKeeper}. */
-export interface WarmPlacesKeeperOptions {
+/** Options of a {@link WarmPlacesWriter}. */
+export interface WarmPlacesWriterOptions {
   store: FleetStore;
   warmPlaces: WarmPlaces;
   log: Log;
@@ -29,8 +29,8 @@
 const MAXIMUM_KEYS = 2_000;
 
 /** Writes the warm places to the store at intervals, if this daemon is the one to do it. */
-export class WarmPlacesKeeper {
-  private readonly options: WarmPlacesKeeperOptions;
+export class WarmPlacesWriter {
+  private readonly options: WarmPlacesWriterOptions;
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -39,7 +39,7 @@
   /**
    * @param options - the warm places to save, and the store.
    */
-  constructor(options: WarmPlacesKeeperOptions) {
+  constructor(options: WarmPlacesWriterOptions) {
     this.options = options;
   }
 
--- a/src/sync/returnOfAll.spec.ts
+++ b/src/sync/fleetStart.spec.ts
@@ -2,7 +2,7 @@
 
 import { expect } from 'earl';
 
-import { playReturn } from './testReturn.js';
+import { simulateFleetStart } from './testFleetStart.js';
 
 /** Time within which 95 % of the daemons must know everything after all have started at once, in ms. */
 const LIMIT_MILLISECONDS = 2_000;
@@ -11,7 +11,7 @@
 
 async function percentile95(daemons: number, learnsFromFleet: boolean): Promise<number> {
   const runners = daemons * RUNNERS_PER_DAEMON;
-  const knownAt = await playReturn({ daemons, runners, learnsFromFleet });
+  const knownAt = await simulateFleetStart({ daemons, runners, learnsFromFleet });
   expect(knownAt.length).toEqual(daemons);
   return knownAt[Math.ceil(0.95 * daemons) - 1] ?? Number.POSITIVE_INFINITY;
 }
--- a/src/sync/knowledgeTypes.ts
+++ b/src/sync/knowledgeTypes.ts
@@ -35,11 +35,11 @@
   /** Operators have evacuated a data centre, or have ended its evacuation. */
   evacuationChanged(dataCentre: string, state: 'begun' | 'over'): void;
   /** A daemon has saved to the store where shared prompts are cached. */
-  warmPlacesKept(places: readonly WarmPlace[]): void;
+  warmPlacesSaved(places: readonly WarmPlace[]): void;
   /** Runners, given by their incarnations, have announced to another daemon that they leave. */
   runnersLeaving(lives: readonly string[]): void;
   /** A daemon has saved to the store which requests are quarantined. */
-  quarantineKept(page: string): void;
+  quarantineSaved(page: string): void;
   /** All facts of a read have been applied. */
   updated(): void;
   /** An entry of the store could not be decoded. */
--- a/src/sync/listings.ts
+++ b/src/sync/listings.ts
@@ -28,12 +28,12 @@
  * @param fact - a fact of the store.
  * @returns Whether it is about a runner, a daemon or an evacuation.
  */
-export function isListing({ kind }: StoreFact): boolean {
+export function isListingFact({ kind }: StoreFact): boolean {
   return LISTING_KINDS.has(kind);
 }
 
 /** The content of a listing that is compared between daemons. */
-export interface Listed {
+export interface Listing {
   readonly runners: readonly Runner[];
   readonly daemons: readonly DaemonEntry[];
   /** Names of evacuated data centres. */
@@ -46,7 +46,7 @@
  * @param listed - the listing of a daemon.
  * @returns A 32-bit hash that is equal for equal listings.
  */
-export function digestOf({ runners, daemons, evacuated }: Listed): number {
+export function digestOf({ runners, daemons, evacuated }: Listing): number {
   const lines = [
     ...runners.map(({ entry }) => `${entry.life} ${entry.state} ${entry.service}`),
     ...daemons.map(({ name, newsAddress }) => `${name} ${newsAddress}`),
--- a/src/sync/askPeer.ts
+++ b/src/sync/requestPeer.ts
@@ -7,7 +7,7 @@
 import { parseAddress } from '../http/parseAddress.js';
 
 /** A request to another daemon. */
-export interface PeerQuestion {
+export interface PeerRequest {
   /** The daemon's address for requests of other daemons. */
   address: string;
   path: string;
@@ -26,12 +26,12 @@
 /**
  * Sends a request to another daemon.
  *
- * @param question - the address, path, body and timeout.
+ * @param peerRequest - the address, path, body and timeout.
  * @returns The body of the response.
  * @throws If no response comes in time, or its status is not 200.
  */
-export function askPeer(question: PeerQuestion): Promise<Buffer> {
-  const { address, path, body, silenceMilliseconds, agent } = question;
+export function requestPeer(peerRequest: PeerRequest): Promise<Buffer> {
+  const { address, path, body, silenceMilliseconds, agent } = peerRequest;
   const { host, port } = parseAddress(address);
   const method = body === undefined ? 'GET' : 'POST';
   return new Promise((done, fail) => {
--- a/src/sync/testReturn.ts
+++ b/src/sync/testFleetStart.ts
@@ -4,7 +4,7 @@
  */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 
-import { coordinatorsOf } from '../coordination/coordinatorsOf.js';
+import { coordinatorsOf } from '../coordination/daemonRoles.js';
 import { SilentLog } from '../logging/Log.js';
 import type { RoutingConfiguration } from '../routes/routeTypes.js';
 import { ManualClock } from '../time/ManualClock.js';
@@ -15,8 +15,8 @@
 import { createTestKnowledge } from './testKnowledge.js';
 import { TestStore } from './testStore.js';
 
-/** Options of {@link playReturn}. */
-export interface ReturnOptions {
+/** Options of {@link simulateFleetStart}. */
+export interface FleetStartOptions {
   daemons: number;
   runners: number;
   /** Whether daemons learn from each other; otherwise each one reads the whole store. */
@@ -190,7 +190,7 @@
  * @param options - the fleet.
  * @returns For each daemon the time at which it knew everything, in ms after the start, in ascending order.
  */
-export async function playReturn(options: ReturnOptions): Promise<number[]> {
+export async function simulateFleetStart(options: FleetStartOptions): Promise<number[]> {
   const timeline = new Timeline();
   const { clock } = timeline;
   const entries = Array.from({ length: options.daemons }, (_, index) => daemonOf(index));
@@ -200,7 +200,7 @@
   const followers = [...daemons].map(([daemon, { knowledge }]) => {
     const bootstrap = new FleetBootstrap({
       ...{ daemon, knowledge, clock, log },
-      informantsOf: (listed) => coordinatorsOf(listed),
+      coordinatorsOf: (listed) => coordinatorsOf(listed),
       fetchListing: (address) =>
         daemons.get(address)?.serveListing() ?? Promise.reject(new Error('no such daemon')),
       onLearnt: () => undefined,
--- a/src/sync/testStore.ts
+++ b/src/sync/testStore.ts
@@ -5,7 +5,7 @@
 import { FleetStore } from './FleetStore.js';
 
 /** A read that waits for its answer. */
-export interface StoreQuestion {
+export interface PendingRead {
   /** The revision after which changes are requested; `undefined` for a full read. */
   readonly after: number | undefined;
   /** Where the requested page of a full read begins. */
@@ -16,7 +16,7 @@
 
 /** Holds reads until the test answers them; all writes succeed at once. */
 export class TestStore extends FleetStore {
-  readonly questions: StoreQuestion[] = [];
+  readonly pendingReads: PendingRead[] = [];
 
   override readPage(from?: string): Promise<StorePage> {
     return this.holdRead(undefined, from);
@@ -56,7 +56,7 @@
 
   private holdRead(after: number | undefined, from?: string): Promise<StorePage> {
     return new Promise((answer, fail) => {
-      this.questions.push({ after, from, answer, fail });
+      this.pendingReads.push({ after, from, answer, fail });
     });
   }
 }
