--- a/src/settings/SettingsSource.ts
+++ b/src/settings/SettingsSource.ts
@@ -1,30 +1,34 @@
 /**
- * A settings file as text: parsed, with the place of each field kept.
+ * Parses the YAML text of a settings file and keeps the source position of each field, so that findings can name
+ * line and column.
  */
 import { isAlias, isMap, isScalar, isSeq, LineCounter, parseDocument } from 'yaml';
 import type { Document, Node, Pair } from 'yaml';
 
 import type { FindingPlace, Findings } from '../findings/Findings.js';
 
-/** Keys and list positions from the root of the file. */
+/** Path of a field from the root of the file: mapping keys and list indexes. */
 export type SettingPath = readonly (string | number)[];
 
-/** Which end of a field a finding points at. */
+/** Which part of a field a finding points at: its key or its value. */
 export type FieldPart = 'key' | 'value';
 
-/** Aliases may repeat a node this often: a few lines of aliases could otherwise fill the memory. */
+/**
+ * Maximum number of times that YAML aliases may expand nodes; without it a few lines of nested aliases could exhaust
+ * memory.
+ */
 const MAXIMUM_ALIAS_COUNT = 100;
 
-/** Does not keep the rest of the file from being understood, unlike other errors of the parser. */
+/** Parser error code after which the rest of the file can still be read; all other parser errors make it unreadable. */
 const DUPLICATE_KEY = 'DUPLICATE_KEY';
 
 const IDENTIFIER = /^[A-Za-z_$][\w$-]*$/u;
 
 /**
- * Writes a path as people do: `operators.tokens[2].name`.
+ * Formats a path in dotted notation, for example `operators.tokens[2].name`.
  *
- * @param path - the path.
- * @returns The text; empty for the root.
+ * @param path - path to format.
+ * @returns The formatted path; the empty string for the root.
  */
 export function formatPath(path: SettingPath): string {
   return path
@@ -36,13 +40,13 @@
     .join('');
 }
 
-function startOf(node: unknown): number | undefined {
+function startOffset(node: unknown): number | undefined {
   return (node as Node | null | undefined)?.range?.[0];
 }
 
-/** One parsed file. */
+/** One parsed settings file: its content as plain data, and the position of each field. */
 export class SettingsSource {
-  /** Whether the text is YAML at all, duplicate keys aside. */
+  /** Whether the text is valid YAML apart from duplicate keys. */
   readonly readable: boolean;
 
   private readonly file: string;
@@ -53,16 +57,15 @@
 
   /**
    * @param file - name of the file, for findings.
-   * @param text - its content.
-   * @param findings - takes errors of the syntax.
+   * @param text - content of the file.
+   * @param findings - collects the parser's errors and warnings.
    */
   constructor(file: string, text: string, findings: Findings) {
     this.file = file;
     this.document = parseDocument(text, { lineCounter: this.lineCounter, prettyErrors: false });
     const { errors, warnings } = this.document;
     for (const { code, message, pos } of [...errors, ...warnings]) {
-      const explanation =
-        code === DUPLICATE_KEY ? 'this key stands here for the second time' : message;
+      const explanation = code === DUPLICATE_KEY ? 'duplicate key in this mapping' : message;
       findings.add(this.placeAt(pos[0]), explanation);
     }
     this.readable = errors.every(({ code }) => code === DUPLICATE_KEY);
@@ -70,18 +73,18 @@
 
   /**
    * @returns The content as plain data.
-   * @throws {@link Error} when aliases repeat too much.
+   * @throws {@link Error} when aliases are expanded more than {@link MAXIMUM_ALIAS_COUNT} times.
    */
   toData(): unknown {
     return this.document.toJS({ maxAliasCount: MAXIMUM_ALIAS_COUNT });
   }
 
   /**
-   * Finds where a field stands; for a field that is missing, the part of its path that is there.
+   * Finds the position of a field. For a missing field this is the position of its nearest existing parent.
    *
-   * @param path - the field.
-   * @param part - its key or its value.
-   * @returns File, line, column and the field's name.
+   * @param path - path of the field.
+   * @param part - whether to locate the key or the value.
+   * @returns File, line, column and the field's path.
    */
   place(path: SettingPath, part: FieldPart = 'value'): FindingPlace {
     const field = formatPath(path);
@@ -96,21 +99,21 @@
 
   private offsetOf(path: SettingPath, part: FieldPart): number {
     let node: unknown = this.document.contents;
-    let offset = startOf(node) ?? 0;
+    let offset = startOffset(node) ?? 0;
     for (const [index, key] of path.entries()) {
-      const pair = this.child(node, key);
+      const pair = this.findPair(node, key);
       if (!pair) return offset;
       const isLast = index === path.length - 1;
-      const keyStart = startOf(pair.key);
-      const valueStart = startOf(pair.value);
-      // A missing field below is reported at the key that it belongs under.
+      const keyStart = startOffset(pair.key);
+      const valueStart = startOffset(pair.value);
+      // If the next part of the path is missing, the finding points at this key.
       offset = (isLast && part === 'value' ? valueStart : keyStart) ?? valueStart ?? offset;
       node = pair.value;
     }
     return offset;
   }
 
-  private child(parent: unknown, key: string | number): Pair | undefined {
+  private findPair(parent: unknown, key: string | number): Pair | undefined {
     const node = isAlias(parent) ? parent.resolve(this.document) : parent;
     if (isMap(node)) {
       return node.items.find((pair) => String(isScalar(pair.key) ? pair.key.value : '') === key);
--- a/src/settings/checkSettings.ts
+++ b/src/settings/checkSettings.ts
@@ -1,5 +1,5 @@
 /**
- * Checks the text of a settings file against the features' sections and collects all that is wrong.
+ * Checks the text of a settings file against the schemas of the features' sections and collects all mistakes.
  */
 import type { AnyFeature } from '../features/Feature.js';
 import { Findings } from '../findings/Findings.js';
@@ -12,7 +12,10 @@
 import type { SettingPath } from './SettingsSource.js';
 import { findUnknownKeys } from './unknownKeys.js';
 
-/** Reported by {@link findUnknownKeys}, with a suggestion and for sections that are not strict too. */
+/**
+ * Issue code of zod that is skipped here: {@link findUnknownKeys} reports unknown keys with a suggestion, and also
+ * those in sections whose schema is not strict.
+ */
 const UNKNOWN_KEYS_ISSUE = 'unrecognized_keys';
 
 /** Options of {@link checkSettings}. */
@@ -20,28 +23,28 @@
   features: readonly AnyFeature[];
   /** Name of the file, for findings and relative paths. */
   file: string;
-  /** Where `fromEnvironment` looks. */
+  /** Environment variables that `fromEnvironment` refers to. */
   environment: Readonly<Record<string, string | undefined>>;
 }
 
-/** What came of a check. */
+/** Result of {@link checkSettings}. */
 export interface CheckedSettings {
-  /** By the feature's name; complete when there are no findings and nothing is absent. */
+  /** Checked sections by feature name; complete only if `findings` and `absent` are empty. */
   readonly sections: Readonly<Record<string, unknown>>;
   readonly findings: readonly Finding[];
-  /** Outside values that are not there on this machine; the fields that need them are not checked. */
+  /** External values that are unavailable on this machine; the fields that use them are not checked. */
   readonly absent: readonly Finding[];
 }
 
-function inOrderOfFile(findings: Findings): Finding[] {
+function sortByPosition(findings: Findings): Finding[] {
   return [...findings.list()].sort(
     ({ place: a }, { place: b }) =>
       (a.line ?? 0) - (b.line ?? 0) || (a.column ?? 0) - (b.column ?? 0),
   );
 }
 
-/** One check of one file. */
-class SettingsCheck {
+/** Checks the text of one settings file, once. */
+class SettingsChecker {
   readonly findings = new Findings();
 
   readonly absent = new Findings();
@@ -66,7 +69,7 @@
     if (!this.source.readable) return;
     const content = this.readContent();
     if (typeof content !== 'object' || content === null || Array.isArray(content)) {
-      this.findings.add(this.source.place([]), 'has to be a mapping with one section a feature');
+      this.findings.add(this.source.place([]), 'has to be a mapping with one section per feature');
       return;
     }
     for (const { path, suggestion } of findUnknownKeys(content, this.schema)) {
@@ -101,10 +104,10 @@
       return;
     }
     for (const issue of result.error.issues) {
-      const inside = issue.path as SettingPath;
-      const path = [name, ...inside];
+      const issuePath = issue.path as SettingPath;
+      const path = [name, ...issuePath];
       if (issue.code === UNKNOWN_KEYS_ISSUE || this.isAbsent(path)) continue;
-      this.findings.add(this.source.place(path), issueText(issue, valueAt(section, inside)));
+      this.findings.add(this.source.place(path), issueText(issue, valueAt(section, issuePath)));
     }
   }
 
@@ -114,21 +117,21 @@
 }
 
 /**
- * Checks a text.
+ * Checks the text of a settings file.
  *
- * @param text - content of a settings file.
+ * @param text - content of the file.
  * @param options - features, file and environment.
- * @returns Sections, findings and absent outside values; never throws.
+ * @returns Sections, findings and unavailable external values; never throws.
  */
 export function checkSettings(text: string, options: CheckSettingsOptions): CheckedSettings {
   const findings = new Findings();
   try {
-    const check = new SettingsCheck(text, options);
+    const check = new SettingsChecker(text, options);
     check.run();
     const { sections, absent } = check;
-    return { sections, findings: inOrderOfFile(check.findings), absent: inOrderOfFile(absent) };
+    return { sections, findings: sortByPosition(check.findings), absent: sortByPosition(absent) };
   } catch (error) {
-    // Hostile text exhausts the parser's stack or its limit of aliases; that is a mistake of the file.
+    // Malicious text can exhaust the parser's stack or its alias limit. That is reported as a mistake of the file.
     findings.add({ file: options.file }, `cannot be read: ${(error as Error).message}`);
     return { sections: {}, findings: findings.list(), absent: [] };
   }
--- a/src/settings/externalValues.ts
+++ b/src/settings/externalValues.ts
@@ -1,8 +1,8 @@
 /**
- * Values that stand outside of the settings file: `{ fromEnvironment: NAME }` and `{ fromFile: path }`.
+ * Resolves external values in a settings file: `{ fromEnvironment: NAME }` and `{ fromFile: path }`.
  *
- * Secrets come this way, so that they stand in no file that people pass around; so does what differs
- * between instances that share one settings file. A value itself never appears in a finding.
+ * They keep secrets out of the settings file, which people share, and hold what differs between instances that use the
+ * same settings file. The value itself never appears in a finding.
  */
 import { readFileSync, statSync } from 'node:fs';
 import { dirname, resolve } from 'node:path';
@@ -14,16 +14,19 @@
 const FROM_ENVIRONMENT = 'fromEnvironment';
 const FROM_FILE = 'fromFile';
 
-/** A secret or an address is short; anything larger is the wrong file. */
+/**
+ * Maximum size in bytes of a file that holds a value. Secrets and addresses are short; anything larger is the wrong
+ * file.
+ */
 const MAXIMUM_FILE_BYTES = 65_536;
 
 /** Options of {@link resolveExternalValues}. */
 export interface ExternalValueOptions {
-  /** Relative paths start at this file's folder. */
+  /** Path of the settings file; relative paths of `fromFile` start at its folder. */
   file: string;
   environment: Readonly<Record<string, string | undefined>>;
   schema: SchemaNode;
-  /** Takes what could not be read. */
+  /** Called for each external value that is not set or cannot be read. */
   report: (path: SettingPath, message: string) => void;
 }
 
@@ -49,8 +52,11 @@
   }
 }
 
-/** Outside values are text; where the schema wants a number, a boolean or a list, it is read as one. */
-function interpret(text: string, path: SettingPath, schema: SchemaNode): unknown {
+/**
+ * Converts the text of an external value to the number, boolean or list that the schema expects; text that does not
+ * convert stays text.
+ */
+function coerceText(text: string, path: SettingPath, schema: SchemaNode): unknown {
   const types = new Set(schemasAt(schema, path).map(({ type }) => type));
   if (types.has('string')) return text;
   if (types.has('array')) return text.split(',').map((part) => part.trim());
@@ -59,36 +65,36 @@
   return Number.isFinite(Number(text)) ? Number(text) : text;
 }
 
-function read(
+function readReference(
   { kind, name }: Reference,
   path: SettingPath,
   { file, environment, schema, report }: ExternalValueOptions,
 ): unknown {
   if (kind === FROM_FILE) {
     const text = readValueFile(resolve(dirname(file), name));
-    if (text !== undefined) return interpret(text, path, schema);
+    if (text !== undefined) return coerceText(text, path, schema);
     report(path, `the file ${name} cannot be read or is larger than ${MAXIMUM_FILE_BYTES} bytes`);
     return undefined;
   }
   const text = environment[name];
-  if (text !== undefined && text !== '') return interpret(text, path, schema);
+  if (text !== undefined && text !== '') return coerceText(text, path, schema);
   report(path, `the environment variable ${name} is not set`);
   return undefined;
 }
 
 /**
- * Puts outside values in place; one that cannot be read is left out and reported.
+ * Replaces references to external values by the values. One that is unavailable becomes `undefined` and is reported.
  *
- * @param content - plain data of the file.
- * @param options - where values come from.
- * @returns New data.
+ * @param content - plain data of the settings file.
+ * @param options - sources of the values, schema and callback.
+ * @returns A copy of the data with the values filled in.
  */
 export function resolveExternalValues(content: unknown, options: ExternalValueOptions): unknown {
   const visit = (value: unknown, path: SettingPath): unknown => {
     if (Array.isArray(value)) return value.map((item, index) => visit(item, [...path, index]));
     if (typeof value !== 'object' || value === null) return value;
     const reference = asReference(value);
-    if (reference) return read(reference, path, options);
+    if (reference) return readReference(reference, path, options);
     const entries = Object.entries(value);
     return Object.fromEntries(entries.map(([key, child]) => [key, visit(child, [...path, key])]));
   };
--- a/src/settings/issueText.ts
+++ b/src/settings/issueText.ts
@@ -1,5 +1,5 @@
 /**
- * Says in words what zod found wrong with a field. Never repeats the value: it may be a secret.
+ * Turns a validation issue of zod into a message. The message never quotes the value, because it may be a secret.
  */
 import type { z } from 'zod';
 
@@ -7,8 +7,8 @@
 
 type Issue = z.core.$ZodIssue;
 
-/** What zod says of a union when no message was given. */
-const UNSPECIFIC = 'Invalid input';
+/** zod's message for a union without a message of its own. */
+const DEFAULT_UNION_MESSAGE = 'Invalid input';
 
 const FORMATS: Readonly<Record<string, string>> = {
   ipv4: 'an IP number',
@@ -16,7 +16,7 @@
   url: 'a URL',
 };
 
-function kindOf(value: unknown): string {
+function describeType(value: unknown): string {
   if (value === null || value === undefined) return 'nothing';
   if (Array.isArray(value)) return 'a list';
   if (typeof value === 'object') return 'a mapping';
@@ -24,7 +24,7 @@
   return typeof value === 'number' ? 'a number' : `a ${typeof value}`;
 }
 
-function expectedKind(expected: string): string {
+function describeExpectedType(expected: string): string {
   const names: Readonly<Record<string, string>> = {
     string: 'text',
     int: 'a whole number',
@@ -38,52 +38,54 @@
   return names[expected] ?? expected;
 }
 
-function sizeText(origin: string, limit: unknown, word: 'least' | 'most'): string {
+function describeInclusiveBound(origin: string, limit: unknown, word: 'least' | 'most'): string {
   const units: Readonly<Record<string, string>> = { string: ' characters', array: ' entries' };
   const verb = units[origin] === undefined ? 'has to be' : 'has to have';
   return `${verb} at ${word} ${String(limit)}${units[origin] ?? ''}`;
 }
 
-function boundText(issue: z.core.$ZodIssueTooSmall | z.core.$ZodIssueTooBig): string {
+function describeBound(issue: z.core.$ZodIssueTooSmall | z.core.$ZodIssueTooBig): string {
   const small = issue.code === 'too_small';
   const limit = small ? issue.minimum : issue.maximum;
-  if (issue.inclusive) return sizeText(issue.origin, limit, small ? 'least' : 'most');
+  if (issue.inclusive) return describeInclusiveBound(issue.origin, limit, small ? 'least' : 'most');
   return `has to be ${small ? 'more' : 'less'} than ${String(limit)}`;
 }
 
-function choiceText(values: readonly unknown[], value: unknown): string {
+function describeChoices(values: readonly unknown[], value: unknown): string {
   const names = values.map(String);
-  const meant = typeof value === 'string' ? suggest(value, names) : undefined;
-  const hint = meant === undefined ? '' : `; did you mean ${meant}?`;
+  const suggestion = typeof value === 'string' ? suggest(value, names) : undefined;
+  const hint = suggestion === undefined ? '' : `; did you mean ${suggestion}?`;
   return `has to be one of ${names.join(', ')}${hint}`;
 }
 
 /**
- * Writes one issue.
+ * Describes one validation issue.
  *
- * @param issue - as zod found it.
- * @param value - the field's value.
- * @returns What is wrong and what would be right.
+ * @param issue - issue as reported by zod.
+ * @param value - value of the field; only its type is described.
+ * @returns A message that says what is wrong and what is expected.
  */
 export function issueText(issue: Issue, value: unknown): string {
   switch (issue.code) {
     case 'invalid_type': {
-      const expected = expectedKind(issue.expected);
+      const expected = describeExpectedType(issue.expected);
       if (value === undefined) return `is missing; expected ${expected}`;
-      const whole = issue.expected === 'int' && typeof value === 'number';
-      return `expected ${expected}, found ${whole ? 'another number' : kindOf(value)}`;
+      const isNonInteger = issue.expected === 'int' && typeof value === 'number';
+      return `expected ${expected}, found ${isNonInteger ? 'a number that is not whole' : describeType(value)}`;
     }
     case 'too_small':
     case 'too_big':
-      return boundText(issue);
+      return describeBound(issue);
     case 'invalid_value':
       if (value === undefined) return `is missing; one of ${issue.values.map(String).join(', ')}`;
-      return choiceText(issue.values, value);
+      return describeChoices(issue.values, value);
     case 'invalid_format':
       return FORMATS[issue.format] ? `has to be ${FORMATS[issue.format]}` : issue.message;
     case 'invalid_union': {
       if (value === undefined) return 'is missing';
-      return issue.message === UNSPECIFIC ? 'has none of the allowed forms' : issue.message;
+      return issue.message === DEFAULT_UNION_MESSAGE
+        ? 'matches none of the allowed forms'
+        : issue.message;
     }
     default:
       return issue.message;
@@ -91,11 +93,11 @@
 }
 
 /**
- * Looks up a value.
+ * Looks up a value by its path.
  *
  * @param root - plain data.
- * @param path - keys and list positions.
- * @returns The value, or `undefined` when any part of the path is missing.
+ * @param path - mapping keys and list indexes.
+ * @returns The value, or `undefined` if any part of the path is missing.
  */
 export function valueAt(root: unknown, path: readonly (string | number)[]): unknown {
   return path.reduce<unknown>((value, key) => {
--- a/src/settings/loadSettings.spec.ts
+++ b/src/settings/loadSettings.spec.ts
@@ -69,14 +69,14 @@
 
   const faults: [string, string, string[]][] = [
     ['an empty file', '', ['fleet.yaml:1:1: vessel.name: is missing; expected text']],
-    ['a list', '- a', ['fleet.yaml:1:1: has to be a mapping with one section a feature']],
+    ['a list', '- a', ['fleet.yaml:1:1: has to be a mapping with one section per feature']],
     [
-      'a section that is no mapping',
+      'a section that is not a mapping',
       'vessel: 5\n',
       ['fleet.yaml:1:9: vessel: expected a mapping, found a number'],
     ],
     [
-      'misspelt keys at any depth, of sections that are not strict too',
+      'misspelt keys at any depth, also in sections whose schema is not strict',
       'vesel: {}\nvessel:\n  name: Ana\n  crw: 3\n  log: {levle: info}\n  limits: {a: {top: 1, tap: 1}}\n',
       [
         'fleet.yaml:1:1: vesel: is not a setting; did you mean vessel?',
@@ -86,21 +86,21 @@
       ],
     ],
     [
-      'a key that is near to nothing',
+      'an unknown key without a similar known key',
       'vessel: {name: Ana, zzzzzz: 1}',
       ['fleet.yaml:1:21: vessel.zzzzzz: is not a setting'],
     ],
     [
-      'keys that stand twice',
+      'duplicate keys',
       'vessel:\n  name: Ana\n  crew: 1\n  crew: 2\n',
-      ['fleet.yaml:4:3: this key stands here for the second time'],
+      ['fleet.yaml:4:3: duplicate key in this mapping'],
     ],
     [
-      'wrong types and values, all at once and in the order of the file',
+      'wrong types and values, all of them and in the order of the file',
       'vessel:\n  name: A\n  crew: 4.5\n  mode: strom\n  host: localhost\n  secrets: [abc, 5]\n  limits: {x: {top: 0}}\n',
       [
         'fleet.yaml:2:9: vessel.name: has to have at least 3 characters',
-        'fleet.yaml:3:9: vessel.crew: expected a whole number, found another number',
+        'fleet.yaml:3:9: vessel.crew: expected a whole number, found a number that is not whole',
         'fleet.yaml:4:9: vessel.mode: has to be one of calm, storm; did you mean storm?',
         'fleet.yaml:5:9: vessel.host: has to be an IP number',
         'fleet.yaml:6:13: vessel.secrets[0]: has to have at least 16 characters',
@@ -109,7 +109,7 @@
       ],
     ],
     [
-      'settings that contradict each other, beside another wrong section',
+      'settings that contradict each other, along with a mistake in another section',
       'vessel: {name: Ana, mode: storm}\nharbour: {berths: x}\n',
       [
         'fleet.yaml:1:1: vessel.crew: has to be at least 3 in a storm',
@@ -129,14 +129,14 @@
     it(`finds ${name}`, () => expect(findingsOf(text)).toEqual(findings));
   }
 
-  it('stops at text that is no YAML, with its place', () => {
+  it('reports text that is not valid YAML, with its position', () => {
     const [finding] = findingsOf('vessel:\n  name: [Ana\n');
     expect(finding ?? '').toEqual(expect.includes('fleet.yaml:3:1'));
   });
 
-  it('refuses aliases that grow without end', () => {
-    // Symptom: a check fills the memory. Sequence: seven lines, each a list of nine aliases of the one
-    // before. Cause: aliases are expanded without limit.
+  it('rejects aliases that expand exponentially', () => {
+    // Guards against a check that exhausts memory: with seven lines, each a list of nine aliases of the
+    // line before, unlimited expansion of aliases grows exponentially.
     const lines = ['a0: &a0 [x, x, x, x, x, x, x, x, x]'];
     for (let index = 1; index < 7; index += 1) {
       const aliases = Array.from({ length: 9 }, () => `*a${index - 1}`).join(', ');
@@ -151,12 +151,12 @@
   });
 });
 
-describe('values from outside', () => {
+describe('external values', () => {
   const text =
     'vessel:\n  name: {fromEnvironment: VESSEL}\n  crew: {fromEnvironment: CREW}\n  secrets: {fromEnvironment: KEYS}\n';
   const environment = { VESSEL: 'Ana', CREW: '7', KEYS: `${'k'.repeat(16)}, ${'l'.repeat(16)}` };
 
-  it('come from the environment as the schema wants them', () => {
+  it('are read from the environment and converted to the type of the schema', () => {
     const result = parse(text, environment);
     expect(result.kind).toEqual('valid');
     if (result.kind !== 'valid') return;
@@ -168,7 +168,7 @@
     });
   });
 
-  it('come from a file beside the settings', () => {
+  it('are read from a file relative to the settings file', () => {
     const folder = mkdtempSync(join(tmpdir(), 'settings-'));
     writeFileSync(join(folder, 'secret'), 'a-secret-of-a-fleet\n');
     const file = join(folder, FILE);
@@ -190,7 +190,7 @@
     ]);
   });
 
-  it('that are absent are the only findings about their fields', () => {
+  it('are the only findings about their fields if they are unavailable', () => {
     const result = parse(text, { VESSEL: 'Ana' });
     expect(result.kind === 'invalid' && result.findings.map(formatFinding)).toEqual([
       'fleet.yaml:3:9: vessel.crew: the environment variable CREW is not set',
@@ -199,8 +199,8 @@
   });
 
   it('never appear in a finding', () => {
-    // Symptom: a fleet's secret stands in a collected log. Sequence: a secret that is too short, or of
-    // the wrong form, is refused at the start. Cause: the finding quotes the value.
+    // Guards against a secret in a collected log: a finding that quotes the value would write a secret that
+    // is rejected at startup, because it is too short or has the wrong form, to the log.
     const result = parse(text, { VESSEL: 'Qx', CREW: 'Qx', KEYS: 'Qx' });
     const lines = result.kind === 'invalid' ? result.findings.map(formatFinding) : [];
     expect(lines.length).toEqual(3);
@@ -208,8 +208,8 @@
   });
 });
 
-describe('any text', () => {
-  it('gives settings or findings, and is never thrown at', () => {
+describe('arbitrary text', () => {
+  it('yields settings or findings and never an exception', () => {
     const fragment = fc.constantFrom(
       ...[
         'vessel',
--- a/src/settings/loadSettings.ts
+++ b/src/settings/loadSettings.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a settings file: either the settings, or everything that is wrong with it at once.
+ * Loads a settings file. The result is either valid settings or all mistakes of the file together.
  */
 import { readFileSync, statSync } from 'node:fs';
 
@@ -8,13 +8,18 @@
 import { parseSettings } from './parseSettings.js';
 import type { LoadSettingsOptions, SettingsResult } from './parseSettings.js';
 
-/** A settings file is a few kilobytes. */
+/**
+ * Maximum size in bytes. A settings file has a few kilobytes; anything larger is the wrong file and is not read into
+ * memory.
+ */
 const MAXIMUM_FILE_BYTES = 1_048_576;
 
 /**
- * @param file - its path.
- * @param findings - gets the reason where it cannot be read.
- * @returns Its text, or `undefined`.
+ * Reads the text of a settings file.
+ *
+ * @param file - path of the file.
+ * @param findings - collects the reason if the file cannot be read.
+ * @returns The text, or `undefined` if the file cannot be read or is too large.
  */
 export function readSettingsFile(file: string, findings: Findings): string | undefined {
   try {
@@ -27,10 +32,10 @@
 }
 
 /**
- * Reads and checks a file.
+ * Reads and checks a settings file.
  *
- * @param file - its path.
- * @param options - where outside values come from.
+ * @param file - path of the file.
+ * @param options - source of the external values.
  * @returns Settings or findings; never throws.
  */
 export function loadSettings(file: string, options: LoadSettingsOptions = {}): SettingsResult {
--- a/src/settings/parseSettings.ts
+++ b/src/settings/parseSettings.ts
@@ -1,20 +1,20 @@
 /**
- * Checks the text of a settings file for any list of features. It names no feature itself, so that a program
- * which uses a few loads no more than those.
+ * Parses the text of a settings file for a given list of features. This module imports no feature itself, so that a
+ * program that uses only a few features loads only those.
  */
 import type { AnyFeature } from '../features/Feature.js';
 import type { Finding } from '../findings/Findings.js';
 import { checkSettings } from './checkSettings.js';
 import type { Settings, SettingsOf } from './settingsSchema.js';
 
-/** What came of a settings file. */
+/** Result of parsing a settings file: valid settings, or all findings. */
 export type SettingsResult<Loaded = Settings> =
   | { readonly kind: 'valid'; readonly settings: Loaded }
   | { readonly kind: 'invalid'; readonly findings: readonly Finding[] };
 
 /** Options of {@link loadSettings}. */
 export interface LoadSettingsOptions {
-  /** Where `fromEnvironment` looks. */
+  /** Environment variables that `fromEnvironment` refers to; by default those of the process. */
   environment?: Readonly<Record<string, string | undefined>>;
 }
 
@@ -28,10 +28,10 @@
 }
 
 /**
- * Checks the text of a file.
+ * Parses and checks the text of a settings file. An unavailable external value counts as a finding.
  *
- * @param text - the file's content.
- * @param options - the features whose settings it holds, and where outside values come from.
+ * @param text - content of the file.
+ * @param options - features whose settings the file holds, and source of the external values.
  * @returns Settings or findings; never throws.
  */
 export function parseSettings<const Features extends readonly AnyFeature[]>(
--- a/src/settings/settingsReference.ts
+++ b/src/settings/settingsReference.ts
@@ -1,11 +1,11 @@
 /**
- * Writes the reference page of the settings from their schema.
+ * Generates the reference page of the settings from their schema.
  */
 import type { AnyFeature } from '../features/Feature.js';
 import { describeSettings, variants } from './settingsSchema.js';
 import type { SchemaNode } from './settingsSchema.js';
 
-/** One line of the reference. */
+/** One row of the reference table. */
 interface SettingRow {
   readonly name: string;
   readonly type: string;
@@ -13,7 +13,7 @@
   readonly description: string;
 }
 
-/** Bounds that zod adds to every whole number; they say nothing to a reader. */
+/** Bounds that zod adds to every integer schema; they are left out, because no feature has set them. */
 const IMPLIED_BOUNDS: ReadonlySet<number> = new Set([
   Number.MAX_SAFE_INTEGER,
   Number.MIN_SAFE_INTEGER,
@@ -24,31 +24,31 @@
   number: 'number',
 };
 
-function stated(bound: number | undefined): bound is number {
+function isExplicitBound(bound: number | undefined): bound is number {
   return bound !== undefined && !IMPLIED_BOUNDS.has(bound);
 }
 
-function rangeOf(node: SchemaNode): string {
+function formatRange(node: SchemaNode): string {
   const { minimum, maximum, exclusiveMinimum, exclusiveMaximum } = node;
   const parts = [
-    stated(minimum) && `from ${minimum}`,
-    stated(exclusiveMinimum) && `above ${exclusiveMinimum}`,
-    stated(maximum) && `up to ${maximum}`,
-    stated(exclusiveMaximum) && `below ${exclusiveMaximum}`,
+    isExplicitBound(minimum) && `from ${minimum}`,
+    isExplicitBound(exclusiveMinimum) && `above ${exclusiveMinimum}`,
+    isExplicitBound(maximum) && `up to ${maximum}`,
+    isExplicitBound(exclusiveMaximum) && `below ${exclusiveMaximum}`,
   ];
   return parts.filter(Boolean).join(' ');
 }
 
-function typeOf(node: SchemaNode): string {
-  const several = node.anyOf ?? node.oneOf;
-  if (several) return [...new Set(variants(node).map(typeOf))].join(' or ');
+function formatType(node: SchemaNode): string {
+  const alternatives = node.anyOf ?? node.oneOf;
+  if (alternatives) return [...new Set(variants(node).map(formatType))].join(' or ');
   if (node.enum) return node.enum.map((value) => `\`${String(value)}\``).join(', ');
   if (node.const !== undefined) return `\`${String(node.const)}\``;
   if (node.format === 'ipv4' || node.format === 'ipv6') return 'IP number';
-  if (node.type === 'array') return `list of ${node.items ? typeOf(node.items) : 'values'}`;
+  if (node.type === 'array') return `list of ${node.items ? formatType(node.items) : 'values'}`;
   if (node.type === 'object') return 'mapping';
   const name = NUMBER_NAMES[node.type ?? ''];
-  if (name !== undefined) return `${name} ${rangeOf(node)}`.trimEnd();
+  if (name !== undefined) return `${name} ${formatRange(node)}`.trimEnd();
   if (node.type === 'boolean') return '`true`, `false`';
   return node.type === 'string' ? 'text' : 'any value';
 }
@@ -57,41 +57,45 @@
   return parent.required?.includes(key) ?? false;
 }
 
-function standardOf(node: SchemaNode, required: boolean): string {
+function formatDefault(node: SchemaNode, required: boolean): string {
   if (node.default !== undefined) return `\`${JSON.stringify(node.default)}\``;
   return required ? 'required' : '';
 }
 
-/** The fields below a list's entries or a mapping's values stand under `name[]` and `name.<key>`. */
-function rowsOf(name: string, node: SchemaNode, required: boolean): SettingRow[] {
+/**
+ * Lists a field and all fields inside it. Fields of list entries are named `name[]`, those of mapping values
+ * `name.<key>`.
+ */
+function settingRows(name: string, node: SchemaNode, required: boolean): SettingRow[] {
   const ownRow = {
     name,
-    type: typeOf(node),
-    standard: standardOf(node, required),
+    type: formatType(node),
+    standard: formatDefault(node, required),
     description: node.description ?? '',
   };
-  const below = variants(node).flatMap((variant) => {
+  const nestedRows = variants(node).flatMap((variant) => {
     const { items, additionalProperties } = variant;
-    if (items) return rowsOf(`${name}[]`, items, false).filter((row) => row.name !== `${name}[]`);
+    if (items)
+      return settingRows(`${name}[]`, items, false).filter((row) => row.name !== `${name}[]`);
     const entries = Object.entries(variant.properties ?? {}).flatMap(([key, child]) =>
-      rowsOf(`${name}.${key}`, child, isRequired(variant, key)),
+      settingRows(`${name}.${key}`, child, isRequired(variant, key)),
     );
     if (typeof additionalProperties !== 'object') return entries;
-    return [...entries, ...rowsOf(`${name}.<key>`, additionalProperties, false)];
+    return [...entries, ...settingRows(`${name}.<key>`, additionalProperties, false)];
   });
-  return [ownRow, ...below];
+  return [ownRow, ...nestedRows];
 }
 
 function sectionRows(name: string, section: SchemaNode): SettingRow[] {
-  return rowsOf(name, section, false).filter((row) => row.name !== name);
+  return settingRows(name, section, false).filter((row) => row.name !== name);
 }
 
-function cell(text: string): string {
+function escapeCell(text: string): string {
   return text.replaceAll('|', '\\|').replaceAll('\n', ' ');
 }
 
 function formatRow({ name, type, standard, description }: SettingRow): string {
-  return `| \`${name}\` | ${cell(type)} | ${cell(standard)} | ${cell(description)} |`;
+  return `| \`${name}\` | ${escapeCell(type)} | ${escapeCell(standard)} | ${escapeCell(description)} |`;
 }
 
 const INTRODUCTION = `# Settings
@@ -111,10 +115,10 @@
 `;
 
 /**
- * Lists the settings that lack a description, by their full names.
+ * Lists the settings that have no description.
  *
- * @param features - the registered features.
- * @returns Names; none when the reference is complete.
+ * @param features - registered features.
+ * @returns Full names of these settings; empty when the reference is complete.
  */
 export function undescribedSettings(features: readonly AnyFeature[]): string[] {
   const { properties = {} } = describeSettings(features);
@@ -125,10 +129,10 @@
 }
 
 /**
- * Writes the page `docs/SETTINGS.md`.
+ * Generates the page `docs/SETTINGS.md`.
  *
- * @param features - the registered features.
- * @returns The whole page.
+ * @param features - registered features.
+ * @returns The page as Markdown.
  */
 export function formatSettingsReference(features: readonly AnyFeature[]): string {
   const { properties = {} } = describeSettings(features);
--- a/src/settings/settingsSchema.ts
+++ b/src/settings/settingsSchema.ts
@@ -1,20 +1,21 @@
 /**
- * The one schema of a settings file, put together from the features' sections: as a type and as data.
+ * The schema of a whole settings file, composed from the sections of the features:
+ * as a TypeScript type and in JSON Schema terms.
  */
 import { z } from 'zod';
 
 import type { ALL_FEATURES } from '../features/allFeatures.js';
 import type { AnyFeature } from '../features/Feature.js';
 
-/** The settings of a list of features: one section by each feature's name. */
+/** Settings of a list of features: one section per feature, under the feature's name. */
 export type SettingsOf<Features extends readonly AnyFeature[]> = {
   readonly [One in Features[number] as One['name']]: z.output<One['settings']>;
 };
 
-/** The settings of the program, checked and with defaults. */
+/** Settings of the whole program after validation, with defaults filled in. */
 export type Settings = SettingsOf<typeof ALL_FEATURES>;
 
-/** A section's schema in the terms of JSON Schema, as far as they are used here. */
+/** A node of the schema; the subset of JSON Schema that is used here. */
 export interface SchemaNode {
   readonly type?: string;
   readonly description?: string;
@@ -40,9 +41,9 @@
 }
 
 /**
- * Describes the file as data, for the reference page and for suggestions on unknown keys.
+ * Builds the schema of the whole file, for the reference page and for suggestions on unknown keys.
  *
- * @param features - the features.
+ * @param features - features whose sections the file holds.
  * @returns An object node with one property for each section.
  */
 export function describeSettings(features: readonly AnyFeature[]): SchemaNode {
@@ -54,28 +55,33 @@
 }
 
 /**
- * @param node - a description.
- * @returns The node itself, or the variants of a union.
+ * Flattens a union.
+ *
+ * @param node - schema node, possibly a union.
+ * @returns The variants of the union, or the node itself if it is none.
  */
 export function variants(node: SchemaNode): SchemaNode[] {
-  const several = node.anyOf ?? node.oneOf;
-  return several ? several.flatMap(variants) : [node];
+  const alternatives = node.anyOf ?? node.oneOf;
+  return alternatives ? alternatives.flatMap(variants) : [node];
 }
 
-function step(node: SchemaNode, key: string | number): SchemaNode[] {
+function childSchemas(node: SchemaNode, key: string | number): SchemaNode[] {
   if (typeof key === 'number') return node.items ? variants(node.items) : [];
-  const known = node.properties && Object.hasOwn(node.properties, key) && node.properties[key];
-  if (known) return variants(known);
+  const property = node.properties && Object.hasOwn(node.properties, key) && node.properties[key];
+  if (property) return variants(property);
   return typeof node.additionalProperties === 'object' ? variants(node.additionalProperties) : [];
 }
 
 /**
- * Finds the description of a field.
+ * Finds the schema nodes of a field.
  *
- * @param root - description of the whole file.
- * @param path - keys and list positions.
- * @returns The possible descriptions; several where a field is a union, none where it is unknown.
+ * @param root - schema of the whole file.
+ * @param path - mapping keys and list indexes.
+ * @returns All possible nodes: several if the field is a union, none if it is unknown.
  */
 export function schemasAt(root: SchemaNode, path: readonly (string | number)[]): SchemaNode[] {
-  return path.reduce((nodes, key) => nodes.flatMap((node) => step(node, key)), variants(root));
+  return path.reduce(
+    (nodes, key) => nodes.flatMap((node) => childSchemas(node, key)),
+    variants(root),
+  );
 }
--- a/src/settings/unknownKeys.ts
+++ b/src/settings/unknownKeys.ts
@@ -1,28 +1,31 @@
 /**
- * Finds keys that no feature knows, and says which key may have been meant.
+ * Finds keys in a settings file that the schema does not define, and suggests the most similar defined key.
  */
 import type { SettingPath } from './SettingsSource.js';
 import type { SchemaNode } from './settingsSchema.js';
 import { variants } from './settingsSchema.js';
 
-/** More differences than this and the key was hardly a slip of the keyboard. */
+/** Maximum edit distance, in characters, at which a key still counts as a typing error of a known one. */
 const MAXIMUM_DISTANCE = 3;
 
-/** An unknown key with what it may have meant. */
+/** A key that the schema does not define, with the known key that was probably meant. */
 export interface UnknownKey {
   readonly path: SettingPath;
   readonly suggestion: string | undefined;
 }
 
-/** Levenshtein's distance: how many letters have to be put in, taken out or replaced. */
+/**
+ * Levenshtein distance: the number of characters to insert, delete or replace. `Infinity` if the lengths alone differ
+ * too much.
+ */
 function editDistance(from: string, to: string): number {
   if (Math.abs(from.length - to.length) > MAXIMUM_DISTANCE) return Infinity;
   let row = Array.from({ length: to.length + 1 }, (_, index) => index);
   for (let i = 1; i <= from.length; i += 1) {
     const next = [i];
     for (let j = 1; j <= to.length; j += 1) {
-      const replaced = (row[j - 1] ?? 0) + (from[i - 1] === to[j - 1] ? 0 : 1);
-      next.push(Math.min(replaced, (row[j] ?? 0) + 1, (next[j - 1] ?? 0) + 1));
+      const substitutionCost = (row[j - 1] ?? 0) + (from[i - 1] === to[j - 1] ? 0 : 1);
+      next.push(Math.min(substitutionCost, (row[j] ?? 0) + 1, (next[j - 1] ?? 0) + 1));
     }
     row = next;
   }
@@ -30,11 +33,11 @@
 }
 
 /**
- * Finds the name that was probably meant.
+ * Finds the valid name that is most similar to a misspelt one.
  *
- * @param word - what was written.
- * @param names - what would be right.
- * @returns The nearest name, or `undefined` when none is near.
+ * @param word - name as written in the file.
+ * @param names - valid names.
+ * @returns The most similar name, or `undefined` if none is similar enough.
  */
 export function suggest(word: string, names: readonly string[]): string | undefined {
   const limit = Math.min(MAXIMUM_DISTANCE, Math.ceil(word.length / 2));
@@ -45,12 +48,12 @@
   return nearest?.name;
 }
 
-function childSchema(
+function schemaOfKey(
   possible: readonly SchemaNode[],
   key: string,
 ): SchemaNode | 'unknown' | undefined {
   const objects = possible.filter(({ type }) => type === 'object');
-  // Not a mapping by the schema: the wrong type is reported, its content is not looked at.
+  // The schema expects no mapping here. Schema validation reports the wrong type, so the content is not checked.
   if (objects.length === 0) return undefined;
   for (const { properties, additionalProperties } of objects) {
     if (properties && Object.hasOwn(properties, key)) return properties[key];
@@ -60,16 +63,16 @@
   return 'unknown';
 }
 
-function keysOf(possible: readonly SchemaNode[]): string[] {
+function knownKeys(possible: readonly SchemaNode[]): string[] {
   return possible.flatMap(({ properties }) => Object.keys(properties ?? {}));
 }
 
 /**
- * Walks the content.
+ * Finds all unknown keys of a value and of the values inside it.
  *
- * @param value - plain data.
- * @param schema - its description.
- * @param path - where the value stands.
+ * @param value - plain data of the settings file.
+ * @param schema - schema of the value.
+ * @param path - path of the value in the file.
  * @returns All unknown keys, in the order of the file.
  */
 export function findUnknownKeys(
@@ -86,9 +89,9 @@
   if (typeof value !== 'object' || value === null) return [];
   return Object.entries(value).flatMap(([key, child]) => {
     const childPath = [...path, key];
-    const below = childSchema(possible, key);
-    if (below === 'unknown')
-      return [{ path: childPath, suggestion: suggest(key, keysOf(possible)) }];
-    return below ? findUnknownKeys(child, below, childPath) : [];
+    const childNode = schemaOfKey(possible, key);
+    if (childNode === 'unknown')
+      return [{ path: childPath, suggestion: suggest(key, knownKeys(possible)) }];
+    return childNode ? findUnknownKeys(child, childNode, childPath) : [];
   });
 }
