--- a/src/features/Feature.ts
+++ b/src/features/Feature.ts
@@ -1,45 +1,48 @@
 /**
- * The definition object by which a feature registers itself: its settings with defaults, its log events.
+ * The definition object of a feature: its name, its settings schema with defaults, and its log events.
  */
 import type { z } from 'zod';
 
 import type { LogEvent } from '../logging/logEvent.js';
 
-/** Reports a mistake that only shows when several settings of a section are looked at together. */
+/** Callback that reports a mistake which only shows when several settings of a section are checked together. */
 export type ReportSetting = (field: readonly (string | number)[], message: string) => void;
 
-/** Numbered events by the name the code uses for them. */
+/** Log events by the name that the code uses for them. */
 export type LogEvents = Readonly<Record<string, LogEvent>>;
 
-/** What a feature folder gives to the program. */
+/** Definition of one feature, as its folder exports it. */
 export interface Feature<
   Name extends string,
   Settings extends z.ZodType,
   Events extends LogEvents = LogEvents,
 > {
-  /** Also the name of its section in the settings file. */
+  /** Name of the feature and of its section in the settings file. */
   readonly name: Name;
-  /** One schema that types the section and holds the defaults; every field needs a `describe`. */
+  /** Schema of the section, with the defaults. Every field needs a `describe`, which the settings reference prints. */
   readonly settings: Settings;
-  /** Its keys are typed, so that a misspelt event is an error of the compiler and no broken log line. */
+  /**
+   * Log events of the feature. The keys are typed, so that a misspelt event is a compiler error and not a broken log
+   * line.
+   */
   readonly logEvents: Events;
   /**
-   * Checks settings against each other, once each of them is right by itself.
+   * Checks settings against each other, after each of them has passed the schema.
    *
    * @param settings - the section with its defaults.
-   * @param report - takes a mistake with the path of its field inside the section.
+   * @param report - called for each mistake, with the path of its field inside the section.
    */
   checkSettings?(settings: z.output<Settings>, report: ReportSetting): void;
 }
 
-/** Any feature, where its types do not matter. */
+/** A feature of any name and schema, for code that handles all features alike. */
 export type AnyFeature = Feature<string, z.ZodType>;
 
 /**
- * Defines a feature.
+ * Defines a feature and freezes its definition.
  *
- * @param feature - name, settings schema, log events and, where needed, a check.
- * @returns The same object with its types kept.
+ * @param feature - name, settings schema, log events and optionally a check across settings.
+ * @returns The same object with its specific types.
  */
 export function defineFeature<
   Name extends string,
--- a/src/features/allFeatures.ts
+++ b/src/features/allFeatures.ts
@@ -1,5 +1,6 @@
 /**
- * The list of all features. A new feature adds its line here; settings, log catalogue and their pages follow.
+ * The list of all features. A new feature is added here; the settings, the log catalogue and their generated pages are
+ * derived from this list.
  */
 import { callersFeature } from '../callers/callersFeature.js';
 import { configurationFeature } from '../configuration/configurationFeature.js';
@@ -15,7 +16,7 @@
 import { requestsFeature } from '../requests/requestsFeature.js';
 import { routingFeature } from '../routing/routingFeature.js';
 
-/** Every feature of the program, in the order of the pages. */
+/** All features of the program, in the order of the generated pages. */
 export const ALL_FEATURES = [
   daemonFeature,
   callersFeature,
--- a/src/features/routerFeatures.ts
+++ b/src/features/routerFeatures.ts
@@ -1,5 +1,5 @@
 /**
- * The features of a daemon that forwards directly; it loads none of the others.
+ * The features of a router daemon, which forwards requests directly to runners. It loads no other features.
  */
 import { z } from 'zod';
 
@@ -12,24 +12,24 @@
 import { syncLogEvents } from '../sync/syncFeature.js';
 import { defineFeature } from './Feature.js';
 
-/** Parts that log and whose settings stand in the router's section. */
-const WITHOUT_SETTINGS = z.strictObject({}).prefault({});
+/** Schema of features that only add log events; their settings are part of the router's section. */
+const NO_SETTINGS = z.strictObject({}).prefault({});
 
-/** Every feature, in the order of the pages. */
+/** All features of a router daemon, in the order of the generated pages. */
 export const ROUTER_FEATURES = [
   routerFeature,
-  defineFeature({ name: 'forwarding', settings: WITHOUT_SETTINGS, logEvents: forwardingLogEvents }),
-  defineFeature({ name: 'sync', settings: WITHOUT_SETTINGS, logEvents: syncLogEvents }),
-  defineFeature({ name: 'news', settings: WITHOUT_SETTINGS, logEvents: newsLogEvents }),
+  defineFeature({ name: 'forwarding', settings: NO_SETTINGS, logEvents: forwardingLogEvents }),
+  defineFeature({ name: 'sync', settings: NO_SETTINGS, logEvents: syncLogEvents }),
+  defineFeature({ name: 'news', settings: NO_SETTINGS, logEvents: newsLogEvents }),
   defineFeature({
     name: 'coordination',
-    settings: WITHOUT_SETTINGS,
+    settings: NO_SETTINGS,
     logEvents: coordinationLogEvents,
   }),
-  defineFeature({ name: 'liveness', settings: WITHOUT_SETTINGS, logEvents: livenessLogEvents }),
+  defineFeature({ name: 'liveness', settings: NO_SETTINGS, logEvents: livenessLogEvents }),
   defineFeature({
     name: 'quarantine',
-    settings: WITHOUT_SETTINGS,
+    settings: NO_SETTINGS,
     logEvents: quarantineLogEvents,
   }),
 ] as const;
