--- a/src/findings/Findings.ts
+++ b/src/findings/Findings.ts
@@ -1,31 +1,33 @@
 /**
- * Findings are collected with their place and reported together, so that one run shows all mistakes.
+ * Collects findings, that is mistakes in input, with their place, so that one run reports all of them together.
  */
 
-/** Where a finding is: a file with line and column, or the name of a field. */
+/** Location of a finding: a file with line and column, the path of a field, or both. */
 export interface FindingPlace {
   file?: string;
-  /** From 1. */
+  /** Line number, counted from 1. */
   line?: number;
-  /** From 1. */
+  /** Column number, counted from 1. */
   column?: number;
   /** Path of the field, for example `clientAccounts[2].name`. */
   field?: string;
 }
 
-/** One mistake in what a person or program gave us. */
+/** One mistake in input from a user or another program. */
 export interface Finding {
   readonly place: FindingPlace;
   readonly message: string;
 }
 
-/** Collects findings; reading them leaves them in place. */
+/** Collects findings in the order in which they are added. */
 export class Findings {
   private readonly collected: Finding[] = [];
 
   /**
-   * @param place - where the mistake is.
-   * @param message - what is wrong and what would be right.
+   * Adds a finding.
+   *
+   * @param place - location of the mistake.
+   * @param message - what is wrong and what is expected.
    */
   add(place: FindingPlace, message: string): void {
     this.collected.push({ place, message });
@@ -36,16 +38,16 @@
     return this.collected.length > 0;
   }
 
-  /** @returns All findings, in the order of their discovery. */
+  /** @returns All findings, in the order in which they were added. */
   list(): readonly Finding[] {
     return this.collected;
   }
 }
 
 /**
- * Writes a finding as compilers do: `file:line:column: field: message`.
+ * Formats a finding as compilers do: `file:line:column: field: message`.
  *
- * @param finding - the finding to write.
+ * @param finding - finding to format; missing parts of its place are left out.
  * @returns One line without a line end.
  */
 export function formatFinding({ place, message }: Finding): string {
