--- a/src/charts/ChartInterpreter.spec.ts
+++ b/src/charts/ChartInterpreter.spec.ts
@@ -29,7 +29,7 @@
 }
 
 describe(ChartInterpreter.name, () => {
-  it('agrees with xstate on every pair of state and event', () => {
+  it('returns the same as xstate for every pair of state and event', () => {
     const machine = createMachine(DOOR as unknown as Parameters<typeof createMachine>[0]);
     const interpreter = door();
     for (const state of STATES) {
@@ -44,7 +44,7 @@
     }
   });
 
-  it('stays in a final state whatever comes', () => {
+  it('stays in a final state after any events', () => {
     const interpreter = door();
     fc.assert(
       fc.property(fc.array(fc.constantFrom(...EVENTS)), (events) => {
@@ -58,9 +58,9 @@
     expect(interpreter.acceptedEvents('locked')).toEqual(['unlock', 'remove']);
   });
 
-  it('reports an event it does not accept and changes nothing', () => {
-    // Symptom: a runner that is leaving gets work again. Sequence: leave, then a late "came back".
-    // Cause: a message out of order was treated as if its state were still the old one.
+  it('reports an event that the state does not accept, and keeps the state', () => {
+    // Guards against a leaving runner that gets requests again: a message that it has come back arrives late,
+    // after the one that it leaves, and is applied as if the state had not changed.
     expect(door().next('locked', 'open')).toEqual({ state: 'locked', accepted: false });
   });
 
@@ -88,7 +88,7 @@
     ['a wildcard', { id: 'x', initial: 'a', states: { a: { on: { '*': 'a' } } } }, 'wildcard'],
   ];
   for (const [name, chart, message] of faults) {
-    it(`refuses ${name}`, () => {
+    it(`rejects ${name}`, () => {
       expect(() => new ChartInterpreter({ chart })).toThrow(message);
     });
   }
--- a/src/charts/ChartInterpreter.ts
+++ b/src/charts/ChartInterpreter.ts
@@ -1,19 +1,22 @@
 /**
- * Interprets state charts that are kept in `*.chart.json` files.
+ * Interprets state charts from `*.chart.json` files.
  *
- * xstate gives a chart its meaning. It does so once, when the chart is loaded: every pair of state and
- * event goes through xstate's pure transition and the outcomes are kept in a table, because a
- * transition through xstate costs tens of µs and a look-up well under 1 µs.
+ * The semantics are those of xstate. When a chart is loaded, xstate's pure transition function is called once for every
+ * transition of every state, and the results are stored in a table: a transition through xstate takes tens of µs, a table
+ * look-up well under 1 µs.
  */
 import { createMachine, getInitialSnapshot, getNextSnapshot } from 'xstate';
 import type { AnyMachineSnapshot, AnyStateMachine } from 'xstate';
 
 import type { ChartDefinition, ChartStep } from './chartTypes.js';
 
-/** What a state of a chart file may have. Timers, guards and actions belong to the decisions. */
+/**
+ * Allowed keys of a state in a chart file. Timers, guards and actions are not allowed; they belong in the code that
+ * uses the chart.
+ */
 const STATE_KEYS: ReadonlySet<string> = new Set(['type', 'description', 'on']);
 
-/** What a transition of a chart file may have. */
+/** Allowed keys of a transition in a chart file. */
 const TRANSITION_KEYS: ReadonlySet<string> = new Set(['target', 'description']);
 
 function compileState<State extends string, Event extends string>(
@@ -31,8 +34,11 @@
   );
 }
 
-/** Refuses what the table could not hold; otherwise xstate would honour it and the table would not. */
-function checkFlat(chart: ChartDefinition): void {
+/**
+ * Rejects chart features that the transition table cannot represent. xstate would apply them, but the table would
+ * ignore them silently.
+ */
+function assertFlatChart(chart: ChartDefinition): void {
   const states = Object.keys(chart.states);
   const refuse = (what: string): never => {
     throw new Error(`chart ${chart.id}: ${what}`);
@@ -40,30 +46,34 @@
   if (!states.includes(chart.initial)) refuse(`the initial state ${chart.initial} does not exist`);
   for (const [name, state] of Object.entries(chart.states)) {
     const extra = Object.keys(state).find((key) => !STATE_KEYS.has(key));
-    if (extra) refuse(`state ${name} has ${extra}; a flat chart holds only type, description, on`);
+    if (extra)
+      refuse(`state ${name} has ${extra}; a flat chart allows only type, description and on`);
     const transitions = Object.entries(state.on ?? {});
     if (state.type === 'final' && transitions.length > 0) refuse(`final state ${name} has events`);
     for (const [event, transition] of transitions) {
-      if (event.includes('*')) refuse(`state ${name} has a wildcard; name each event`);
+      if (event.includes('*')) refuse(`state ${name} has a wildcard; list each event by name`);
       if (transition === undefined) continue;
       const target = typeof transition === 'string' ? transition : transition.target;
       if (!states.includes(target))
         refuse(`${name} on ${event} leads to a missing state ${target}`);
       const surplus = typeof transition === 'string' ? [] : Object.keys(transition);
       const unknown = surplus.find((key) => !TRANSITION_KEYS.has(key));
-      if (unknown) refuse(`${name} on ${event} has ${unknown}; decisions hold guards and actions`);
+      if (unknown)
+        refuse(
+          `${name} on ${event} has ${unknown}; a flat chart allows only target and description`,
+        );
     }
   }
 }
 
-/** Options of a {@link ChartInterpreter}. */
+/** Options of {@link ChartInterpreter}. */
 export interface ChartInterpreterOptions<State extends string, Event extends string> {
   /** The imported chart file. */
   chart: ChartDefinition<State, Event>;
 }
 
 /**
- * One chart, shared by all the things that are in one of its states: it holds no current state.
+ * Interprets one chart. It holds no current state, so that all objects with the same chart share one interpreter.
  *
  * @example
  * ```ts
@@ -83,21 +93,21 @@
 
   private readonly table: ReadonlyMap<State, ReadonlyMap<Event, ChartStep<State>>>;
 
-  /** For each state, what an event without a transition gives. */
-  private readonly unaccepted: ReadonlyMap<State, ChartStep<State>>;
+  /** Result for each state of an event that it does not accept. */
+  private readonly rejectedSteps: ReadonlyMap<State, ChartStep<State>>;
 
   /**
    * @param options - the chart.
-   * @throws {@link Error} when the chart names a missing state or uses what a flat chart cannot have.
+   * @throws {@link Error} when the chart refers to a missing state or uses a feature that a flat chart does not allow.
    */
   constructor({ chart }: ChartInterpreterOptions<State, Event>) {
-    checkFlat(chart);
+    assertFlatChart(chart);
     const machine = createMachine(chart as Parameters<typeof createMachine>[0]);
     const states = Object.keys(chart.states) as State[];
     this.id = chart.id;
     this.initialState = getInitialSnapshot(machine).value as State;
     this.finalStates = new Set(states.filter((state) => chart.states[state].type === 'final'));
-    this.unaccepted = new Map(
+    this.rejectedSteps = new Map(
       states.map((state) => [state, Object.freeze({ state, accepted: false })]),
     );
     this.table = new Map(
@@ -105,7 +115,7 @@
     );
   }
 
-  /** @returns The state in which everything starts. */
+  /** @returns The initial state of the chart. */
   initial(): State {
     return this.initialState;
   }
@@ -116,16 +126,16 @@
   }
 
   /**
-   * Takes one event. An event that the state does not accept is reported and changes nothing: late,
-   * doubled and crossed messages are part of normal life.
+   * Applies one event to a state. An event that the state does not accept leaves the state unchanged and is no error,
+   * because late, duplicate and reordered messages are expected in normal operation.
    *
-   * @param state - the state before.
-   * @param event - what happened.
-   * @returns The state after, and whether the event was accepted.
-   * @throws {@link RangeError} when the chart has no such state, which is a mistake of the caller.
+   * @param state - state before the event.
+   * @param event - event to apply.
+   * @returns The state after the event, and whether the event was accepted.
+   * @throws {@link RangeError} when the chart has no such state, which is a programming error of the caller.
    */
   next(state: State, event: Event): ChartStep<State> {
-    const step = this.table.get(state)?.get(event) ?? this.unaccepted.get(state);
+    const step = this.table.get(state)?.get(event) ?? this.rejectedSteps.get(state);
     if (!step) throw new RangeError(`chart ${this.id} has no state ${state}`);
     return step;
   }
@@ -141,7 +151,7 @@
 
   /**
    * @param state - a state.
-   * @returns The events that it accepts.
+   * @returns The events that the state accepts.
    */
   acceptedEvents(state: State): Event[] {
     return [...(this.table.get(state)?.keys() ?? [])];
@@ -149,7 +159,7 @@
 
   /**
    * @param state - a state.
-   * @returns Whether nothing leads out of it.
+   * @returns Whether the state is final, that is has no outgoing transitions.
    */
   isFinal(state: State): boolean {
     return this.finalStates.has(state);
--- a/src/charts/formatChart.ts
+++ b/src/charts/formatChart.ts
@@ -1,5 +1,5 @@
 /**
- * Draws a chart file for readers: a Mermaid diagram and what its states mean.
+ * Formats a chart file as documentation: a Mermaid diagram and the descriptions of its states and transitions.
  */
 import type { ChartDefinition, ChartTransition } from './chartTypes.js';
 
@@ -7,7 +7,7 @@
   return typeof transition === 'string' ? transition : transition.target;
 }
 
-function arrowsOf(chart: ChartDefinition, state: string): string[] {
+function formatTransitions(chart: ChartDefinition, state: string): string[] {
   const events = Object.entries(chart.states[state]?.on ?? {});
   const targets = [
     ...new Set(events.map(([, transition]) => targetOf(transition as ChartTransition))),
@@ -20,12 +20,12 @@
   });
 }
 
-function endOf(chart: ChartDefinition, state: string): string[] {
+function formatFinalMarker(chart: ChartDefinition, state: string): string[] {
   return chart.states[state]?.type === 'final' ? [`  ${state} --> [*]`] : [];
 }
 
-/** The explanations of a state and of its transitions, as far as the file has any. */
-function notesOf(chart: ChartDefinition, state: string): string[] {
+/** Lists the descriptions of a state and of its transitions; those without a description are left out. */
+function formatNotes(chart: ChartDefinition, state: string): string[] {
   const { description, on = {} } = chart.states[state] ?? {};
   const own = description === undefined ? [] : [`- \`${state}\`: ${description}`];
   const transitions = Object.entries(on).flatMap(([event, transition]) =>
@@ -37,10 +37,10 @@
 }
 
 /**
- * Draws one chart.
+ * Formats one chart.
  *
- * @param chart - the content of a chart file.
- * @returns Markdown: heading, diagram and explanations.
+ * @param chart - content of a chart file.
+ * @returns Markdown with a heading, the diagram and the descriptions.
  */
 export function formatChart(chart: ChartDefinition): string {
   const states = Object.keys(chart.states);
@@ -51,10 +51,13 @@
     '```mermaid',
     'stateDiagram-v2',
     `  [*] --> ${chart.initial}`,
-    ...states.flatMap((state) => [...arrowsOf(chart, state), ...endOf(chart, state)]),
+    ...states.flatMap((state) => [
+      ...formatTransitions(chart, state),
+      ...formatFinalMarker(chart, state),
+    ]),
     '```',
     '',
-    ...states.flatMap((state) => notesOf(chart, state)),
+    ...states.flatMap((state) => formatNotes(chart, state)),
   ];
   return `${lines.join('\n').trimEnd()}\n`;
 }
