--- a/src/explanations/RequestStory.ts
+++ b/src/explanations/RequestStory.ts
@@ -85,8 +85,8 @@
  */
 export function storyOf(id: string, lines: readonly LogLine[]): Story | undefined {
   const sorted = byTime(lines);
-  const requestLines = sorted.filter(({ fields }) => fields.request === id);
-  if (requestLines.length === 0) return undefined;
-  const stateLines = findStateLines(requestLines, sorted);
-  return { own: requestLines, beliefs: stateLines, conclusions: causeOf(requestLines, stateLines) };
+  const own = sorted.filter(({ fields }) => fields.request === id);
+  if (own.length === 0) return undefined;
+  const beliefs = findStateLines(own, sorted);
+  return { own, beliefs, conclusions: causeOf(own, beliefs) };
 }
