--- a/src/gates/AccountUse.ts
+++ b/src/gates/AccountUse.ts
@@ -1,44 +1,49 @@
 /**
- * What the client accounts use at one gate, held against their shares of their limits.
+ * Tracks what each client account uses at one gate, and checks it against the account's share of its limits.
  */
 import { accountShare } from './accountShare.js';
 import type { GateRequest } from './gateTypes.js';
 
-interface Use {
-  /** Requests that run or wait here. */
+interface Usage {
+  /** Requests of the account that run or wait at this gate. */
   requests: number;
-  /** Tokens that may still be charged; below zero after a request larger than what was left. */
+  /** Tokens left in the bucket; below zero after a request that was larger than what was left. */
   tokens: number;
-  tokensAt: number;
+  /** When the bucket was last refilled, in monotonic milliseconds. */
+  refilledAt: number;
 }
 
-/** Why an account's request may not come in, and when it may. */
+/** Refusal of a request because its account has used up its share at this gate. */
 export interface AccountRefusal {
+  /** Milliseconds after which a retry is expected to be within the share. */
   readonly retryAfterMilliseconds: number;
 }
 
 const MILLISECONDS_PER_MINUTE = 60_000;
 
-/** An account that was quiet may use this much of a minute's tokens at once. */
+/** Size of an account's token bucket, as a share of its tokens for one minute. */
 const BURST_SHARE = 1 / 6;
 
-/** Accounts kept although they use nothing at the moment. */
+/** Accounts without requests whose buckets are kept; the one that has been idle longest is dropped first. */
 const MAXIMUM_IDLE_ACCOUNTS = 256;
 
-/** Counts requests exactly and tokens by a token bucket for each account. */
+/**
+ * Limits the client accounts at one gate: requests are counted exactly, tokens a minute by a token bucket for
+ * each account.
+ */
 export class AccountUse {
-  private readonly uses = new Map<string, Use>();
+  private readonly usageByAccount = new Map<string, Usage>();
 
-  private idle = 0;
+  private idleAccounts = 0;
 
   /**
-   * Checks a request against its account's share.
+   * Checks a request against its account's share, without charging it.
    *
    * @param now - monotonic milliseconds.
    * @param request - the request.
-   * @param poolRunners - runners of the pool.
-   * @param serviceMilliseconds - how long a request usually takes, for when to come back.
-   * @returns `undefined` when it may come in.
+   * @param poolRunners - number of runners in the pool.
+   * @param serviceMilliseconds - average time between two completed requests, from which the retry time follows.
+   * @returns `undefined` when the request is within the share.
    */
   check(
     now: number,
@@ -47,62 +52,62 @@
     serviceMilliseconds: number,
   ): AccountRefusal | undefined {
     const share = AccountUse.shareOf(request, poolRunners);
-    const use = this.uses.get(request.clientAccount);
+    const use = this.usageByAccount.get(request.clientAccount);
     if (!use) return undefined;
     if (use.requests >= share.concurrent)
       return { retryAfterMilliseconds: serviceMilliseconds / use.requests };
     const rate = share.tokensPerMinute / MILLISECONDS_PER_MINUTE;
     if (rate === Infinity) return undefined;
-    const tokens = AccountUse.refilled(use, now, share.tokensPerMinute);
+    const tokens = AccountUse.tokensAfterRefill(use, now, share.tokensPerMinute);
     return tokens > 0 ? undefined : { retryAfterMilliseconds: (1 - tokens) / rate };
   }
 
   /**
-   * Charges a request that came in.
+   * Charges an admitted request to its account.
    *
    * @param now - monotonic milliseconds.
    * @param request - the request.
-   * @param poolRunners - runners of the pool.
+   * @param poolRunners - number of runners in the pool.
    */
   enter(now: number, request: GateRequest, poolRunners: number): void {
     const { tokensPerMinute } = AccountUse.shareOf(request, poolRunners);
     const limited = tokensPerMinute !== Infinity;
-    const known = this.uses.get(request.clientAccount);
+    const known = this.usageByAccount.get(request.clientAccount);
     const use = known ?? {
       requests: 0,
       tokens: limited ? tokensPerMinute * BURST_SHARE : 0,
-      tokensAt: now,
+      refilledAt: now,
     };
-    if (known && known.requests === 0) this.idle -= 1;
+    if (known && known.requests === 0) this.idleAccounts -= 1;
     if (limited) {
       const charge = request.promptTokens + request.maximumTokens;
-      use.tokens = AccountUse.refilled(use, now, tokensPerMinute) - charge;
-      use.tokensAt = now;
+      use.tokens = AccountUse.tokensAfterRefill(use, now, tokensPerMinute) - charge;
+      use.refilledAt = now;
     }
     use.requests += 1;
-    this.uses.set(request.clientAccount, use);
+    this.usageByAccount.set(request.clientAccount, use);
   }
 
   /**
-   * Takes a request out again.
+   * Releases a request that has ended.
    *
-   * @param clientAccount - the account.
-   * @param unusedTokens - charged but not used; given back.
+   * @param clientAccount - the account of the request.
+   * @param unusedTokens - tokens that were charged but not used; they are returned to the bucket.
    */
   leave(clientAccount: string, unusedTokens: number): void {
-    const use = this.uses.get(clientAccount);
+    const use = this.usageByAccount.get(clientAccount);
     if (!use) return;
     use.requests -= 1;
     use.tokens += unusedTokens;
     if (use.requests > 0) return;
-    this.uses.delete(clientAccount);
-    this.uses.set(clientAccount, use);
-    this.idle += 1;
-    if (this.idle > MAXIMUM_IDLE_ACCOUNTS) this.forgetIdle();
+    this.usageByAccount.delete(clientAccount);
+    this.usageByAccount.set(clientAccount, use);
+    this.idleAccounts += 1;
+    if (this.idleAccounts > MAXIMUM_IDLE_ACCOUNTS) this.dropOldestIdle();
   }
 
   /**
-   * Takes out a request that did not run: nothing of its charge was used.
+   * Releases a request that did not run, and returns all of its tokens to the bucket.
    *
    * @param request - the request.
    */
@@ -110,16 +115,16 @@
     this.leave(clientAccount, promptTokens + maximumTokens);
   }
 
-  /** @returns Accounts that are remembered, for the bound on memory. */
+  /** @returns Number of accounts in memory; bounded by the requests at the gate and the idle accounts kept. */
   get size(): number {
-    return this.uses.size;
+    return this.usageByAccount.size;
   }
 
-  private forgetIdle(): void {
-    for (const [name, use] of this.uses) {
+  private dropOldestIdle(): void {
+    for (const [name, use] of this.usageByAccount) {
       if (use.requests > 0) continue;
-      this.uses.delete(name);
-      this.idle -= 1;
+      this.usageByAccount.delete(name);
+      this.idleAccounts -= 1;
       return;
     }
   }
@@ -137,8 +142,8 @@
     );
   }
 
-  private static refilled(use: Use, now: number, tokensPerMinute: number): number {
-    const gained = ((now - use.tokensAt) * tokensPerMinute) / MILLISECONDS_PER_MINUTE;
+  private static tokensAfterRefill(use: Usage, now: number, tokensPerMinute: number): number {
+    const gained = ((now - use.refilledAt) * tokensPerMinute) / MILLISECONDS_PER_MINUTE;
     return Math.min(tokensPerMinute * BURST_SHARE, use.tokens + gained);
   }
 }
--- a/src/gates/CacheMoveDecisions.spec.ts
+++ b/src/gates/CacheMoveDecisions.spec.ts
@@ -42,8 +42,8 @@
   }
 
   it('moves a few at a time, the first first, and stops when moves prove slower than rebuilding', () => {
-    // Symptom: a network is filled for minutes by copies that help nobody. Sequence: a runner leaves, its
-    //   caches are far larger than the settings say. Cause: what a move took is not held against the estimate.
+    // Guards against useless copies that fill the network for minutes: a runner leaves whose caches are far
+    // larger than the settings say, and the measured moves do not correct the estimate.
     const decisions = decisionsOf();
     const caches = ['a', 'b', 'c', 'd'].map((chat) => cacheOf(chat, 10_000));
     const first = decisions.decide(0, { kind: 'runner_leaving', caches });
@@ -63,9 +63,9 @@
     expect(last.map(textOf)).toEqual(['z rebuild_is_cheaper']);
   });
 
-  // Symptom: leaves without a single move although the link is fast. Sequence: the settings name a slower
-  //   link, or larger caches, than there are; a runner leaves. Cause: an estimate that forbids each move is
-  //   never corrected, because only moves correct it.
+  // Guards against runners that leave without a single move although the link is fast: the settings name a slower
+  // link, or larger caches, than there are, and an estimate that rules out every move is never corrected, because
+  // only moves correct it.
   for (const { milliseconds, bytes, expected } of [
     { milliseconds: 30, bytes: 100_000 * KILOBYTE, expected: ['move chat 2', 'move chat 3'] },
     { milliseconds: 2_000, bytes: 100_000 * KILOBYTE, expected: [] },
@@ -104,8 +104,8 @@
   }
 
   it('gives up the caches of a runner whose moves fail in a row, and those only', () => {
-    // Symptom: thousands of warnings after a leave. Sequence: a runner leaves with more caches than can be
-    //   moved in its time and is taken away. Cause: each of the moves that wait is tried and fails by itself.
+    // Guards against thousands of warnings after a runner has left: it stops before all of its caches are moved,
+    // and each of the waiting moves is then tried and fails.
     const decisions = decisionsOf();
     const caches = Array.from({ length: 2_000 }, (_, index) => cacheOf(`chat ${index}`, 10_000));
     decisions.decide(0, { kind: 'runner_leaving', caches });
@@ -123,8 +123,8 @@
   });
 
   it('moves a hot chat before those of a leaving runner that wait', () => {
-    // Symptom: a hot chat is rebuilt again and again while a runner leaves. Sequence: thousands of moves wait,
-    //   the chat is refused twice. Cause: its move waits behind all of them.
+    // Guards against a hot chat that is rebuilt again and again while a runner leaves: the chat is refused twice,
+    // and its move waits behind the thousands of moves of the leaving runner.
     const decisions = decisionsOf();
     const caches = Array.from({ length: 1_000 }, (_, index) => cacheOf(`chat ${index}`, 10_000));
     decisions.decide(0, { kind: 'runner_leaving', caches });
--- a/src/gates/CacheMoveDecisions.ts
+++ b/src/gates/CacheMoveDecisions.ts
@@ -1,6 +1,7 @@
 /**
- * Decides which KV caches are moved to another runner: where copying the bytes is expected to take less time
- * than rebuilding the prefix there, the most recently used chats first, a few at a time.
+ * Decides which KV caches are copied to another runner. A cache is moved if copying its bytes is expected to
+ * take less time than rebuilding the prefix on the other runner. The most recently used chats go first, and
+ * only a few moves run at a time.
  */
 import { match } from 'ts-pattern';
 
@@ -8,22 +9,24 @@
 import { CacheMoveEstimate } from './CacheMoveEstimate.js';
 import type { CacheMoveEstimateOptions } from './CacheMoveEstimate.js';
 
-/** A KV cache that could be moved. */
+/** A KV cache that could be moved to another runner. */
 export interface MovableCache {
   readonly chat: string;
   readonly service: string;
+  /** Id of the runner that has the cache. */
   readonly from: string;
+  /** Id of the runner that would receive it. */
   readonly to: string;
   readonly cachedTokens: number;
-  /** Prompt tokens a second that the new runner rebuilds; 0 where it is not known. */
+  /** Prefill rate of the receiving runner, in prompt tokens a second; 0 if it is not known. */
   readonly prefillTokensPerSecond: number;
 }
 
-/** What happens to the moves of a daemon. */
+/** Input of {@link CacheMoveDecisions}. */
 export type CacheMoveMessage =
-  /** A runner leaves by plan; the most recently used chats first. */
+  /** A runner is leaving as planned; its caches, the most recently used chats first. */
   | { readonly kind: 'runner_leaving'; readonly caches: readonly MovableCache[] }
-  /** A warm chat was refused at its runner for the bound. */
+  /** The gate of a runner that has the chat cached refused its request, because the runner is at its load bound. */
   | { readonly kind: 'warm_refused'; readonly cache: MovableCache }
   | {
       readonly kind: 'moved';
@@ -33,14 +36,14 @@
       readonly milliseconds: number;
     }
   | { readonly kind: 'move_failed'; readonly chat: string; readonly from: string }
-  /** The chat was rebuilt at another runner while its move waited; nothing was copied. */
+  /** The cache was rebuilt at another runner while its move waited, so nothing was copied. */
   | { readonly kind: 'needless'; readonly chat: string; readonly from: string };
 
-/** Why a cache stays where it is. */
+/** Why a cache is not moved. */
 export type CacheStayReason =
   'rebuild_is_cheaper' | 'too_many_waiting' | 'not_hot' | 'moved_lately' | 'moves_fail';
 
-/** What the owner has to do. */
+/** What the task has to do. */
 export type CacheMoveAction =
   | {
       readonly kind: 'move';
@@ -52,53 +55,55 @@
 
 /** Options of {@link CacheMoveDecisions}. */
 export interface CacheMoveDecisionsOptions extends CacheMoveEstimateOptions {
-  /** Moves at the same time. */
+  /** Moves that may run at the same time. */
   maximumMoves?: number;
 }
 
 const DEFAULT_MAXIMUM_MOVES = 2;
 
-/** Moves that may wait; those behind would come too late for a leaving runner. */
+/** Moves that may wait; later ones would not finish before a leaving runner has gone. */
 const MAXIMUM_WAITING = 5_000;
 
-/** Refusals within the window that make a chat hot: once may be chance. */
+/** A chat is hot after this many refusals within the window; a single refusal may be chance. */
 const HOT_REFUSALS = 2;
 const HOT_WINDOW_MILLISECONDS = 10_000;
 
-/** A chat that was moved is left where it is for a while, or two full runners would pass it to and fro. */
-const REST_MILLISECONDS = 30_000;
+/** A chat is not moved again for this long; otherwise two full runners would move it back and forth. */
+const MOVE_COOLDOWN_MILLISECONDS = 30_000;
 
 const MAXIMUM_REMEMBERED_CHATS = 5_000;
 
 /**
- * An estimate that forbids every move is never corrected by one: with settings that are too careful a fast
- * link stays unused for good, seen as leaves without a single move. So where many caches of a leaving runner
- * could gain, one is moved to measure the link, and the others wait for what it shows.
+ * Only completed moves correct the estimate, so an estimate that rules out every move is never corrected. With
+ * settings that name too slow a link, a fast link would then stay unused, and runners would leave without a
+ * single move. To prevent this, if a leaving runner has at least this many caches and none seems worth moving,
+ * one cache is moved as a trial to measure the link. The other caches wait for its result.
  */
 const MINIMUM_CACHES_FOR_TRIAL = 32;
 const MILLISECONDS_BETWEEN_TRIALS = 600_000;
 
-/** A smaller cache would measure the calls rather than the link. */
+/** Moving a smaller cache would measure the fixed cost of the calls instead of the link. */
 const MINIMUM_TRIAL_TOKENS = 1_000;
 
 /**
- * A runner that went before its moves were made, or an engine that does not export, fails them all: thousands
- * of warnings and wasted calls. After so many in a row nothing more of it is tried.
+ * After this many failures in a row, the waiting moves of a runner are dropped. If a runner has already gone, or
+ * its engine can't export, each of its moves fails, which would cause thousands of warnings and useless calls.
  */
 const MAXIMUM_FAILURES_IN_A_ROW = 5;
 
 interface RefusedChat {
+  /** First refusal of the window, in monotonic milliseconds. */
   readonly since: number;
   readonly count: number;
 }
 
-function limit(map: Map<string, unknown>): void {
+function evictOldest(map: Map<string, unknown>): void {
   if (map.size <= MAXIMUM_REMEMBERED_CHATS) return;
   const [oldest] = map.keys();
   if (oldest !== undefined) map.delete(oldest);
 }
 
-/** The moves of one daemon. */
+/** Schedules the cache moves of one daemon. */
 export class CacheMoveDecisions extends Decisions<CacheMoveMessage, CacheMoveAction> {
   private readonly maximumMoves: number;
 
@@ -112,16 +117,16 @@
 
   private readonly movedAt = new Map<string, number>();
 
-  /** Failures in a row, by the runner whose caches were to be moved. */
+  /** Failed moves in a row, by the id of the runner that has the caches. */
   private readonly failures = new Map<string, number>();
 
-  /** The move that measures the link; the others wait for its end. */
+  /** The running trial move; no other move starts until it has ended. */
   private trial: MovableCache | undefined;
 
-  private trialAt = -Infinity;
+  private trialStartedAt = -Infinity;
 
   /**
-   * @param options - limits, and first estimates.
+   * @param options - limits and initial estimates.
    */
   constructor({
     maximumMoves = DEFAULT_MAXIMUM_MOVES,
@@ -151,18 +156,18 @@
   }
 
   private onLeaving(now: number, caches: readonly MovableCache[]): CacheMoveAction[] {
-    const trial = this.trialOf(now, caches);
-    if (!trial) return caches.flatMap((cache) => this.consider(now, cache));
+    const trial = this.findTrial(now, caches);
+    if (!trial) return caches.flatMap((cache) => this.enqueueIfWorthMoving(now, cache));
     this.trial = trial;
-    this.trialAt = now;
+    this.trialStartedAt = now;
     const others = caches.filter((cache) => cache !== trial);
-    // Held against the estimate when their turn comes, after the trial.
+    // These are checked against the corrected estimate after the trial.
     const stays = others.flatMap((cache) => this.enqueue(now, cache));
     return [...stays, this.start(now, trial)];
   }
 
-  private trialOf(now: number, caches: readonly MovableCache[]): MovableCache | undefined {
-    const isDue = now - this.trialAt >= MILLISECONDS_BETWEEN_TRIALS;
+  private findTrial(now: number, caches: readonly MovableCache[]): MovableCache | undefined {
+    const isDue = now - this.trialStartedAt >= MILLISECONDS_BETWEEN_TRIALS;
     const isIdle = this.moving.size === 0 && this.waiting.length === 0;
     if (!isDue || !isIdle || caches.length < MINIMUM_CACHES_FOR_TRIAL) return undefined;
     if (caches.some((cache) => this.estimate.isWorthMoving(cache))) return undefined;
@@ -175,7 +180,7 @@
     this.failures.delete(from);
     if (count < MAXIMUM_FAILURES_IN_A_ROW) {
       this.failures.set(from, count);
-      limit(this.failures);
+      evictOldest(this.failures);
       return [];
     }
     const dropped = this.waiting.filter((cache) => cache.from === from);
@@ -194,28 +199,32 @@
   private onWarmRefused(now: number, cache: MovableCache): CacheMoveAction[] {
     const { chat } = cache;
     const before = this.refused.get(chat);
-    const goesOn = before !== undefined && now - before.since <= HOT_WINDOW_MILLISECONDS;
-    const { since, count } = goesOn ? before : { since: now, count: 0 };
+    const isInWindow = before !== undefined && now - before.since <= HOT_WINDOW_MILLISECONDS;
+    const { since, count } = isInWindow ? before : { since: now, count: 0 };
     this.refused.delete(chat);
-    if (count + 1 >= HOT_REFUSALS) return this.considerHot(now, cache);
+    if (count + 1 >= HOT_REFUSALS) return this.enqueueHotFirst(now, cache);
     this.refused.set(chat, { since, count: count + 1 });
-    limit(this.refused);
+    evictOldest(this.refused);
     return [{ kind: 'stay', chat, reason: 'not_hot' }];
   }
 
-  /** Behind the thousands of a leaving runner its move would come minutes late, when the chat is hot no more. */
-  private considerHot(now: number, cache: MovableCache): CacheMoveAction[] {
-    const stays = this.consider(now, cache);
+  /**
+   * Puts the move of a hot chat at the front of the queue. Behind the thousands of moves of a leaving runner it
+   * would start minutes later, when the chat is no longer hot.
+   */
+  private enqueueHotFirst(now: number, cache: MovableCache): CacheMoveAction[] {
+    const stays = this.enqueueIfWorthMoving(now, cache);
     if (stays.length === 0) this.waiting.unshift(...this.waiting.splice(-1));
     return stays;
   }
 
-  private consider(now: number, cache: MovableCache): CacheMoveAction[] {
+  private enqueueIfWorthMoving(now: number, cache: MovableCache): CacheMoveAction[] {
     const stay = (reason: CacheStayReason): CacheMoveAction[] => [
       { kind: 'stay', chat: cache.chat, reason },
     ];
     const movedAt = this.movedAt.get(cache.chat);
-    if (movedAt !== undefined && now - movedAt < REST_MILLISECONDS) return stay('moved_lately');
+    if (movedAt !== undefined && now - movedAt < MOVE_COOLDOWN_MILLISECONDS)
+      return stay('moved_lately');
     if (!this.estimate.isWorthMoving(cache)) return stay('rebuild_is_cheaper');
     return this.enqueue(now, cache);
   }
@@ -227,7 +236,7 @@
     this.waiting.push(cache);
     this.movedAt.delete(cache.chat);
     this.movedAt.set(cache.chat, now);
-    limit(this.movedAt);
+    evictOldest(this.movedAt);
     return [];
   }
 
@@ -247,7 +256,7 @@
     return [];
   }
 
-  /** What was learned meanwhile counts: a move that waited is held against the estimate again. */
+  /** Starts waiting moves. Each is checked again, because the estimate may have changed while it waited. */
   private startWaiting(now: number): CacheMoveAction[] {
     const actions: CacheMoveAction[] = [];
     while (!this.trial && this.moving.size < this.maximumMoves) {
--- a/src/gates/CacheMoveEstimate.ts
+++ b/src/gates/CacheMoveEstimate.ts
@@ -1,15 +1,15 @@
 /**
- * What a move of a KV cache and its rebuilding are expected to take, corrected by moves that were made.
+ * Estimates how long it takes to move a KV cache and how long to rebuild it, corrected by measured moves.
  */
 
-/** What a cache's estimate depends on. */
+/** The properties of a cache that its estimate depends on. */
 export interface EstimatedCache {
   readonly cachedTokens: number;
-  /** Prompt tokens a second that the new runner rebuilds; 0 where it is not known. */
+  /** Prefill rate of the receiving runner, in prompt tokens a second; 0 if it is not known. */
   readonly prefillTokensPerSecond: number;
 }
 
-/** A move that was made. */
+/** Measurement of a completed move. */
 export interface MeasuredMove {
   readonly tokens: number;
   readonly bytes: number;
@@ -18,11 +18,11 @@
 
 /** Options of a {@link CacheMoveEstimate}. */
 export interface CacheMoveEstimateOptions {
-  /** Until a move has measured it. */
+  /** Size of the KV cache of one token, in bytes, until a move has measured it. */
   bytesPerToken?: number;
-  /** Until a move has measured it. */
+  /** Transfer rate in bytes a second, until a move has measured it. */
   bytesPerSecond?: number;
-  /** Where a runner's own rate is not known. */
+  /** Prefill rate in prompt tokens a second, for runners whose own rate is not known. */
   prefillTokensPerSecond?: number;
 }
 
@@ -31,16 +31,16 @@
 const DEFAULT_PREFILL_TOKENS_PER_SECOND = 10_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Calls and scheduling that each move costs beside its bytes. */
+/** Time that each move takes for calls and scheduling, whatever its size. */
 const FIXED_MOVE_MILLISECONDS = 20;
 
-/** A move must be clearly better: its estimate is rough, and it takes bandwidth from others. */
-const MINIMUM_ADVANTAGE = 1.25;
+/** Rebuilding must take this many times longer, since the estimate is rough and a move uses shared bandwidth. */
+const MINIMUM_SPEEDUP = 1.25;
 
-/** Weight of the newest measurement. */
+/** Weight of the newest measurement in the exponentially weighted mean. */
 const MEASUREMENT_WEIGHT = 0.3;
 
-/** The estimate of one daemon. */
+/** Estimates move and rebuild times for one daemon. */
 export class CacheMoveEstimate {
   private readonly prefillTokensPerSecond: number;
 
@@ -49,7 +49,7 @@
   private bytesPerSecond: number;
 
   /**
-   * @param options - first estimates.
+   * @param options - initial estimates.
    */
   constructor({
     bytesPerToken = DEFAULT_BYTES_PER_TOKEN,
@@ -62,16 +62,16 @@
   }
 
   /**
-   * @param cache - could be moved.
+   * @param cache - a cache that could be moved.
    * @returns Whether moving it is clearly faster than rebuilding it.
    */
   isWorthMoving(cache: EstimatedCache): boolean {
-    return this.moveMilliseconds(cache) * MINIMUM_ADVANTAGE < this.rebuildMilliseconds(cache);
+    return this.moveMilliseconds(cache) * MINIMUM_SPEEDUP < this.rebuildMilliseconds(cache);
   }
 
   /**
-   * @param cache - could be moved.
-   * @returns Milliseconds that a move takes.
+   * @param cache - a cache that could be moved.
+   * @returns Expected duration of the move, in milliseconds.
    */
   moveMilliseconds({ cachedTokens }: EstimatedCache): number {
     const bytes = cachedTokens * this.bytesPerToken;
@@ -79,8 +79,8 @@
   }
 
   /**
-   * @param cache - could be moved.
-   * @returns Milliseconds that rebuilding takes.
+   * @param cache - a cache that could be moved.
+   * @returns Expected duration of the rebuild, in milliseconds.
    */
   rebuildMilliseconds({ cachedTokens, prefillTokensPerSecond }: EstimatedCache): number {
     const rate = prefillTokensPerSecond || this.prefillTokensPerSecond;
@@ -88,20 +88,24 @@
   }
 
   /**
-   * @param move - was made; it corrects the estimate a little, since one move says little.
+   * Corrects the estimate by one measurement. A single move is a noisy sample, so it has a small weight.
+   *
+   * @param move - the measured move.
    */
   learn(move: MeasuredMove): void {
-    this.take(move, MEASUREMENT_WEIGHT);
+    this.applyMeasurement(move, MEASUREMENT_WEIGHT);
   }
 
   /**
-   * @param move - was made because the estimate is in doubt; what it shows replaces the estimate.
+   * Replaces the estimate by the measurement of a trial move.
+   *
+   * @param move - the measured move.
    */
   replace(move: MeasuredMove): void {
-    this.take(move, 1);
+    this.applyMeasurement(move, 1);
   }
 
-  private take({ tokens, bytes, milliseconds }: MeasuredMove, weight: number): void {
+  private applyMeasurement({ tokens, bytes, milliseconds }: MeasuredMove, weight: number): void {
     const transferring = Math.max(1, milliseconds - FIXED_MOVE_MILLISECONDS);
     const bytesPerSecond = (bytes * MILLISECONDS_PER_SECOND) / transferring;
     this.bytesPerToken += weight * (bytes / Math.max(1, tokens) - this.bytesPerToken);
--- a/src/gates/CacheMoveTask.spec.ts
+++ b/src/gates/CacheMoveTask.spec.ts
@@ -25,7 +25,7 @@
 const GUARD_MILLISECONDS = 30_000;
 const TOKENS = 5_000;
 
-class KnownHomes extends HomePort {
+class FakeHomes extends HomePort {
   readonly warm = new Map<string, readonly WarmRunner[]>();
 
   readonly told: HomeChange[] = [];
@@ -53,8 +53,8 @@
   return warmRunnerOf({ runnerId, cachedTokens, ageMilliseconds: 0 });
 }
 
-/** A daemon's moves, and what ended of them. */
-function benchOf(state: FleetRunner['state']) {
+/** Creates a cache move task with fake homes and upstreams, and records how its moves ended. */
+function createMoveBench(state: FleetRunner['state']) {
   const fleet = new MovingFleetView();
   fleet.runnersKnown = [
     runnerOf('old', state),
@@ -63,7 +63,7 @@
   ];
   const lightest = [{ runnerId: 'new', load: 0 }];
   fleet.loads.set('chats', { runners: 3, mean: 100, lightest });
-  const homes = new KnownHomes();
+  const homes = new FakeHomes();
   const ended: string[] = [];
   const task = new CacheMoveTask({
     fleet,
@@ -88,11 +88,11 @@
 }
 
 describe(CacheMoveTask.name, { timeout: GUARD_MILLISECONDS }, () => {
-  // Symptom: the link is busy for minutes after a leave, and few of the copies are ever used. Sequence: a
-  //   runner leaves, a chat returns while its move waits and is rebuilt at another runner, its turn comes.
-  //   Cause: the copy is made without asking where the chat stands by then.
+  // Guards against copies that are never used and keep the link busy for minutes after a runner has left: while
+  // its move waits, a chat is used again and rebuilt at another runner, and its cache is then copied without
+  // checking where it already is.
   it('does not copy what stands at another live runner by the time of its turn', async () => {
-    const { fleet, homes, ended, task, watch, until } = benchOf('leaving');
+    const { fleet, homes, ended, task, watch, until } = createMoveBench('leaving');
     homes.warm.set('returned', [warmAt('old', TOKENS), warmAt('new', TOKENS + 1)]);
     homes.warm.set('shorter elsewhere', [warmAt('new', TOKENS - 1)]);
     homes.warm.set('at a leaver', [warmAt('gone', TOKENS)]);
@@ -107,7 +107,7 @@
   });
 
   it('gives a hot chat one more place, unless the target is one already', async () => {
-    const { fleet, homes, ended, task, watch, until } = benchOf('live');
+    const { fleet, homes, ended, task, watch, until } = createMoveBench('live');
     homes.warm.set('at the target', [warmAt('old', TOKENS), warmAt('new', TOKENS)]);
     homes.warm.set('elsewhere', [warmAt('old', TOKENS), warmAt('third', TOKENS)]);
     for (const chat of ['at the target', 'elsewhere']) {
--- a/src/gates/CacheMoveTask.ts
+++ b/src/gates/CacheMoveTask.ts
@@ -1,6 +1,6 @@
 /**
- * Moves KV caches between runners: reads them from the old runner and writes them to the new one as they
- * come, and tells the homes of the chats.
+ * Moves KV caches between runners. A cache is streamed from the old runner to the new one, and the home of its
+ * chat is then told where the cache is.
  */
 import { create } from '@bufbuild/protobuf';
 import { match } from 'ts-pattern';
@@ -29,25 +29,25 @@
   clock: Clock;
   log: Log;
   settings: GatesSettings;
-  /** Makes an adapter of its own for a runner; closed after the move. */
+  /** Creates a separate upstream for a runner; the task closes it after the move. */
   createUpstream: (runner: FleetRunner) => Upstream | undefined;
   record?: (step: DecisionStep<CacheMoveMessage, CacheMoveAction>) => void;
 }
 
-/** What the gate of a runner knows of it. */
+/** What the gate of a runner knows about the runner's cache and speed. */
 export type RunnerKnowledge = Pick<GateTaskRunnerWatch, 'cache' | 'tokensPerSecond'>;
 
-/** Chats of a leaving runner that are looked at. */
+/** Most recently used chats of a leaving runner that are considered for a move. */
 export const MAXIMUM_CHATS_OF_A_RUNNER = 5_000;
 
-/** Leaving runners that are remembered; nobody says when one has gone for good. */
-const MAXIMUM_REMEMBERED_LEAVERS = 1_000;
+/** Leaving runners kept in memory. The number is bounded because no message says when a runner has gone. */
+const MAXIMUM_REMEMBERED_LEAVING_RUNNERS = 1_000;
 
-/** Reads bytes through and counts them. */
-class CountedBytes {
+/** Passes a byte stream through and counts its bytes. */
+class ByteCounter {
   bytes = 0;
 
-  async *through(cache: AsyncIterable<Uint8Array>): AsyncGenerator<Uint8Array, void, undefined> {
+  async *count(cache: AsyncIterable<Uint8Array>): AsyncGenerator<Uint8Array, void, undefined> {
     for await (const part of cache) {
       this.bytes += part.byteLength;
       yield part;
@@ -55,8 +55,8 @@
   }
 }
 
-/** The runners of one pool are of one kind, so the new one rebuilds about as fast as the old one works. */
-function movable(
+/** Uses the old runner's rate for the new one, since all runners of a pool are of the same kind. */
+function movableCacheOf(
   runner: FleetRunner,
   to: string,
   change: CacheChange,
@@ -65,15 +65,15 @@
   return { ...change, service: runner.record.service, from: runner.id, to, prefillTokensPerSecond };
 }
 
-/** The moves of one daemon. */
+/** Runs the cache moves of one daemon. */
 export class CacheMoveTask extends DecisionTask<CacheMoveMessage, CacheMoveAction> {
   private readonly options: CacheMoveTaskOptions;
 
-  /** Runners that leave and whose caches were looked at, by name and incarnation. */
+  /** Leaving runners whose caches have been considered, by id and incarnation. */
   private readonly leaving = new Set<string>();
 
   /**
-   * @param options - the fleet, and how to reach its runners.
+   * @param options - the fleet, how to reach its runners, and the settings.
    */
   constructor(options: CacheMoveTaskOptions) {
     const { settings, clock, record } = options;
@@ -83,14 +83,16 @@
       bytesPerSecond: settings.cacheTransferBytesPerSecond,
       prefillTokensPerSecond: settings.prefillTokensPerSecond,
     });
-    // The decisions never ask to be woken, so that no tick is ever sent.
+    // The decisions never ask for a wake-up, so this tick is never sent.
     super({ decisions, clock, tick: { kind: 'runner_leaving', caches: [] }, record });
     this.options = options;
   }
 
   /**
-   * @param runner - as the lists have it; when it leaves by plan, its caches are looked at once.
-   * @param watch - what its gate knows of it.
+   * Considers the caches of a runner for a move, once, when the runner starts to leave.
+   *
+   * @param runner - the runner as the fleet lists it now.
+   * @param watch - what the runner's gate knows about it.
    */
   learnRunner(runner: FleetRunner, watch: RunnerKnowledge): void {
     const { id, state, record } = runner;
@@ -99,29 +101,31 @@
       this.leaving.delete(key);
       return;
     }
-    if (this.leaving.has(key) || !this.mayMove(runner)) return;
-    this.remember(key);
+    if (this.leaving.has(key) || !this.isMovingEnabled(runner)) return;
+    this.rememberConsidered(key);
     const others = this.others(runner);
     const chats = watch.cache.recentChats().slice(0, MAXIMUM_CHATS_OF_A_RUNNER);
     const caches = chats.flatMap((change) => {
       const to = rendezvousPick(change.chat, others);
-      return to ? [movable(runner, to.id, change, watch)] : [];
+      return to ? [movableCacheOf(runner, to.id, change, watch)] : [];
     });
     if (caches.length > 0) this.send({ kind: 'runner_leaving', caches });
   }
 
   /**
-   * @param runner - refused a chat that is warm there, because it is at its bound.
-   * @param change - the chat, and what is cached.
-   * @param watch - what the runner's gate knows of it.
+   * Considers a move for a chat that was refused by the gate of the runner that has it cached.
+   *
+   * @param runner - the runner, which is at its load bound.
+   * @param change - the chat and the number of its cached tokens.
+   * @param watch - what the runner's gate knows about it.
    */
   warmRefused(runner: FleetRunner, change: CacheChange, watch: RunnerKnowledge): void {
-    if (!this.mayMove(runner)) return;
+    if (!this.isMovingEnabled(runner)) return;
     const others = this.others(runner);
     const { lightest } = this.options.fleet.poolLoad(runner.record.service);
     const light = lightest.find(({ runnerId }) => others.some(({ id }) => id === runnerId));
     const to = light?.runnerId ?? rendezvousPick(change.chat, others)?.id;
-    if (to) this.send({ kind: 'warm_refused', cache: movable(runner, to, change, watch) });
+    if (to) this.send({ kind: 'warm_refused', cache: movableCacheOf(runner, to, change, watch) });
   }
 
   protected override perform(action: CacheMoveAction): void {
@@ -133,9 +137,9 @@
       .exhaustive();
   }
 
-  private remember(key: string): void {
+  private rememberConsidered(key: string): void {
     this.leaving.add(key);
-    if (this.leaving.size <= MAXIMUM_REMEMBERED_LEAVERS) return;
+    if (this.leaving.size <= MAXIMUM_REMEMBERED_LEAVING_RUNNERS) return;
     const [oldest] = this.leaving;
     if (oldest !== undefined) this.leaving.delete(oldest);
   }
@@ -144,9 +148,9 @@
     const { chat, from, to, service } = cache;
     const { log, clock, homes } = this.options;
     const startedAt = clock.monotonicMilliseconds();
-    const counted = new CountedBytes();
+    const counted = new ByteCounter();
     try {
-      if (await this.stands(cache)) {
+      if (await this.isCachedElsewhere(cache)) {
         this.send({ kind: 'needless', chat, from });
         return;
       }
@@ -164,11 +168,19 @@
   }
 
   /**
-   * A move may wait for minutes, and a chat that returns meanwhile is rebuilt elsewhere. Copying it as well
-   * would show as transferred bytes without reuse; its home knows, and costs one small question. A chat of
-   * a runner that stays needs one place more, so there only the target counts.
+   * Asks the home of the chat whether the cache is already at another runner, so that no move is needed.
+   *
+   * A move may wait for minutes. If the chat is used meanwhile, its cache is rebuilt elsewhere, and a copy would
+   * only transfer bytes that are never reused. One small call to the home prevents this. If the old runner is
+   * not leaving, the move is meant to add a second copy, so only a copy at the target counts.
    */
-  private async stands({ chat, service, from, to, cachedTokens }: MovableCache): Promise<boolean> {
+  private async isCachedElsewhere({
+    chat,
+    service,
+    from,
+    to,
+    cachedTokens,
+  }: MovableCache): Promise<boolean> {
     const { homes, fleet } = this.options;
     const places = await homes.ask(chat, service);
     const leaves = fleet.runner(from)?.state !== 'live';
@@ -178,13 +190,13 @@
     });
   }
 
-  private async copy({ chat, from, to }: MovableCache, counted: CountedBytes): Promise<number> {
+  private async copy({ chat, from, to }: MovableCache, counted: ByteCounter): Promise<number> {
     const source = this.upstreamOf(from);
     const target = this.upstreamOf(to);
     try {
       const cache = await source.exportCache(chat);
-      if (!cache) throw new VError('the runner has nothing cached of this chat');
-      return await target.importCache(chat, counted.through(cache));
+      if (!cache) throw new VError('the runner has no cache of this chat to export');
+      return await target.importCache(chat, counted.count(cache));
     } finally {
       source.close();
       target.close();
@@ -194,11 +206,12 @@
   private upstreamOf(runnerId: string): Upstream {
     const runner = this.options.fleet.runner(runnerId);
     const upstream = runner && this.options.createUpstream(runner);
-    if (!upstream) throw new VError('the runner %s is not known any more', runnerId);
+    if (!upstream)
+      throw new VError('runner %s is no longer in the fleet or has no upstream', runnerId);
     return upstream;
   }
 
-  private mayMove({ record }: FleetRunner): boolean {
+  private isMovingEnabled({ record }: FleetRunner): boolean {
     const { fleet } = this.options;
     if (fleet.service(record.service)?.kind === 'plain') return false;
     return fleet.routingPolicy(record.service).moveCache;
--- a/src/gates/DrainRate.ts
+++ b/src/gates/DrainRate.ts
@@ -1,56 +1,61 @@
 /**
- * How fast a gate's runner really gets through work: an exponentially weighted mean over busy time.
+ * Measures how fast a gate's runner gets through work: an exponentially weighted mean over its busy time.
  */
 
 /** Options of a {@link DrainRate}. */
 export interface DrainRateOptions {
-  /** Over how much busy time the mean reaches back, in ms. */
+  /** Time constant of the mean, in milliseconds of busy time. */
   windowMilliseconds?: number;
-  /** Units a ms, until enough has been measured. */
+  /** Rate that is used until enough has been measured, in units a millisecond. */
   initialRate?: number;
 }
 
 const DEFAULT_WINDOW_MILLISECONDS = 5_000;
 
-/** Share of a window that has to be measured before the measurement is believed. */
-const TRUSTED_SHARE = 0.5;
+/** Share of the window that must have been measured before the measurement replaces the initial rate. */
+const MINIMUM_MEASURED_SHARE = 0.5;
 
-/** Counts units (tokens, requests) that leave. Idle time does not count: an idle runner is not a slow one. */
+/**
+ * Measures the rate at which units (tokens or requests) leave a runner. Idle time does not count, or an idle
+ * runner would look slow.
+ */
 export class DrainRate {
   private readonly windowMilliseconds: number;
 
-  private fallbackRate: number;
+  private initialRate: number;
 
   private sum = 0;
 
-  /** How much of the window has been seen, 0 to 1; corrects the start, when the sum is still short. */
-  private seen = 0;
+  /** Measured share of the window, 0 to 1; it corrects the rate at the start, when the sum is still too low. */
+  private measuredShare = 0;
 
   private lastAt: number | undefined;
 
   /**
-   * @param options - window and first guess.
+   * @param options - window and initial rate.
    */
   constructor({
     windowMilliseconds = DEFAULT_WINDOW_MILLISECONDS,
     initialRate = 1,
   }: DrainRateOptions = {}) {
     this.windowMilliseconds = windowMilliseconds;
-    this.fallbackRate = initialRate;
+    this.initialRate = initialRate;
   }
 
   /**
-   * @param rate - a better first guess, units a ms.
+   * Sets the rate that is used until enough has been measured.
+   *
+   * @param rate - units a millisecond; ignored unless above zero.
    */
   guess(rate: number): void {
-    if (rate > 0) this.fallbackRate = rate;
+    if (rate > 0) this.initialRate = rate;
   }
 
   /**
-   * Lets time pass.
+   * Advances the window to the given time.
    *
    * @param now - monotonic milliseconds.
-   * @param busy - whether there was work to drain since the last call.
+   * @param busy - whether the runner had work since the last call.
    */
   advance(now: number, busy: boolean): void {
     const elapsed = this.lastAt === undefined ? 0 : now - this.lastAt;
@@ -58,20 +63,23 @@
     if (!busy || elapsed <= 0) return;
     const kept = Math.exp(-elapsed / this.windowMilliseconds);
     this.sum *= kept;
-    this.seen = 1 - (1 - this.seen) * kept;
+    this.measuredShare = 1 - (1 - this.measuredShare) * kept;
   }
 
   /**
-   * @param units - what left just now.
+   * Counts units that have just left the runner.
+   *
+   * @param units - number of tokens or requests.
    */
   add(units: number): void {
     this.sum += units;
   }
 
-  /** @returns Units a ms, above zero. */
+  /** @returns The rate in units a millisecond, above zero. */
   rate(): number {
-    const measured = this.sum / (this.windowMilliseconds * Math.max(this.seen, Number.EPSILON));
-    const trusted = this.seen >= TRUSTED_SHARE && measured > 0;
-    return trusted ? measured : this.fallbackRate;
+    const measured =
+      this.sum / (this.windowMilliseconds * Math.max(this.measuredShare, Number.EPSILON));
+    const trusted = this.measuredShare >= MINIMUM_MEASURED_SHARE && measured > 0;
+    return trusted ? measured : this.initialRate;
   }
 }
--- a/src/gates/FairQueue.spec.ts
+++ b/src/gates/FairQueue.spec.ts
@@ -30,8 +30,8 @@
   }
 }
 
-/** Tokens that each account got among the first ones. */
-function served(queue: FairQueue<FairQueueItem>, turns: number): Record<string, number> {
+/** Takes requests from the queue and sums up their tokens of work by account. */
+function tokensServed(queue: FairQueue<FairQueueItem>, turns: number): Record<string, number> {
   const tokens: Record<string, number> = {};
   for (let turn = 0; turn < turns; turn += 1) {
     const item = queue.take(0);
@@ -83,7 +83,7 @@
     it(name, () => {
       const queue = new FairQueue();
       fill(queue, loads);
-      const tokens = served(queue, turns);
+      const tokens = tokensServed(queue, turns);
       expect(Object.keys(tokens).sort()).toEqual(Object.keys(expected).sort());
       for (const [account, wanted] of Object.entries(expected)) {
         // Deficit round robin is exact to one quantum and one request.
@@ -93,17 +93,18 @@
   }
 
   it('gives aged requests of a lower class every eighth turn, when it is told to', () => {
-    // Symptom: a weekly summary never starts. Sequence: urgent requests keep coming. Cause: strict classes.
+    // Guards against starvation: with strict priority classes, a weekly summary in the background class never
+    // starts while urgent requests keep coming.
     const loads: Load[] = [
       { clientAccount: 'counter', count: 100, priority: 'urgent' },
       { clientAccount: 'weekly', count: 5, priority: 'background', queuedAt: -20_000 },
     ];
     const aging = new FairQueue({ agingMilliseconds: 10_000 });
     fill(aging, loads);
-    expect(served(aging, 16)).toEqual({ counter: 14 * 500, weekly: 2 * 500 });
+    expect(tokensServed(aging, 16)).toEqual({ counter: 14 * 500, weekly: 2 * 500 });
     const strict = new FairQueue();
     fill(strict, loads);
-    expect(served(strict, 16)).toEqual({ counter: 16 * 500 });
+    expect(tokensServed(strict, 16)).toEqual({ counter: 16 * 500 });
   });
 
   it('does not let a surge shut others out of a full queue', () => {
--- a/src/gates/FairQueue.ts
+++ b/src/gates/FairQueue.ts
@@ -1,41 +1,41 @@
 /**
- * The queue of one gate: strict priority classes, and within a class deficit round robin between client
- * accounts (Shreedhar and Varghese, 1995), by weight and in tokens of work.
+ * The queue of one gate. Priority classes are strict; within a class, client accounts share by deficit round
+ * robin (Shreedhar and Varghese, 1995), by their weights and measured in tokens of work.
  */
 import { PRIORITIES } from './gateTypes.js';
 import type { Priority } from './gateTypes.js';
 
-/** What the queue has to know of a request. */
+/** The properties of a request that the queue needs. */
 export interface FairQueueItem {
   readonly attemptId: string;
   readonly clientAccount: string;
   readonly priority: Priority;
-  /** Share of the account; 0 counts as 1. */
+  /** Weight of the client account; 0 counts as 1. */
   readonly accountWeight: number;
   /** Tokens of work, above zero. */
   readonly work: number;
-  /** Monotonic milliseconds. */
+  /** When the request was queued, in monotonic milliseconds. */
   readonly queuedAt: number;
 }
 
 /** Options of a {@link FairQueue}. */
 export interface FairQueueOptions {
-  /** Age after which a request of a lower class gets a turn now and then, in ms; 0 means never. */
+  /** Age in milliseconds after which requests of a lower class get every eighth start; 0 means never. */
   agingMilliseconds?: number;
-  /** Tokens that an account of weight 1 may send in one round. */
+  /** Tokens that an account of weight 1 may start in one round. */
   quantumTokens?: number;
 }
 
-/** Work and requests that leave the queue before a given one. */
+/** Tokens of work and number of requests that leave the queue before a given request. */
 export interface QueueAhead {
   readonly work: number;
   readonly requests: number;
 }
 
-/** An aged request of a lower class gets every so many-th start. */
-const AGED_TURN = 8;
+/** One in this many starts goes to a lower class that has an aged request. */
+const AGED_TURN_INTERVAL = 8;
 
-/** About one request's work, so that a round serves about one request of each account. */
+/** About the work of one request, so that a round starts about one request of each account. */
 const DEFAULT_QUANTUM_TOKENS = 512;
 
 interface AccountQueue<Item extends FairQueueItem> {
@@ -43,29 +43,30 @@
   weight: number;
   deficit: number;
   work: number;
-  /** Whether this round's quantum has been given. */
+  /** Whether the account has received its quantum in this round. */
   granted: boolean;
 }
 
 type ClassQueue<Item extends FairQueueItem> = Map<string, AccountQueue<Item>>;
 
-/** Holds requests in the order in which they are to start. */
+/** Keeps the waiting requests of one gate and determines the order in which they start. */
 export class FairQueue<Item extends FairQueueItem> {
   private readonly agingMilliseconds: number;
 
   private readonly quantumTokens: number;
 
-  /** Accounts stand in the order of the round; a Map keeps insertion order. */
+  /** The accounts of each class in round-robin order; a Map keeps insertion order. */
   private readonly classes: Record<Priority, ClassQueue<Item>>;
 
   private readonly byAttempt = new Map<string, Item>();
 
   private queuedWork = 0;
 
-  private turnsPastAged = 0;
+  /** Starts in a row that went to a class above one with an aged request. */
+  private startsPastAged = 0;
 
   /**
-   * @param options - aging and quantum.
+   * @param options - aging time and quantum.
    */
   constructor({
     agingMilliseconds = 0,
@@ -76,12 +77,12 @@
     this.classes = { urgent: new Map(), standard: new Map(), background: new Map() };
   }
 
-  /** @returns Requests that wait. */
+  /** @returns Number of waiting requests. */
   get size(): number {
     return this.byAttempt.size;
   }
 
-  /** @returns Tokens of work that wait. */
+  /** @returns Work of all waiting requests, in tokens. */
   get work(): number {
     return this.queuedWork;
   }
@@ -92,23 +93,25 @@
   }
 
   /**
-   * @param attemptId - the attempt.
-   * @returns Whether it waits here.
+   * @param attemptId - id of the attempt.
+   * @returns Whether the attempt is in the queue.
    */
   has(attemptId: string): boolean {
     return this.byAttempt.has(attemptId);
   }
 
   /**
-   * @param attemptId - the attempt.
-   * @returns The request, or `undefined` when it does not wait here.
+   * @param attemptId - id of the attempt.
+   * @returns Its request, or `undefined` if it is not in the queue.
    */
   get(attemptId: string): Item | undefined {
     return this.byAttempt.get(attemptId);
   }
 
   /**
-   * @param item - goes to the end of its account's requests of the same class.
+   * Adds a request behind those of the same account and class.
+   *
+   * @param item - the request.
    */
   push(item: Item): void {
     const accounts = this.classes[item.priority];
@@ -128,8 +131,10 @@
   }
 
   /**
-   * @param attemptId - the attempt.
-   * @returns The request, or `undefined` when it does not wait here.
+   * Removes a request that will not start from this queue.
+   *
+   * @param attemptId - id of the attempt.
+   * @returns Its request, or `undefined` if it was not in the queue.
    */
   remove(attemptId: string): Item | undefined {
     const item = this.byAttempt.get(attemptId);
@@ -138,7 +143,7 @@
     const account = accounts.get(item.clientAccount)!;
     account.items.splice(account.items.indexOf(item), 1);
     account.work -= item.work;
-    // An account that has nothing to send keeps no claim, or it could save up for a burst.
+    // An account without requests loses its deficit; otherwise it could save up credit for a burst.
     if (account.items.length === 0) accounts.delete(item.clientAccount);
     this.byAttempt.delete(attemptId);
     this.queuedWork -= item.work;
@@ -146,36 +151,36 @@
   }
 
   /**
-   * Shows which request starts next. Asking twice gives the same answer unless something changed.
+   * Returns the request that starts next. Repeated calls return the same one unless the queue has changed.
    *
    * @param now - monotonic milliseconds.
-   * @returns The request, or `undefined` when none waits.
+   * @returns The request, or `undefined` if the queue is empty.
    */
   peek(now: number): Item | undefined {
     const priority = this.classToServe(now);
-    return priority && this.head(this.classes[priority]);
+    return priority && this.nextInClass(this.classes[priority]);
   }
 
   /**
-   * Takes out what {@link FairQueue.peek} shows.
+   * Removes and returns the request that {@link FairQueue.peek} returns.
    *
    * @param now - monotonic milliseconds.
-   * @returns The request, or `undefined` when none waits.
+   * @returns The request, or `undefined` if the queue is empty.
    */
   take(now: number): Item | undefined {
     const item = this.peek(now);
     if (!item) return undefined;
-    const passed = this.agedBelow(now, item.priority) !== undefined;
-    this.turnsPastAged = passed ? this.turnsPastAged + 1 : 0;
+    const passed = this.agedClassBelow(now, item.priority) !== undefined;
+    this.startsPastAged = passed ? this.startsPastAged + 1 : 0;
     this.classes[item.priority].get(item.clientAccount)!.deficit -= item.work;
     return this.remove(item.attemptId);
   }
 
   /**
-   * Whether a newcomer would overtake a request of its own class or of a more urgent one.
+   * Checks whether a new request that started at once would overtake a waiting one.
    *
-   * @param priority - the newcomer's class.
-   * @returns Whether such a request waits.
+   * @param priority - class of the new request.
+   * @returns Whether a request of the same class or of a more urgent one waits.
    */
   hasAtOrAbove(priority: Priority): boolean {
     const last = PRIORITIES.indexOf(priority);
@@ -183,12 +188,12 @@
   }
 
   /**
-   * What leaves before a request, waiting here or not yet: all of the more urgent classes; of its own class
-   * what its account had waiting before, and of each other account no more than its share meanwhile. A surge
-   * of another account therefore does not make a request look late.
+   * Estimates what leaves the queue before a request: everything of the more urgent classes, the earlier requests
+   * of its own account and class, and of each other account in its class no more than that account's fair share
+   * in the same time. A surge of another account therefore does not lengthen the expected wait of this request.
    *
-   * @param item - the request.
-   * @returns Tokens and requests.
+   * @param item - a request that is in the queue, or that could be added to it.
+   * @returns Tokens of work and number of requests.
    */
   ahead(item: FairQueueItem): QueueAhead {
     const own = this.classes[item.priority].get(item.clientAccount)?.items ?? [];
@@ -212,12 +217,13 @@
   }
 
   /**
-   * Who makes room for a newcomer in a full queue: the newest request of the least urgent class, of the
-   * account that holds most for its weight. Within the newcomer's own class only an account that holds
-   * more than the newcomer's would: otherwise a surge would shut the others out of the queue.
+   * Picks the request that is refused to make room for a new one in a full queue. It is the newest request of the
+   * account that has the most requests for its weight, in the least urgent class. Within the class of the new
+   * request, the account must also have more for its weight than the new request's account would have; otherwise
+   * a surge of one account would push the requests of the others out of the queue.
    *
-   * @param item - the newcomer.
-   * @returns The request to refuse, or `undefined` when the newcomer has to be refused.
+   * @param item - the new request.
+   * @returns The request to refuse, or `undefined` if the new request itself has to be refused.
    */
   displacedBy(item: FairQueueItem): Item | undefined {
     const own = this.classes[item.priority].get(item.clientAccount);
@@ -237,12 +243,12 @@
 
   private classToServe(now: number): Priority | undefined {
     const first = PRIORITIES.find((priority) => this.classes[priority].size > 0);
-    if (!first || this.turnsPastAged < AGED_TURN - 1) return first;
-    return this.agedBelow(now, first) ?? first;
+    if (!first || this.startsPastAged < AGED_TURN_INTERVAL - 1) return first;
+    return this.agedClassBelow(now, first) ?? first;
   }
 
-  /** The most urgent lower class that has an aged request. */
-  private agedBelow(now: number, priority: Priority): Priority | undefined {
+  /** Finds the most urgent class below the given one that has an aged request. */
+  private agedClassBelow(now: number, priority: Priority): Priority | undefined {
     if (this.agingMilliseconds <= 0) return undefined;
     const lower = PRIORITIES.slice(PRIORITIES.indexOf(priority) + 1);
     return lower.find((other) =>
@@ -252,7 +258,7 @@
     );
   }
 
-  private head(accounts: ClassQueue<Item>): Item | undefined {
+  private nextInClass(accounts: ClassQueue<Item>): Item | undefined {
     for (;;) {
       const first = accounts.entries().next();
       if (first.done) return undefined;
--- a/src/gates/ForeignLoad.ts
+++ b/src/gates/ForeignLoad.ts
@@ -1,26 +1,27 @@
 /**
- * Work on a runner that this gate did not send: an earlier holder's, or that of a second holder while lists
- * of daemons differ. Known from a handover or from the runner's own lagging reports, and forgotten with time.
+ * Estimates the foreign work on a runner, which is the work that this gate did not send. It comes from an
+ * earlier holder of the gate, or from a second holder while the daemons' member lists differ. It is known from
+ * a handover or from the runner's own delayed reports, and the estimate decays with time.
  */
 
 /** Options of a {@link ForeignLoad}. */
 export interface ForeignLoadOptions {
-  /** Added to what a lagging report says, as a share. */
+  /** Share that is added to the foreign work of a delayed report. */
   margin?: number;
-  /** After how long without news nothing of it is left, in ms. */
+  /** Time without a handover or report after which the estimate has decayed to 0, in milliseconds. */
   fadingMilliseconds?: number;
 }
 
-/** Between a report and now the other holder may have started more; a quarter is the usual bound's room. */
+/** The other holder may have started more since the report; a quarter is the room that the usual bound leaves. */
 const DEFAULT_MARGIN = 0.25;
 
-/** Longer than almost all requests take. */
-const DEFAULT_FADING_MILLISECONDS = 15_000;
+/** Longer than the duration of almost all requests. */
+const DEFAULT_DECAY_MILLISECONDS = 15_000;
 
-/** Below this share of the own work, a difference is noise of counting at different moments. */
+/** A difference below this share of the gate's own work is noise, since both are counted at different times. */
 const NOISE_SHARE = 0.05;
 
-/** An estimate that fades. */
+/** Estimate of the foreign work on one runner, which decays linearly to 0. */
 export class ForeignLoad {
   private readonly margin: number;
 
@@ -28,63 +29,65 @@
 
   private work = 0;
 
-  private workAt = 0;
+  private updatedAt = 0;
 
   private known = true;
 
   /**
-   * @param options - margin and fading.
+   * @param options - margin and decay time.
    */
   constructor({
     margin = DEFAULT_MARGIN,
-    fadingMilliseconds = DEFAULT_FADING_MILLISECONDS,
+    fadingMilliseconds = DEFAULT_DECAY_MILLISECONDS,
   }: ForeignLoadOptions = {}) {
     this.margin = margin;
     this.fadingMilliseconds = fadingMilliseconds;
   }
 
-  /** @returns Whether anything is known; the opposite of {@link ForeignLoad.forget}. */
+  /** @returns Whether a handover or report has arrived since the last {@link ForeignLoad.forget}. */
   get isKnown(): boolean {
     return this.known;
   }
 
-  /** Nothing is known any more: until the next report the runner may be full. */
+  /** Discards the estimate. Until the next handover or report, the runner may be full. */
   forget(): void {
     this.known = false;
     this.work = 0;
   }
 
   /**
+   * Sets the estimate from a handover.
+   *
    * @param now - monotonic milliseconds.
-   * @param work - tokens that the old holder handed over.
+   * @param work - tokens of work that the old holder has on the runner.
    */
   handOver(now: number, work: number): void {
     this.known = true;
     this.work = work;
-    this.workAt = now;
+    this.updatedAt = now;
   }
 
   /**
-   * Takes a report.
+   * Sets the estimate from a load report of the runner.
    *
    * @param now - monotonic milliseconds.
-   * @param reported - tokens that the runner reported.
-   * @param own - the part of it that this gate had sent by then.
+   * @param reported - tokens of work that the runner reported.
+   * @param own - tokens of work that this gate had sent by the time of the report.
    */
   report(now: number, reported: number, own: number): void {
     const difference = Math.max(0, reported - own);
     const estimate = difference <= own * NOISE_SHARE ? 0 : difference * (1 + this.margin);
     this.work = estimate;
-    this.workAt = now;
+    this.updatedAt = now;
     this.known = true;
   }
 
   /**
    * @param now - monotonic milliseconds.
-   * @returns Tokens that are believed to be left.
+   * @returns Tokens of foreign work that are expected to be left on the runner.
    */
   at(now: number): number {
-    const left = 1 - (now - this.workAt) / this.fadingMilliseconds;
+    const left = 1 - (now - this.updatedAt) / this.fadingMilliseconds;
     return this.work * Math.max(0, left);
   }
 }
--- a/src/gates/GateBound.ts
+++ b/src/gates/GateBound.ts
@@ -1,70 +1,70 @@
 /**
- * The bound of a runner's load: bound × mean of its pool, with the rules that small pools, low load and
- * large requests need.
+ * The load bound of a runner, as in consistent hashing with bounded loads: bound × mean load of the pool, with
+ * extra rules for small pools, low load and large requests.
  */
 
 import { MeanTrend } from './MeanTrend.js';
 
 /** Options of a {@link GateBound}. */
 export interface GateBoundOptions {
-  /** Requests that a runner may always have. */
+  /** Requests that a runner may have at once even if its load is then above the bound. */
   floorRequests?: number;
 }
 
-/** What is held against the bound. */
+/** A request and the load of its runner, to be compared with the bound. */
 export interface BoundQuestion {
-  /** Tokens of the request. */
+  /** Tokens of work of the request. */
   readonly work: number;
-  /** Multiple of the mean, 1 or more. */
+  /** Highest load of a runner as a multiple of the pool's mean, 1 or more. */
   readonly bound: number;
-  /** Tokens on the runner that the gate sent. */
+  /** Tokens of work on the runner that this gate sent. */
   readonly ownWork: number;
-  /** Tokens on the runner that others sent. */
+  /** Tokens of work on the runner that other daemons sent. */
   readonly foreignWork: number;
-  /** Tokens that wait at this gate. */
+  /** Tokens of work that wait at this gate. */
   readonly queuedWork: number;
 }
 
-/** What decides how long a request has to wait. */
+/** Input for the wait of a request. */
 export interface WaitQuestion extends BoundQuestion {
-  /** Waiting tokens that leave before the request. */
+  /** Tokens of waiting work that leave the queue before the request. */
   readonly aheadWork: number;
 }
 
-/** What decides whether a request may start now. */
+/** Input for whether a request may start now. */
 export interface StartQuestion extends BoundQuestion {
-  /** Requests on the runner that the gate sent. */
+  /** Number of requests on the runner that this gate sent. */
   readonly ownRequests: number;
-  /** 0 to 1: how far the gate has opened. */
+  /** Share of the capacity that the gate may use while it opens, 0 to 1. */
   readonly opened: number;
-  /** Whether a report or a handover has told what others sent. */
+  /** Whether `foreignWork` is known from a report or a handover. */
   readonly foreignKnown: boolean;
 }
 
 /**
- * A continuous batch of this many requests makes no queue, so a pool whose bound is below it has no hot runner.
- * Without it an idle pool, whose mean is 0, could accept nothing. What it costs: while bound × mean is less
- * than this many usual requests, the busiest runner may have this many requests.
+ * An engine runs this many requests in one continuous batch without queueing, so a runner with no more than
+ * these is not overloaded. Without this floor, an idle pool, whose mean is 0, could accept no request. In
+ * exchange, while bound × mean is less than this many average requests, the busiest runner may have this many.
  */
 const DEFAULT_FLOOR_REQUESTS = 4;
 
-/** Requests over which the usual request is averaged. */
-const USUAL_REQUEST_WINDOW = 32;
+/** Time constant of the average work of a request, in requests. */
+const AVERAGE_WINDOW_REQUESTS = 32;
 
 /**
- * A request counts at most this share of the capacity when it asks to start: a larger one would fit nowhere,
- * ever. What it costs: one such request may lift its runner above the bound by what it is larger.
+ * Share of the capacity that a request counts at most when it is checked. A larger request would otherwise never
+ * fit on any runner. In exchange, such a request may raise its runner's load above the bound by the uncounted part.
  */
-const LARGEST_COUNTED_SHARE = 0.5;
+const MAXIMUM_COUNTED_SHARE = 0.5;
 
 /**
- * Of the room between the mean and the bound, this share is kept free. The mean is more than a second old, it
- * wanders as requests come and go at random, it falls when a surge ends, and work that was let in cannot be
- * taken back: without it the bound would hold against the mean that was heard, but not against the one that is.
+ * Share of the room between the mean and the bound that is kept free. The received mean is more than a second
+ * old, fluctuates as requests come and go, and falls when a surge ends, while admitted work can't be withdrawn.
+ * Without this headroom the load would stay below the bound for the received mean, but not for the current one.
  */
-const KEPT_FREE_SHARE = 0.25;
+const HEADROOM_SHARE = 0.25;
 
-/** Knows the mean and answers whether work fits. */
+/** Tracks the mean load of the pool and checks whether a request fits below the bound. */
 export class GateBound {
   private readonly floorRequests: number;
 
@@ -72,77 +72,79 @@
 
   private runners: number | undefined;
 
-  private usualWork = 0;
+  private averageWork = 0;
 
   /**
-   * @param options - the floor.
+   * @param options - the floor of requests.
    */
   constructor({ floorRequests = DEFAULT_FLOOR_REQUESTS }: GateBoundOptions = {}) {
     this.floorRequests = floorRequests;
   }
 
-  /** @returns The pool's mean by now as far as known, in tokens. */
+  /** @returns Estimate of the pool's current mean load, in tokens of work. */
   get mean(): number {
     return this.trend.estimate();
   }
 
-  /** @returns Runners of the pool, 1 until known. */
+  /** @returns Number of runners in the pool; 1 until it is known. */
   get poolRunners(): number {
     return this.runners ?? 1;
   }
 
   /**
+   * Updates the mean load and size of the pool.
+   *
    * @param now - monotonic milliseconds.
-   * @param mean - tokens of work on an average runner.
-   * @param runners - runners of the pool.
+   * @param mean - mean load of the pool's runners, in tokens of work.
+   * @param runners - number of runners in the pool; 0 if no load has been received yet.
    */
   learn(now: number, mean: number, runners: number): void {
     this.trend.hear(now, Math.max(0, mean));
-    // Nobody has told a load yet: that is no pool of one, which would take everything.
+    // With 0 runners no load has been received yet. Treated as a pool of one, the bound would accept everything.
     this.runners = runners > 0 ? runners : undefined;
   }
 
   /**
-   * Learns how large requests usually are.
+   * Updates the average work of a request.
    *
-   * @param work - tokens of one that asks.
+   * @param work - tokens of work of a new request.
    */
   see(work: number): void {
-    if (this.usualWork === 0) this.usualWork = work;
-    else this.usualWork += (work - this.usualWork) / USUAL_REQUEST_WINDOW;
+    if (this.averageWork === 0) this.averageWork = work;
+    else this.averageWork += (work - this.averageWork) / AVERAGE_WINDOW_REQUESTS;
   }
 
   /**
-   * @param question - the request and what is on the runner.
+   * @param question - the request and the load of the runner.
    * @returns Whether the request may start now.
    */
   fits(question: StartQuestion): boolean {
     const { ownRequests, foreignWork, foreignKnown, ownWork, opened } = question;
-    const alone = foreignWork === 0 || !foreignKnown;
+    const hasNoForeignWork = foreignWork === 0 || !foreignKnown;
     const capacity = this.capacity(question);
-    const isLow = capacity < this.floorRequests * this.usualWork;
-    if (alone && ownRequests < (isLow ? this.floorRequests : 1)) return true;
-    const counted = Math.min(question.work, capacity * LARGEST_COUNTED_SHARE);
+    const isBelowFloor = capacity < this.floorRequests * this.averageWork;
+    if (hasNoForeignWork && ownRequests < (isBelowFloor ? this.floorRequests : 1)) return true;
+    const counted = Math.min(question.work, capacity * MAXIMUM_COUNTED_SHARE);
     if (ownWork + counted > capacity * opened) return false;
     return ownWork + foreignWork + counted <= capacity;
   }
 
   /**
-   * @param question - a request, what leaves before it, and what is on the runner.
-   * @returns Tokens that have to leave before the request can start; 0 or less when it can start now.
+   * @param question - the request, the work that leaves before it, and the load of the runner.
+   * @returns Tokens of work that must leave before the request can start; 0 or less if it can start now.
    */
   surplus(question: WaitQuestion): number {
     const { work, ownWork, foreignWork, aheadWork } = question;
     const capacity = this.capacity(question);
-    const counted = Math.min(work, capacity * LARGEST_COUNTED_SHARE);
+    const counted = Math.min(work, capacity * MAXIMUM_COUNTED_SHARE);
     return ownWork + foreignWork + aheadWork + counted - capacity;
   }
 
-  /** The mean counts the request itself, or a pool of one could never take one. */
+  /** Highest load in tokens. The mean includes the request itself, or a pool of one could never accept one. */
   private capacity({ bound, work, ownWork, queuedWork }: BoundQuestion): number {
     if (this.runners === undefined) return 0;
-    const aim = 1 + Math.max(0, bound - 1) * (1 - KEPT_FREE_SHARE);
+    const targetBound = 1 + Math.max(0, bound - 1) * (1 - HEADROOM_SHARE);
     const local = (ownWork + queuedWork) / this.runners;
-    return aim * (Math.max(this.mean, local) + work / this.runners);
+    return targetBound * (Math.max(this.mean, local) + work / this.runners);
   }
 }
--- a/src/gates/GateCapacity.ts
+++ b/src/gates/GateCapacity.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a request fits on a gate's runner now, and when it will.
+ * Determines whether a request fits on a gate's runner now, and otherwise how long it has to wait.
  */
 import type { FairQueue } from './FairQueue.js';
 import type { GateBound } from './GateBound.js';
@@ -8,17 +8,17 @@
 import type { GateThroughput } from './GateThroughput.js';
 import type { GateRequest } from './gateTypes.js';
 
-/** A request with what the queue needs to know. */
+/** A request with the properties that the queue needs. */
 export interface QueuedRequest extends GateRequest {
-  /** Tokens. */
+  /** Tokens of work. */
   readonly work: number;
-  /** Monotonic milliseconds. */
+  /** When the request arrived, in monotonic milliseconds. */
   readonly queuedAt: number;
 }
 
-/** Options of a {@link GateCapacity}: the parts of one gate. */
+/** Options of a {@link GateCapacity}: the components of one gate. */
 export interface GateCapacityOptions {
-  /** Requests on the runner at once. */
+  /** Requests that may be on the runner at once. */
   maximumConcurrent: number;
   load: GateLoad;
   queue: FairQueue<QueuedRequest>;
@@ -27,12 +27,12 @@
   throughput: GateThroughput;
 }
 
-/** Reads the parts of a gate; changes none of them. */
+/** Computes the free capacity of one gate from its components, which it only reads. */
 export class GateCapacity {
   private readonly parts: GateCapacityOptions;
 
   /**
-   * @param parts - of the gate.
+   * @param parts - components of the gate.
    */
   constructor(parts: GateCapacityOptions) {
     this.parts = parts;
@@ -41,7 +41,7 @@
   /**
    * @param now - monotonic milliseconds.
    * @param request - a request that has not started.
-   * @returns Whether it may start now, not regarding who waits before it.
+   * @returns Whether it may start now, regardless of the requests that wait before it.
    */
   fits(now: number, request: QueuedRequest): boolean {
     const { maximumConcurrent, load, queue, bound, opening } = this.parts;
@@ -60,8 +60,8 @@
 
   /**
    * @param now - monotonic milliseconds.
-   * @param request - a request that has not started, waiting or not yet.
-   * @returns Milliseconds until it can start, at the measured rate and with those who go before it.
+   * @param request - a request that has not started, in the queue or not.
+   * @returns Expected milliseconds until it can start, from the measured throughput and the requests before it.
    */
   expectedWait(now: number, request: QueuedRequest): number {
     const { maximumConcurrent, load, queue, bound, opening, throughput } = this.parts;
--- a/src/gates/GateDecisions.property.spec.ts
+++ b/src/gates/GateDecisions.property.spec.ts
@@ -20,8 +20,8 @@
   generated: number;
 }
 
-/** What an onlooker who counts by himself knows of a gate. */
-class Onlooker {
+/** Reference model that counts the requests of a gate independently, from the gate's actions. */
+class ReferenceModel {
   readonly running = new Map<string, Running>();
 
   readonly waiting = new Map<string, GateRequest>();
@@ -36,7 +36,7 @@
     return [...this.running.values()].reduce((sum, { work }) => sum + work, 0);
   }
 
-  see(requests: ReadonlyMap<string, GateRequest>, actions: readonly GateAction[]): void {
+  apply(requests: ReadonlyMap<string, GateRequest>, actions: readonly GateAction[]): void {
     for (const action of actions) {
       if (action.kind === 'cancel_at_runner') continue;
       const request = requests.get(action.attemptId)!;
@@ -44,7 +44,7 @@
         this.waiting.set(action.attemptId, request);
         continue;
       }
-      // A runner's own refusal comes after the start; it is the one second answer that there may be.
+      // Only a refusal by the runner may follow an earlier answer, since it comes after the start.
       const again = action.kind === 'refuse' && action.reason === 'runner_refused';
       expect(this.answered.has(action.attemptId)).toEqual(again);
       this.answered.add(action.attemptId);
@@ -68,7 +68,7 @@
   }
 }
 
-/** One step of a random story. */
+/** One step of a random run. */
 type Step =
   | { readonly kind: 'request'; readonly request: Partial<GateRequest>; readonly again: boolean }
   | { readonly kind: 'mean'; readonly mean: number }
@@ -110,15 +110,15 @@
   },
 );
 
-/** Carries a story through a gate and an onlooker. */
-class Story {
+/** Applies random steps to a gate and compares it with the reference model. */
+class RandomRun {
   readonly gate = new GateDecisions({
     maximumConcurrent: MAXIMUM_CONCURRENT,
     maximumQueued: 8,
     floorRequests: FLOOR_REQUESTS,
   });
 
-  readonly onlooker = new Onlooker();
+  readonly model = new ReferenceModel();
 
   private readonly requests = new Map<string, GateRequest>();
 
@@ -128,25 +128,25 @@
     this.now += elapsed;
     if (next.kind === 'request') this.ask(next.request, next.again);
     else if (next.kind === 'mean') {
-      this.onlooker.mean = next.mean;
-      this.tell({ kind: 'pool_mean', mean: next.mean, runners: RUNNERS });
+      this.model.mean = next.mean;
+      this.send({ kind: 'pool_mean', mean: next.mean, runners: RUNNERS });
     } else if ('which' in next) this.change(next);
     else this.turn(next.kind);
     const { runningWork, running, queued } = this.gate.snapshot(this.now);
-    expect(runningWork).toEqual(this.onlooker.work());
-    expect(running).toEqual(this.onlooker.running.size);
-    expect(queued).toEqual(this.onlooker.waiting.size);
+    expect(runningWork).toEqual(this.model.work());
+    expect(running).toEqual(this.model.running.size);
+    expect(queued).toEqual(this.model.waiting.size);
   }
 
-  /** After the end of a story everything has been answered exactly once. */
+  /** Closes the gate and checks that every request has been answered. */
   finish(): void {
     this.turn('close');
-    expect(this.onlooker.waiting.size).toEqual(0);
-    expect([...this.onlooker.answered].sort()).toEqual([...this.requests.keys()].sort());
+    expect(this.model.waiting.size).toEqual(0);
+    expect([...this.model.answered].sort()).toEqual([...this.requests.keys()].sort());
   }
 
-  private tell(message: GateMessage): void {
-    this.onlooker.see(this.requests, this.gate.decide(this.now, message));
+  private send(message: GateMessage): void {
+    this.model.apply(this.requests, this.gate.decide(this.now, message));
   }
 
   private ask(changes: Partial<GateRequest>, again: boolean): void {
@@ -157,54 +157,54 @@
       deadline: this.now + (changes.deadline ?? 0),
     });
     this.requests.set(attemptId, one);
-    this.tell({ kind: 'request', request: one });
-    const inProgress = this.onlooker.running.has(attemptId) || this.onlooker.waiting.has(attemptId);
-    if (again && inProgress) this.tell({ kind: 'request', request: one });
+    this.send({ kind: 'request', request: one });
+    const inProgress = this.model.running.has(attemptId) || this.model.waiting.has(attemptId);
+    if (again && inProgress) this.send({ kind: 'request', request: one });
   }
 
   private change({ kind, which, tokens }: Extract<Step, { which: number }>): void {
-    const attemptId = [...this.onlooker.running.keys()][which];
+    const attemptId = [...this.model.running.keys()][which];
     if (attemptId === undefined) return;
-    const attempt = this.onlooker.running.get(attemptId)!;
+    const attempt = this.model.running.get(attemptId)!;
     const { promptTokens, maximumTokens } = attempt.request;
     if (kind === 'progress') {
       attempt.generated = Math.max(attempt.generated, tokens);
       if (attempt.generated > 0) attempt.work = Math.max(1, maximumTokens - attempt.generated);
-      this.tell({ kind, attemptId, generatedTokens: tokens });
+      this.send({ kind, attemptId, generatedTokens: tokens });
       return;
     }
     if (kind === 'started') {
       const uncached = Math.max(0, promptTokens - tokens);
       if (attempt.generated === 0) attempt.work = Math.max(1, uncached + maximumTokens);
-      this.tell({ kind, attemptId, cachedTokens: tokens });
+      this.send({ kind, attemptId, cachedTokens: tokens });
       return;
     }
     if (kind === 'cancel') {
-      this.tell({ kind, attemptId });
+      this.send({ kind, attemptId });
       return;
     }
-    this.onlooker.running.delete(attemptId);
-    if (kind === 'refused') this.tell({ kind: 'refused_by_runner', attemptId });
-    else this.tell({ kind, attemptId, end: 'completed' });
+    this.model.running.delete(attemptId);
+    if (kind === 'refused') this.send({ kind: 'refused_by_runner', attemptId });
+    else this.send({ kind, attemptId, end: 'completed' });
   }
 
   private turn(kind: 'open' | 'openWithCounts' | 'close' | 'tick'): void {
-    if (kind === 'close') this.onlooker.isHeld = false;
-    if (kind === 'open' || kind === 'openWithCounts') this.onlooker.isHeld = true;
-    if (kind === 'openWithCounts') this.tell({ kind: 'open', handedOver: [] });
-    else this.tell({ kind });
+    if (kind === 'close') this.model.isHeld = false;
+    if (kind === 'open' || kind === 'openWithCounts') this.model.isHeld = true;
+    if (kind === 'openWithCounts') this.send({ kind: 'open', handedOver: [] });
+    else this.send({ kind });
   }
 }
 
 describe(`${GateDecisions.name}, searched`, () => {
   it('keeps bound, counts and answers through any story', () => {
-    const stories = fc.array(fc.tuple(step, fc.nat(1_500)), { minLength: 20, maxLength: 150 });
+    const randomSteps = fc.array(fc.tuple(step, fc.nat(1_500)), { minLength: 20, maxLength: 150 });
     fc.assert(
-      fc.property(stories, (steps) => {
-        const story = new Story();
-        story.play({ kind: 'openWithCounts' }, 0);
-        for (const [next, elapsed] of steps) story.play(next, elapsed);
-        story.finish();
+      fc.property(randomSteps, (steps) => {
+        const run = new RandomRun();
+        run.play({ kind: 'openWithCounts' }, 0);
+        for (const [next, elapsed] of steps) run.play(next, elapsed);
+        run.finish();
       }),
       { numRuns: 300, seed: 7 },
     );
--- a/src/gates/GateDecisions.spec.ts
+++ b/src/gates/GateDecisions.spec.ts
@@ -6,7 +6,7 @@
 import { brief, gateRequest } from './gateTestRequests.js';
 import type { GateAction, GateMessage, LoadReport, RefusalReason } from './gateTypes.js';
 
-/** Opened with counts, so that it knows all work, in a pool of ten with a mean of 1,000 tokens. */
+/** Opens a gate with an empty handover, so that it knows all work, in a pool of ten with a mean of 1,000 tokens. */
 function openGate(options: ConstructorParameters<typeof GateDecisions>[0] = {}): GateDecisions {
   const gate = new GateDecisions(options);
   gate.decide(0, { kind: 'pool_mean', mean: 1_000, runners: 10 });
@@ -43,7 +43,7 @@
   });
 
   it('fills a runner to the bound less the room kept free, and counts what falls', () => {
-    // Aim: 1 + 0.25 × 0.75 = 1.1875 of 1,000 tokens (and a tenth of the request itself).
+    // Capacity: 1 + 0.25 × 0.75 = 1.1875 times 1,000 tokens (and a tenth of the request itself).
     const gate = openGate();
     const names = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
     const kinds = names.map((name) => brief(ask(gate, 0, name))[0]);
@@ -62,8 +62,8 @@
   });
 
   it('takes doubled, late and unknown messages without harm', () => {
-    // Symptom: load below zero, or a request that ran twice. Sequence: a message arrives again, or after
-    // the attempt ended. Cause: counts changed by messages instead of by attempts.
+    // Guards against a load below zero and against requests that run twice: a message arrives again, or after the
+    // attempt has ended, and changes the counts although its attempt is not on the runner.
     const gate = openGate();
     ask(gate, 0, 'a');
     expect(ask(gate, 1, 'a')).toEqual([]);
@@ -77,11 +77,11 @@
     expect(gate.snapshot(8).runningWork).toEqual(0);
   });
 
-  const hopeless: [string, number, RefusalReason][] = [
+  const unreachable: [string, number, RefusalReason][] = [
     ['the deadline has passed', 0, 'deadline_unreachable'],
     ['the queue drains too slowly', 150, 'deadline_unreachable'],
   ];
-  for (const [name, left, reason] of hopeless) {
+  for (const [name, left, reason] of unreachable) {
     it(`refuses at once when ${name}, and says when to come back`, () => {
       const gate = openGate({ maximumConcurrent: 1 });
       ask(gate, 0, 'running', { maximumTokens: 2_000 });
@@ -93,8 +93,8 @@
   }
 
   it('refuses a waiting request as soon as it is known to start too late, not at its deadline', () => {
-    // Symptom: a caller waits out its whole deadline for a refusal. Sequence: the request is queued behind
-    // a fast runner, which then slows down. Cause: the wait was estimated on arrival only.
+    // Guards against a caller that gets a refusal only at its deadline: its request is queued for a fast runner
+    // that then slows down, and the wait is estimated on arrival only.
     const gate = openGate({ maximumConcurrent: 1 });
     ask(gate, 0, 'running', { maximumTokens: 5_000 });
     gate.decide(0, { kind: 'load_report', report: { ...report(0), tokensPerSecond: 100_000 } });
@@ -118,7 +118,7 @@
   it('works out when to come back from the measured drain rate', () => {
     const gate = openGate({ floorRequests: 1 });
     ask(gate, 0, 'a', { promptTokens: 0, maximumTokens: 30_000 });
-    // 2 tokens a ms, for long enough to be believed.
+    // 2 tokens a millisecond, for long enough to replace the initial rate.
     for (let now = 0; now <= 10_000; now += 100)
       gate.decide(now, { kind: 'progress', attemptId: 'a', generatedTokens: now * 2 });
     const { retryAfterMilliseconds } = refusalOf(ask(gate, 10_000, 'b', { promptTokens: 0 }));
@@ -127,8 +127,8 @@
   });
 
   it('starts nothing after it closed, answers all that wait, and lets the running finish', () => {
-    // Symptom: two daemons send to one runner. Sequence: the gate moves while requests wait. Cause: the
-    // old holder started its queue after the new one had opened.
+    // Guards against two daemons that send to one runner: the gate moves to another daemon while requests wait, and
+    // the old holder starts its queued requests after the new holder has opened the gate.
     const gate = openGate({ maximumConcurrent: 1 });
     ask(gate, 0, 'running');
     ask(gate, 0, 'waiting', { lastChoice: true });
@@ -142,8 +142,8 @@
   });
 
   it('opens gradually without counts, and counts what the runner reports', () => {
-    // Symptom: a runner at twice the bound after a daemon died. Sequence: the old holder dies with its
-    // counts; the new one believes the runner empty. Cause: counts that nobody handed over.
+    // Guards against a runner at twice the bound after a daemon has died: the old holder's counts are lost without a
+    // handover, and the new holder assumes that the runner is empty.
     const gate = new GateDecisions();
     gate.decide(0, { kind: 'pool_mean', mean: 10_000, runners: 10 });
     gate.decide(0, { kind: 'open' });
@@ -179,8 +179,8 @@
   });
 
   it('opens anew when it wakes from a pause', () => {
-    // Symptom: a runner loaded twice. Sequence: a daemon stands still for seconds, another takes its gates,
-    // the first wakes and goes on with its old counts. Cause: a paused process does not know it.
+    // Guards against a runner that is loaded twice: a daemon is paused for seconds, another daemon takes over its
+    // gates, and the first one resumes with its old counts without noticing the pause.
     const gate = openGate();
     gate.decide(500, { kind: 'tick' });
     ask(gate, 60_000, 'a', { deadline: 99_000 });
@@ -188,8 +188,8 @@
   });
 
   it('keeps leaving final for an incarnation', () => {
-    // Symptom: a leaving runner gets work. Sequence: leaving, then an older or flapping "live". Cause: the
-    // last message won, whatever it spoke of.
+    // Guards against work that is sent to a leaving runner: after "leaving", an outdated or flapping "live" arrives,
+    // and the last message wins whatever incarnation it is about.
     const gate = openGate({ maximumConcurrent: 1 });
     ask(gate, 0, 'running');
     ask(gate, 0, 'waiting', { lastChoice: true });
--- a/src/gates/GateDecisions.ts
+++ b/src/gates/GateDecisions.ts
@@ -1,6 +1,6 @@
 /**
- * Decides for one runner which requests start, wait or are refused. Only a runner's gate sends work to it,
- * so the count is exact and the bound holds whatever the other daemons believe.
+ * Admission control for one runner: decides which requests start, wait or are refused. All work for a runner goes
+ * through its gate, so the gate's count is exact, and the bound holds even if other daemons have outdated data.
  */
 import { match } from 'ts-pattern';
 
@@ -17,21 +17,21 @@
 import type { GateDecisionsOptions, GateSnapshot } from './gateDecisionsTypes.js';
 import type { GateAction, GateMessage, GateRequest, HeldWork, RefusalReason } from './gateTypes.js';
 
-/** An engine's batch; services may set another in their configuration. */
+/** Usual batch size of an engine; the configuration of a service may set another. */
 const DEFAULT_MAXIMUM_CONCURRENT = 64;
 const DEFAULT_MAXIMUM_QUEUED = 64;
 const DEFAULT_AGING_MILLISECONDS = 10_000;
 
-/** A held gate ticks this often, so that a longer silence means that the process stood still. */
+/** A held gate is woken at least this often, so a much longer gap means that the process was paused. */
 const TICK_MILLISECONDS = 1_000;
 
-/** How often waiting requests are held against their deadlines. */
+/** How often the expected waits of queued requests are compared with their deadlines. */
 const QUEUE_CHECK_MILLISECONDS = 100;
 
-/** Nobody should come back sooner. */
+/** Shortest time after which a refused request should be retried. */
 const MINIMUM_RETRY_AFTER_MILLISECONDS = 50;
 
-/** The gate of one runner. */
+/** Decides on the requests of one runner. */
 export class GateDecisions extends Decisions<GateMessage, GateAction> {
   private readonly maximumQueued: number;
 
@@ -58,7 +58,7 @@
   private actions: GateAction[] = [];
 
   /**
-   * @param options - limits and times.
+   * @param options - limits and durations.
    */
   constructor({
     maximumConcurrent = DEFAULT_MAXIMUM_CONCURRENT,
@@ -82,9 +82,9 @@
     this.lastNow = now;
     this.opening.advance(now);
     this.throughput.advance(now, this.load.count > 0);
-    this.take(now, message);
+    this.dispatch(now, message);
     if (this.queue.size > 0) {
-      this.refuseHopeless(now);
+      this.refuseUnreachable(now);
       this.startQueued(now);
     }
     if (this.opening.state === 'closing' && this.load.count === 0) this.opening.empty();
@@ -99,7 +99,7 @@
 
   /**
    * @param now - monotonic milliseconds.
-   * @returns What others may know of this gate.
+   * @returns A copy of the gate's state and load.
    */
   snapshot(now: number): GateSnapshot {
     return {
@@ -114,12 +114,12 @@
     };
   }
 
-  /** @returns Work on the runner, to hand over to the next holder. */
+  /** @returns The work on the runner that this gate sent, for the handover to the next holder. */
   heldWork(): HeldWork[] {
     return this.load.held();
   }
 
-  private take(now: number, message: GateMessage): void {
+  private dispatch(now: number, message: GateMessage): void {
     match(message)
       .with({ kind: 'request' }, ({ request }) => this.onRequest(now, request))
       .with({ kind: 'started' }, ({ attemptId, cachedTokens }) => {
@@ -150,11 +150,11 @@
 
   private onRequest(now: number, request: GateRequest): void {
     const { attemptId } = request;
-    // A doubled message must not run the request twice, nor claim "not run" of one that runs.
+    // A duplicate message must neither run the request twice nor report a running one as "not run".
     if (this.load.has(attemptId) || this.queue.has(attemptId)) return;
-    const standing = this.opening.isHeld ? this.runner.refusal() : 'gate_not_here';
-    if (standing) {
-      this.refuse(attemptId, standing);
+    const gateRefusal = this.opening.isHeld ? this.runner.refusal() : 'gate_not_here';
+    if (gateRefusal) {
+      this.refuse(attemptId, gateRefusal);
       return;
     }
     if (request.deadline <= now) {
@@ -262,14 +262,14 @@
   }
 
   /**
-   * Refuses waiting requests as soon as it is known that they would start too late. Holding them would
-   * cost the caller its remaining time, and the answer would be the same.
+   * Refuses queued requests as soon as they are expected to start after their deadlines. Keeping them in the queue
+   * would use up the caller's remaining time and end in the same refusal.
    */
-  private refuseHopeless(now: number): void {
-    const estimate = now - this.queueCheckedAt >= QUEUE_CHECK_MILLISECONDS;
-    if (estimate) this.queueCheckedAt = now;
+  private refuseUnreachable(now: number): void {
+    const isCheckDue = now - this.queueCheckedAt >= QUEUE_CHECK_MILLISECONDS;
+    if (isCheckDue) this.queueCheckedAt = now;
     for (const item of this.queue.items()) {
-      const wait = estimate ? this.capacity.expectedWait(now, item) : 0;
+      const wait = isCheckDue ? this.capacity.expectedWait(now, item) : 0;
       if (now + wait >= item.deadline) this.unqueue(item, 'deadline_unreachable', wait);
     }
   }
--- a/src/gates/GateLoad.ts
+++ b/src/gates/GateLoad.ts
@@ -1,16 +1,16 @@
 /**
- * The work that one gate has put on its runner, counted exactly: uncached prompt tokens and tokens still
- * to generate, falling as progress arrives.
+ * Counts the work that one gate has sent to its runner: uncached prompt tokens plus tokens still to be generated.
+ * The count is exact and falls as the runner reports progress.
  */
 import type { GateRequest, HeldWork } from './gateTypes.js';
 
-/** A plain service's request has no tokens; it still is work. */
+/** Work of a request without tokens, such as one of a plain service, so that it still counts. */
 export const MINIMUM_WORK = 1;
 
 /**
- * Weighs a request that has not started.
+ * Computes the work of a request that has not started.
  *
- * @param request - the request; what the chooser believes is cached does not count.
+ * @param request - the request; prompt tokens that are expected to be cached do not count.
  * @returns Tokens of work, at least {@link MINIMUM_WORK}.
  */
 export function workOf(
@@ -21,42 +21,45 @@
 }
 
 /** Waiting work up to this share of the running work is left out of {@link loadOf}. */
-const UNCOUNTED_QUEUE_SHARE = 0.25;
+const UNREPORTED_QUEUE_SHARE = 0.25;
 
 /**
- * What a gate tells the others of its load; the pool's mean is made of it. A short queue at a busy gate is
- * left out: it would raise the mean, and with it every runner's bound, above what the engines have. A long
- * queue counts: when demand rises faster than the mean travels, gates could otherwise let in only a bound's
- * worth more with each report, and requests would wait before idle engines. It counts no more than the running
- * work, or the queue of one hot chat would raise the bound of a whole pool.
+ * Computes the load that a gate reports to the other daemons; the pool's mean is computed from these loads.
  *
- * @param runningWork - tokens on the runner.
- * @param queuedWork - tokens that wait at the gate.
- * @returns Tokens.
+ * A short queue at a busy gate is left out, because it would raise the mean, and with it the bound of every
+ * runner, above the load that the engines really have. A long queue counts: when demand rises faster than the mean
+ * is propagated, the gates could otherwise only raise their load by the bound's factor with each report, and requests
+ * would wait for idle engines. It counts for no more than the running work, or the queue of one hot chat would
+ * raise the bound of a whole pool.
+ *
+ * @param runningWork - tokens of work on the runner.
+ * @param queuedWork - tokens of work that wait at the gate.
+ * @returns Tokens of work.
  */
 export function loadOf(runningWork: number, queuedWork: number): number {
-  const counted = Math.max(0, queuedWork - runningWork * UNCOUNTED_QUEUE_SHARE);
+  const counted = Math.max(0, queuedWork - runningWork * UNREPORTED_QUEUE_SHARE);
   return runningWork + Math.min(runningWork, counted);
 }
 
 /** An attempt on the runner. */
 export interface RunningAttempt {
   readonly request: GateRequest;
+  /** Monotonic milliseconds. */
   readonly startedAt: number;
   /** Uncached prompt tokens that are not yet processed. */
   promptWork: number;
   generatedTokens: number;
-  /** What the attempt counts at the moment. */
+  /** Tokens of work for which the attempt counts now. */
   work: number;
 }
 
-/** Counts attempts on one runner. Unknown and doubled messages change nothing. */
+/** Counts the attempts of one gate on its runner. Messages about unknown attempts and duplicates change nothing. */
 export class GateLoad {
   private readonly running = new Map<string, RunningAttempt>();
 
   private total = 0;
 
-  /** @returns Attempts on the runner. */
+  /** @returns Number of attempts on the runner. */
   get count(): number {
     return this.running.size;
   }
@@ -76,7 +79,7 @@
 
   /**
    * @param now - monotonic milliseconds.
-   * @param request - what goes to the runner.
+   * @param request - the request that is sent to the runner.
    */
   start(now: number, request: GateRequest): void {
     const work = workOf(request);
@@ -91,11 +94,11 @@
   }
 
   /**
-   * The runner says how much it really had cached.
+   * Corrects the work of an attempt once the runner has reported how much of the prompt was cached.
    *
    * @param attemptId - the attempt.
-   * @param cachedTokens - tokens of the prompt.
-   * @returns Work that fell away; negative when less was cached than believed.
+   * @param cachedTokens - cached tokens of the prompt.
+   * @returns Tokens by which the work fell; negative if less was cached than expected.
    */
   correct(attemptId: string, cachedTokens: number): number {
     const attempt = this.running.get(attemptId);
@@ -105,22 +108,26 @@
   }
 
   /**
+   * Reduces the work of an attempt by its progress.
+   *
    * @param attemptId - the attempt.
-   * @param generatedTokens - so far; an older, smaller figure changes nothing.
-   * @returns Work that fell away.
+   * @param generatedTokens - tokens generated so far; a smaller, outdated number changes nothing.
+   * @returns Tokens by which the work fell.
    */
   progress(attemptId: string, generatedTokens: number): number {
     const attempt = this.running.get(attemptId);
     if (!attempt || generatedTokens <= attempt.generatedTokens) return 0;
     attempt.generatedTokens = generatedTokens;
-    // The first token comes only after the whole prompt.
+    // The engine generates the first token only after it has processed the whole prompt.
     attempt.promptWork = 0;
     return this.recount(attemptId);
   }
 
   /**
-   * @param attemptId - the attempt that left the runner.
-   * @returns The attempt as last counted, or `undefined` when it was not there.
+   * Removes an attempt that has left the runner.
+   *
+   * @param attemptId - the attempt.
+   * @returns The attempt as last counted, or `undefined` if it was not on the runner.
    */
   end(attemptId: string): RunningAttempt | undefined {
     const attempt = this.running.get(attemptId);
@@ -132,7 +139,7 @@
 
   /**
    * @param at - monotonic milliseconds.
-   * @returns Work of attempts that had started by then, as counted now.
+   * @returns Tokens of work of the attempts that had started by then, as counted now.
    */
   workStartedBy(at: number): number {
     let work = 0;
@@ -140,7 +147,7 @@
     return work;
   }
 
-  /** @returns All attempts, for the next holder of the gate. */
+  /** @returns All attempts with their work, for the handover to the next holder of the gate. */
   held(): HeldWork[] {
     return [...this.running.values()].map(({ request, work }) => ({
       attemptId: request.attemptId,
--- a/src/gates/GateOpening.ts
+++ b/src/gates/GateOpening.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a daemon holds a runner's gate, and how far the gate is open while it cannot be sure of what
- * else is on the runner.
+ * Tracks whether this daemon holds a runner's gate. A gate that opens without a handover does not know what else
+ * is on the runner, so it uses a slow start: its share of the capacity grows from 0 to 1.
  */
 import { ChartInterpreter } from '../charts/ChartInterpreter.js';
 import type { EventOf, StateOf } from '../charts/chartTypes.js';
@@ -16,9 +16,9 @@
 
 /** Options of a {@link GateOpening}. */
 export interface GateOpeningOptions {
-  /** How long a gate without a handover takes to open, in ms. */
+  /** Duration of the slow start of a gate without a handover, in milliseconds. */
   openingMilliseconds?: number;
-  /** Time without any message after which this process is taken to have been paused, in ms. */
+  /** Time without any message after which the process is assumed to have been paused, in milliseconds. */
   pauseMilliseconds?: number;
 }
 
@@ -27,7 +27,7 @@
 
 const interpreter = new ChartInterpreter<GateState, GateEvent>({ chart });
 
-/** The chart's state with the times and estimates that belong to it. */
+/** State of one gate, with its slow start and its estimate of foreign work. */
 export class GateOpening {
   private readonly openingMilliseconds: number;
 
@@ -42,7 +42,7 @@
   private lastNow: number | undefined;
 
   /**
-   * @param options - times.
+   * @param options - durations.
    */
   constructor({
     openingMilliseconds = DEFAULT_OPENING_MILLISECONDS,
@@ -52,24 +52,24 @@
     this.pauseMilliseconds = pauseMilliseconds;
   }
 
-  /** @returns The chart's state. */
+  /** @returns The state of the gate in its state chart. */
   get state(): GateState {
     return this.current;
   }
 
-  /** @returns Whether requests may come in at all. */
+  /** @returns Whether this daemon holds the gate and may admit requests. */
   get isHeld(): boolean {
     return this.current === 'open' || this.current === 'opening';
   }
 
-  /** @returns Whether a report or a handover has told what others sent. */
+  /** @returns Whether the foreign work is known from a report or a handover. */
   get foreignKnown(): boolean {
     return this.foreign.isKnown;
   }
 
   /**
    * @param now - monotonic milliseconds.
-   * @returns Tokens on the runner that others sent, as far as known.
+   * @returns Estimated tokens of work on the runner that other daemons sent.
    */
   foreignWork(now: number): number {
     return this.foreign.at(now);
@@ -77,7 +77,7 @@
 
   /**
    * @param now - monotonic milliseconds.
-   * @returns From 0 to 1, the share of the capacity that the gate's own work may take.
+   * @returns Share of the capacity that the gate's own work may use, from 0 to 1.
    */
   share(now: number): number {
     if (this.current !== 'opening') return 1;
@@ -85,9 +85,10 @@
   }
 
   /**
-   * Lets time pass. A process that stood still does not know it. Meanwhile others may have taken this gate
-   * and filled the runner; one would see a runner loaded twice. A gap that the own ticks cannot leave gives
-   * it away, and the gate opens anew, as gradually as one that knows nothing.
+   * Advances the time and detects pauses of this process. During a pause, another daemon may have taken over this
+   * gate and filled the runner; with its old counts, this gate would then load the runner twice. A held gate gets
+   * regular ticks, so a longer gap between two calls shows a pause. The gate then starts a new slow start, as if
+   * it knew nothing about the runner.
    *
    * @param now - monotonic milliseconds.
    */
@@ -100,9 +101,11 @@
   }
 
   /**
+   * Opens the gate: at once after a handover, otherwise with a slow start.
+   *
    * @param now - monotonic milliseconds.
-   * @param load - what this gate itself has on the runner.
-   * @param handedOver - what the old holder knows to be there, if it said so.
+   * @param load - the work of this gate on the runner.
+   * @param handedOver - the work on the runner that the old holder handed over; `undefined` without a handover.
    */
   open(now: number, load: GateLoad, handedOver?: readonly HeldWork[]): void {
     if (!handedOver) {
@@ -117,24 +120,30 @@
     );
   }
 
-  /** @returns Whether the gate was held until now. */
+  /**
+   * Closes the gate.
+   *
+   * @returns Whether the gate was held until now.
+   */
   close(): boolean {
     return this.transition('close');
   }
 
-  /** Nothing of this gate is on the runner any more. */
+  /** Notes that no work of this gate is left on the runner. */
   empty(): void {
     this.transition('emptied');
   }
 
   /**
+   * Updates the foreign work from a load report, and ends the slow start if no foreign work is left.
+   *
    * @param now - monotonic milliseconds.
-   * @param report - the runner's own, lagging.
-   * @param load - what this gate has on the runner.
+   * @param report - the runner's own report, which is delayed.
+   * @param load - the work of this gate on the runner.
    */
   report(now: number, report: LoadReport, load: GateLoad): void {
     if (!this.isHeld) return;
-    // Once open with nothing foreign left, the own count is better than any report.
+    // Once the gate is open and no foreign work is left, its own count is more exact than any report.
     if (this.current === 'open' && this.foreign.at(now) === 0) return;
     const reportedAt = now - report.ageMilliseconds;
     this.foreign.report(now, report.load, load.workStartedBy(reportedAt));
--- a/src/gates/GatePort.ts
+++ b/src/gates/GatePort.ts
@@ -1,5 +1,5 @@
 /**
- * How the request's owner reaches the gate of a runner, here or on another daemon.
+ * Interface through which the owner of a request reaches the gate of a runner, on this or another daemon.
  */
 import type {
   CancelRequest,
@@ -8,23 +8,23 @@
   ResumeRequest,
 } from '../generated/baobabdock/v1/peers_pb.js';
 
-/** Runs attempts at one gate. An iteration ends after `refused`, `completed` or `failed`. */
+/** Runs attempts at gates. Each stream of events ends after `refused`, `completed` or `failed`. */
 export abstract class GatePort {
   /**
    * Runs one attempt.
    *
-   * @param request - what to run and where.
+   * @param request - the attempt and the id of its runner.
    * @param signal - aborting it cancels the attempt at the runner.
-   * @returns Events in order. Throws only when nobody can know what happened (a lost connection);
-   *   before the first `started` that may still mean that the request ran.
+   * @returns Events in order. The iteration throws only if the outcome is unknown, for example after a lost
+   *   connection; the request may then have run even if no `started` event has arrived.
    */
   abstract execute(request: ExecuteRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent>;
 
   /**
-   * Continues the stream of an attempt after a chunk.
+   * Resumes the stream of an attempt after the last received chunk.
    *
    * @param request - the attempt and the last chunk that the caller has.
-   * @param signal - aborting it stops reading; the attempt goes on.
+   * @param signal - aborting it stops reading without cancelling the attempt.
    * @returns Events in order, chunks from `afterSequence` + 1.
    */
   abstract resume(request: ResumeRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent>;
@@ -32,8 +32,8 @@
   /**
    * Cancels an attempt at its runner; idempotent.
    *
-   * @param request - the attempt.
-   * @returns Whether the gate knew it.
+   * @param request - the attempt and the id of its runner.
+   * @returns Whether the gate knew the attempt.
    */
   abstract cancel(request: CancelRequest): Promise<boolean>;
 }
--- a/src/gates/GateThroughput.ts
+++ b/src/gates/GateThroughput.ts
@@ -1,33 +1,35 @@
 /**
- * How fast a gate's runner gets through work, and what waits follow from it.
+ * Measures the throughput of a gate's runner and derives expected waits from it.
  */
 import { DrainRate } from './DrainRate.js';
 
-/** First guesses until the runner has been measured. */
+/** Initial rates, used until the throughput of the runner has been measured. */
 const INITIAL_TOKENS_PER_MILLISECOND = 1;
 const INITIAL_REQUESTS_PER_MILLISECOND = 1 / 1_000;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Measures tokens and requests that leave the runner. */
+/** Measures the rates at which tokens of work and requests leave one runner. */
 export class GateThroughput {
   private readonly tokens = new DrainRate({ initialRate: INITIAL_TOKENS_PER_MILLISECOND });
 
   private readonly requests = new DrainRate({ initialRate: INITIAL_REQUESTS_PER_MILLISECOND });
 
-  /** @returns Tokens a second, as measured. */
+  /** @returns Measured tokens of work a second; an initial rate until enough has been measured. */
   get tokensPerSecond(): number {
     return this.tokens.rate() * MILLISECONDS_PER_SECOND;
   }
 
-  /** @returns Milliseconds between two requests that leave. */
+  /** @returns Average milliseconds between two completed requests. */
   get millisecondsPerRequest(): number {
     return 1 / this.requests.rate();
   }
 
   /**
+   * Advances the measurement to the given time.
+   *
    * @param now - monotonic milliseconds.
-   * @param busy - whether there was work since the last call.
+   * @param busy - whether the runner had work since the last call.
    */
   advance(now: number, busy: boolean): void {
     this.tokens.advance(now, busy);
@@ -35,27 +37,33 @@
   }
 
   /**
-   * @param tokensPerSecond - what the runner says of itself; used until enough is measured.
+   * Sets the token rate that is used until enough has been measured.
+   *
+   * @param tokensPerSecond - rate that the runner reported.
    */
   guess(tokensPerSecond: number): void {
     this.tokens.guess(tokensPerSecond / MILLISECONDS_PER_SECOND);
   }
 
   /**
-   * @param tokens - work that has been done; a count that was corrected upwards is no work.
+   * Counts work that the runner has done.
+   *
+   * @param tokens - tokens of work; negative if a count was corrected upwards, which is ignored.
    */
   drained(tokens: number): void {
     this.tokens.add(Math.max(0, tokens));
   }
 
-  /** One request has left. */
+  /** Counts one completed request. */
   completed(): void {
     this.requests.add(1);
   }
 
   /**
-   * @param surplusTokens - tokens that have to leave first.
-   * @param surplusRequests - requests that have to leave first.
+   * Estimates how long it takes until the given work has left the runner.
+   *
+   * @param surplusTokens - tokens of work that must leave first.
+   * @param surplusRequests - number of requests that must leave first.
    * @returns Milliseconds, 0 or more.
    */
   waitFor(surplusTokens: number, surplusRequests: number): number {
--- a/src/gates/LocalGatePort.ts
+++ b/src/gates/LocalGatePort.ts
@@ -1,5 +1,5 @@
 /**
- * Gates that this daemon holds itself.
+ * Access to the gates that this daemon holds itself.
  */
 import type {
   CancelRequest,
@@ -15,7 +15,7 @@
   host: GateHost;
 }
 
-/** Without a hop. */
+/** Calls the gates of this daemon directly, without a network hop. */
 export class LocalGatePort extends GatePort {
   private readonly host: GateHost;
 
--- a/src/gates/MeanTrend.ts
+++ b/src/gates/MeanTrend.ts
@@ -1,40 +1,46 @@
 /**
- * What the pool's mean is by now. What a gate hears is older than a second; when demand falls, a gate that
- * went by it would fill its runner to a bound that is no longer there, and cannot take work back.
+ * Estimates the pool's current mean load from delayed values. The mean that a gate receives is more than a second
+ * old. When demand falls, a gate that used it unchanged would fill its runner above the current bound, and admitted
+ * work can't be withdrawn.
  */
 
-/** Over how long the trend is smoothed, in ms; shorter than a request, longer than a report's period. */
+/** Time constant of the smoothed slope; shorter than a request, longer than the interval between reports. */
 const SMOOTHING_MILLISECONDS = 1_500;
 
-/** How old a heard mean is taken to be, in ms. */
+/** Assumed age of a received mean. */
 const ASSUMED_AGE_MILLISECONDS = 1_500;
 
-/** Follows the mean as it is heard. */
+/** Extrapolates the mean load of one pool from the values received so far. */
 export class MeanTrend {
-  private heard = 0;
+  private lastMean = 0;
 
-  private heardAt: number | undefined;
+  private lastMeanAt: number | undefined;
 
-  /** Tokens a ms. */
+  /** Smoothed change of the mean, in tokens a millisecond. */
   private slope = 0;
 
   /**
+   * Adds a received mean.
+   *
    * @param now - monotonic milliseconds.
-   * @param mean - tokens of work on an average runner.
+   * @param mean - mean load of the pool's runners, in tokens of work.
    */
   hear(now: number, mean: number): void {
-    const elapsed = this.heardAt === undefined ? 0 : now - this.heardAt;
+    const elapsed = this.lastMeanAt === undefined ? 0 : now - this.lastMeanAt;
     if (elapsed > 0) {
       const share = 1 - Math.exp(-elapsed / SMOOTHING_MILLISECONDS);
-      this.slope += share * ((mean - this.heard) / elapsed - this.slope);
+      this.slope += share * ((mean - this.lastMean) / elapsed - this.slope);
     }
-    this.heard = mean;
-    this.heardAt = now;
+    this.lastMean = mean;
+    this.lastMeanAt = now;
   }
 
-  /** @returns Tokens, lowered while the mean falls; never raised, because a guess must not lift the bound. */
+  /**
+   * @returns The last received mean in tokens, lowered while the mean falls. It is never raised, because an
+   *   extrapolated rise must not raise the bound.
+   */
   estimate(): number {
     const fall = Math.min(0, this.slope) * ASSUMED_AGE_MILLISECONDS;
-    return Math.max(0, this.heard + fall);
+    return Math.max(0, this.lastMean + fall);
   }
 }
--- a/src/gates/PeerGatePort.ts
+++ b/src/gates/PeerGatePort.ts
@@ -1,5 +1,5 @@
 /**
- * Gates that another daemon holds.
+ * Access to the gates that another daemon holds.
  */
 import type { Client } from '@connectrpc/connect';
 
@@ -25,12 +25,12 @@
 type PeerClient = Client<typeof PeerService>;
 type Call = (signal: AbortSignal) => AsyncIterable<ExecuteEvent>;
 
-/** Time beyond the attempt's own deadline for its last event to arrive, in milliseconds. */
-const CALL_SLACK_MILLISECONDS = 1_000;
+/** Time that a call may take beyond the deadline of its attempt, so that the last event can arrive. */
+const CALL_GRACE_MILLISECONDS = 1_000;
 
 /**
- * Reads a call until its reader leaves. Leaving closes the connection at once, also while a silent gate is
- * waited for, and does not cancel the attempt.
+ * Event stream of one call that its reader can leave at any time. Leaving closes the call's connection at once, even
+ * while the gate is unresponsive, and does not cancel the attempt.
  */
 class PeerStream implements AsyncIterableIterator<ExecuteEvent> {
   private readonly controller = new AbortController();
@@ -64,12 +64,12 @@
   }
 }
 
-/** One other daemon's gates. */
+/** Calls the gates of one other daemon over the network. */
 export class PeerGatePort extends GatePort {
   private readonly client: PeerClient;
 
   /**
-   * @param options - the daemon.
+   * @param options - the other daemon, and the link to reach it.
    */
   constructor({ peers, daemonId, peerAddress }: PeerGatePortOptions) {
     super();
@@ -80,7 +80,7 @@
     const { attemptId, runnerId } = request;
     const stream = new PeerStream((stop) => this.run(request, signal, stop));
     const abort = (): void => {
-      // A cut connection only leaves the attempt; it has to be cancelled by name.
+      // Closing the connection does not cancel the attempt, so it is cancelled explicitly by its id.
       void this.client.cancel({ attemptId, runnerId }).catch(() => {});
     };
     if (signal.aborted) abort();
@@ -89,7 +89,7 @@
   }
 
   override resume(request: ResumeRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent> {
-    const timeoutMs = request.deadlineMilliseconds + CALL_SLACK_MILLISECONDS;
+    const timeoutMs = request.deadlineMilliseconds + CALL_GRACE_MILLISECONDS;
     const stream = new PeerStream((stop) =>
       this.client.resume(request, { signal: stop, timeoutMs }),
     );
@@ -107,14 +107,14 @@
 
   private async *run(
     request: ExecuteRequest,
-    wanted: AbortSignal,
+    cancelSignal: AbortSignal,
     stop: AbortSignal,
   ): AsyncGenerator<ExecuteEvent, void, undefined> {
-    if (wanted.aborted) {
+    if (cancelSignal.aborted) {
       yield refusedEvent({ reason: 'cancelled' });
       return;
     }
-    const timeoutMs = request.deadlineMilliseconds + CALL_SLACK_MILLISECONDS;
+    const timeoutMs = request.deadlineMilliseconds + CALL_GRACE_MILLISECONDS;
     try {
       yield* this.client.execute(request, { signal: stop, timeoutMs });
     } catch (error) {
--- a/src/gates/RoutingGatePort.ts
+++ b/src/gates/RoutingGatePort.ts
@@ -1,5 +1,5 @@
 /**
- * Picks, for each call, the daemon that this one believes to hold the runner's gate.
+ * Routes each call to the daemon that holds the runner's gate according to this daemon's view of the fleet.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type {
@@ -21,7 +21,7 @@
   local: GatePort;
 }
 
-/** Here or at another daemon. */
+/** Access to all gates, on this daemon or on another one. */
 export class RoutingGatePort extends GatePort {
   private readonly fleet: FleetView;
 
@@ -30,7 +30,7 @@
   private readonly local: GatePort;
 
   /**
-   * @param options - the fleet, and how to reach it.
+   * @param options - the fleet view, the link to other daemons, and the gates of this daemon.
    */
   constructor({ fleet, peers, local }: RoutingGatePortOptions) {
     super();
--- a/src/gates/RunnerStanding.ts
+++ b/src/gates/RunnerStanding.ts
@@ -1,30 +1,32 @@
 /**
- * What a gate has been told of its runner. Leaving is final for an incarnation, so that old gossip and
- * flapping cannot send work to a runner that is on its way out.
+ * Tracks whether a gate's runner accepts work. `leaving` is final for an incarnation of the runner, so that outdated
+ * gossip and flapping states can't send work to a runner that is about to stop.
  */
 import type { RefusalReason, RunnerState } from './gateTypes.js';
 
-/** Sticky by incarnation. */
+/** State of one runner; `leaving` lasts until a newer incarnation of the runner appears. */
 export class RunnerStanding {
   private state: RunnerState = 'live';
 
   private incarnation = 0;
 
   /**
-   * @param state - what is said of the runner.
-   * @param incarnation - of which start of it; older ones are ignored.
-   * @returns Why waiting requests have to go, or `undefined` when they may stay.
+   * Applies a state that was received for the runner.
+   *
+   * @param state - the received state.
+   * @param incarnation - incarnation of the runner that the state is about; an older one than the last is ignored.
+   * @returns Why waiting requests have to be refused, or `undefined` if they may go on waiting.
    */
   learn(state: RunnerState, incarnation: number): RefusalReason | undefined {
     if (incarnation < this.incarnation) return undefined;
     const restarted = incarnation > this.incarnation;
     this.incarnation = incarnation;
-    const final = this.state === 'leaving' && !restarted;
-    if (!final) this.state = state;
+    const isLeavingFinal = this.state === 'leaving' && !restarted;
+    if (!isLeavingFinal) this.state = state;
     return this.refusal();
   }
 
-  /** @returns Why no request may go there, or `undefined`. */
+  /** @returns Why the runner accepts no requests, or `undefined` if it does. */
   refusal(): RefusalReason | undefined {
     if (this.state === 'leaving') return 'runner_leaving';
     return this.state === 'down' || this.state === 'ejected' ? 'runner_down' : undefined;
--- a/src/gates/gateDecisionsTypes.ts
+++ b/src/gates/gateDecisionsTypes.ts
@@ -1,21 +1,21 @@
 /**
- * How a gate is set up, and what others may know of it.
+ * The options of a gate and the snapshot of its state.
  */
 import type { GateOpeningOptions, GateState } from './GateOpening.js';
 
 /** Options of `GateDecisions`. */
 export interface GateDecisionsOptions extends GateOpeningOptions {
-  /** Requests on the runner at once. */
+  /** Requests that may be on the runner at once. */
   maximumConcurrent?: number;
-  /** Requests that may wait here. */
+  /** Requests that may wait at the gate. */
   maximumQueued?: number;
-  /** Age after which a lower class gets a turn now and then, in ms; 0 means never. */
+  /** Age in milliseconds after which requests of a lower class get some of the starts; 0 means never. */
   agingMilliseconds?: number;
-  /** Requests that a runner may always have, whatever the mean; see `GateBound`. */
+  /** Requests that a runner may have at once even if its load is then above the bound; see `GateBound`. */
   floorRequests?: number;
 }
 
-/** What others may know of a gate; a copy. */
+/** A copy of a gate's state and load at one moment. */
 export interface GateSnapshot {
   readonly state: GateState;
   readonly running: number;
@@ -23,10 +23,10 @@
   /** Tokens of work on the runner that this gate sent. */
   readonly runningWork: number;
   readonly queuedWork: number;
-  /** Tokens that count towards the pool's mean, see `loadOf`. */
+  /** Tokens of work that count towards the pool's mean; see `advertisedLoad`. */
   readonly load: number;
-  /** Tokens of work on the runner that others sent, as far as known. */
+  /** Estimated tokens of work on the runner that other daemons sent. */
   readonly foreignWork: number;
-  /** Tokens a second that the runner gets through, as measured here. */
+  /** Throughput of the runner in tokens a second, as measured by this gate. */
   readonly tokensPerSecond: number;
 }
--- a/src/gates/gateTestRequests.ts
+++ b/src/gates/gateTestRequests.ts
@@ -1,12 +1,14 @@
 /**
- * Requests for the specs of gates.
+ * Test helpers for the specs of gates.
  */
 import type { GateAction, GateRequest } from './gateTypes.js';
 
 /**
- * @param attemptId - the attempt.
- * @param changes - what differs from a usual request of 100 + 100 tokens.
- * @returns A request.
+ * Creates a request for a test.
+ *
+ * @param attemptId - id of the attempt, also used as the id of the request.
+ * @param changes - fields that differ from the default request of 100 prompt tokens and 100 generated tokens.
+ * @returns The request.
  */
 export function gateRequest(attemptId: string, changes: Partial<GateRequest> = {}): GateRequest {
   return {
@@ -28,8 +30,10 @@
 }
 
 /**
- * @param actions - of one decision.
- * @returns Each action's kind with what tells it apart.
+ * Summarizes actions for comparison in a test.
+ *
+ * @param actions - the actions of one decision.
+ * @returns For each action its kind and attempt id, and for a refusal also the reason.
  */
 export function brief(actions: readonly GateAction[]): string[] {
   return actions.map((action) =>
--- a/src/gates/gateTypes.ts
+++ b/src/gates/gateTypes.ts
@@ -1,14 +1,14 @@
 /**
- * What goes into and comes out of the gate of one runner.
+ * The requests, messages and actions of the gate of one runner.
  */
 
 /** Priority classes, the most urgent first. */
 export const PRIORITIES = ['urgent', 'standard', 'background'] as const;
 
-/** How soon a request has to be served. */
+/** Priority class of a request. */
 export type Priority = (typeof PRIORITIES)[number];
 
-/** Why a gate ran nothing. All of them are true statements of "not run". */
+/** Why a gate refused a request. Each reason guarantees that the request was not run. */
 export type RefusalReason =
   | 'above_bound'
   | 'queue_full'
@@ -22,21 +22,21 @@
   | 'runner_refused'
   | 'cancelled';
 
-/** A request as its gate weighs it. */
+/** A request with the properties that its gate decides by. */
 export interface GateRequest {
   readonly attemptId: string;
   readonly requestId: string;
   readonly clientAccount: string;
   readonly priority: Priority;
-  /** Monotonic milliseconds of this daemon after which the answer is of no use. */
+  /** Time after which the answer is of no use, in monotonic milliseconds of this daemon. */
   readonly deadline: number;
   readonly promptTokens: number;
-  /** What the chooser believes is cached; the runner's answer corrects it. */
+  /** Prompt tokens that the daemon placing the request expects to be cached; corrected by the runner's answer. */
   readonly cachedTokens: number;
   readonly maximumTokens: number;
-  /** Highest load as a multiple of the pool's mean. */
+  /** Highest load of a runner as a multiple of the pool's mean. */
   readonly bound: number;
-  /** Queue rather than refuse for the bound: the chooser has nobody else. */
+  /** Whether to queue the request when the runner is at its bound, because no other runner is left to try. */
   readonly lastChoice: boolean;
   readonly accountWeight: number;
   /** 0 means no limit. */
@@ -48,48 +48,48 @@
 /** How an attempt left the runner. */
 export type AttemptEnd = 'completed' | 'failed' | 'cancelled' | 'lost';
 
-/** A runner's own report; it lags. */
+/** A runner's own report of its load, which is delayed. */
 export interface LoadReport {
   /** Work in progress and queued at the runner, in tokens. */
   readonly load: number;
   readonly running: number;
   readonly queued: number;
-  /** Age when the daemon received it, in milliseconds, as far as it is known. */
+  /** Age of the report when the daemon received it, in milliseconds, as far as it is known. */
   readonly ageMilliseconds: number;
-  /** Tokens a second that the runner gets through. */
+  /** Throughput of the runner in tokens a second. */
   readonly tokensPerSecond: number;
 }
 
-/** What happens to a gate. */
+/** Input of a gate's decisions. */
 export type GateMessage =
   | { readonly kind: 'request'; readonly request: GateRequest }
   | { readonly kind: 'started'; readonly attemptId: string; readonly cachedTokens: number }
-  /** The runner said that it did not start it (true "not run"). */
+  /** The runner refused the attempt, which was therefore not run. */
   | { readonly kind: 'refused_by_runner'; readonly attemptId: string }
   | { readonly kind: 'progress'; readonly attemptId: string; readonly generatedTokens: number }
   | { readonly kind: 'ended'; readonly attemptId: string; readonly end: AttemptEnd }
   | { readonly kind: 'cancel'; readonly attemptId: string }
   | { readonly kind: 'load_report'; readonly report: LoadReport }
-  /** Mean load of the pool's runners in tokens, and how many there are, from the gossip. */
+  /** Mean load of the pool's runners in tokens of work, and their number, as received by gossip. */
   | { readonly kind: 'pool_mean'; readonly mean: number; readonly runners: number }
   | { readonly kind: 'runner_state'; readonly state: RunnerState; readonly incarnation: number }
-  /** This daemon holds the gate from now on; attempts come from the old holder, or are unknown. */
+  /** This daemon holds the gate from now on. `handedOver` is the old holder's work on the runner, if known. */
   | { readonly kind: 'open'; readonly handedOver?: readonly HeldWork[] }
   /** This daemon no longer holds the gate: queued requests are refused, running ones finish. */
   | { readonly kind: 'close' }
   | { readonly kind: 'tick' };
 
-/** Work that an old holder knows to be on the runner. */
+/** An attempt that a holder of the gate has on the runner, as handed over to the next holder. */
 export interface HeldWork {
   readonly attemptId: string;
   readonly clientAccount: string;
   readonly work: number;
 }
 
-/** What the fleet believes of a runner. Leaving is final for an incarnation. */
+/** State of a runner in the fleet view. `leaving` is final for an incarnation. */
 export type RunnerState = 'live' | 'suspect' | 'ejected' | 'leaving' | 'down';
 
-/** What a gate wants done. */
+/** What the gate's task has to do. */
 export type GateAction =
   | {
       readonly kind: 'start';
--- a/src/gates/gatesFeature.ts
+++ b/src/gates/gatesFeature.ts
@@ -1,5 +1,5 @@
 /**
- * Registers the gates of runners: their settings and log events.
+ * Registers the gates of runners with their settings and log events.
  */
 import { z } from 'zod';
 
@@ -12,10 +12,10 @@
 const settings = z.object({
   maximumConcurrentPerRunner: count
     .default(64)
-    .describe('Requests on one runner at once, where its service says nothing else.'),
+    .describe('Requests on one runner at once, unless its service sets another limit.'),
   maximumQueuedPerRunner: count
     .default(64)
-    .describe('Requests that wait at one gate, where its service says nothing else.'),
+    .describe('Requests that wait at one gate, unless its service sets another limit.'),
   agingMilliseconds: z
     .number()
     .int()
@@ -24,18 +24,24 @@
     .describe('Wait after which a lower priority gets a turn, in milliseconds; 0 means never.'),
   openingMilliseconds: milliseconds
     .default(5_000)
-    .describe('Time in which a gate without a handover opens, in milliseconds.'),
+    .describe(
+      'Duration of the slow start of a gate that opens without a handover, in milliseconds.',
+    ),
   pauseMilliseconds: milliseconds
     .default(3_000)
-    .describe('Silence after which this process counts as having been paused, in milliseconds.'),
+    .describe(
+      'Time without any message after which this process is assumed to have been paused, in milliseconds.',
+    ),
   reviewMilliseconds: milliseconds
     .default(5_000)
     .describe(
-      'How often the gates held here are compared with the lists when nothing was heard of a change, in milliseconds.',
+      'How often the gates held by this daemon are compared with the fleet lists when no change was received, in milliseconds.',
     ),
   poolMeanMilliseconds: milliseconds
     .default(1_000)
-    .describe("How often the gates held here learn their pool's mean, in milliseconds."),
+    .describe(
+      "How often the gates held by this daemon receive their pool's mean load, in milliseconds.",
+    ),
   loadReportMilliseconds: milliseconds
     .default(1_000)
     .describe('Time between two load reports of one runner, in milliseconds.'),
@@ -53,13 +59,13 @@
     .int()
     .nonnegative()
     .default(3)
-    .describe('How often a gate takes up a cut stream again by itself.'),
+    .describe('How often a gate resumes an interrupted stream on its own.'),
   orphanMilliseconds: milliseconds
     .default(5_000)
-    .describe('How long a stream that lost its reader goes on at the runner, in milliseconds.'),
+    .describe('How long a stream without a reader continues at the runner, in milliseconds.'),
   failuresUntilEjection: count
     .default(3)
-    .describe('Failures one after the other, without a success, after which a runner is ejected.'),
+    .describe('Failures in a row, without a success, after which a runner is ejected.'),
   ejectionMilliseconds: milliseconds
     .default(2_000)
     .describe('First time without work for an ejected runner, in milliseconds; doubled each time.'),
@@ -68,7 +74,7 @@
     .describe('Longest time without work for an ejected runner, in milliseconds.'),
   handOverTimeoutMilliseconds: milliseconds
     .default(1_000)
-    .describe('Time for one message of a handover, in milliseconds.'),
+    .describe('Timeout of one message of a handover, in milliseconds.'),
   maximumCacheMoves: count
     .default(2)
     .describe('KV caches that one daemon moves between runners at the same time.'),
@@ -99,16 +105,17 @@
     number: 1501,
     name: 'gates.queued',
     level: 'info',
-    text: 'A gate let an attempt wait for its runner.',
-    operatorAction: 'None. Many of them: the pool is short of runners, or its bound is tight.',
+    text: 'A gate queued an attempt for its runner.',
+    operatorAction:
+      'None for a few. If there are many, the pool has too few runners, or its bound is tight.',
   }),
   refused: defineLogEvent({
     number: 1502,
     name: 'gates.refused',
     level: 'info',
-    text: 'A gate ran nothing of an attempt, for the reason given.',
+    text: 'A gate refused an attempt, which was not run, for the reason given.',
     operatorAction:
-      'By reason: above_bound is routine, account_limit is the account; queue_full and deadline_unreachable mean too few runners.',
+      'Depends on the reason: above_bound is routine; account_limit means that the account has reached its limits; queue_full and deadline_unreachable mean too few runners.',
   }),
   opened: defineLogEvent({
     number: 1510,
@@ -128,15 +135,15 @@
     number: 1512,
     name: 'gates.handed_over',
     level: 'info',
-    text: 'The next holder of a gate was told what is on its runner.',
+    text: 'The work on a runner was handed over to the next holder of its gate.',
     operatorAction: 'None.',
   }),
   handOverFailed: defineLogEvent({
     number: 1513,
     name: 'gates.hand_over_failed',
     level: 'warn',
-    text: 'The next holder of a gate could not be told what is on its runner; it opens gradually.',
-    operatorAction: 'None for one. Many: look at the links between the daemons.',
+    text: 'The work on a runner could not be handed over to the next holder of its gate; that gate opens gradually.',
+    operatorAction: 'None for one. If there are many, check the network links between the daemons.',
   }),
   cannotOpen: defineLogEvent({
     number: 1514,
@@ -150,7 +157,7 @@
     name: 'gates.runner_ejected',
     level: 'warn',
     text: 'A runner failed several times without a success and gets no work for a while.',
-    operatorAction: 'Look at the runner. It is tried again by itself.',
+    operatorAction: 'Check the runner. It is retried automatically.',
   }),
   runnerReturned: defineLogEvent({
     number: 1521,
@@ -164,13 +171,14 @@
     name: 'gates.cache_events_lost',
     level: 'info',
     text: 'Cache events of a runner are missing; the chats that are most likely gone count as not cached.',
-    operatorAction: 'None. Many of them lower the reuse: see whether the runner drops its events.',
+    operatorAction:
+      'None for a few. Many of them lower the cache reuse; check whether the runner drops its events.',
   }),
   cacheMoved: defineLogEvent({
     number: 1540,
     name: 'gates.cache_moved',
     level: 'info',
-    text: 'The KV cache of a chat was moved to another runner, because that beats rebuilding it.',
+    text: 'The KV cache of a chat was moved to another runner, because that is faster than rebuilding it.',
     operatorAction: 'None.',
   }),
   cacheMoveFailed: defineLogEvent({
@@ -178,7 +186,8 @@
     name: 'gates.cache_move_failed',
     level: 'warn',
     text: 'The KV cache of a chat could not be moved; its next prompt is rebuilt.',
-    operatorAction: 'None for one. Many: see whether the runners of this pool export and import.',
+    operatorAction:
+      'None for one. If there are many, check whether the runners of this pool can export and import caches.',
   }),
 };
 
