--- a/src/gates/CacheMoveDecisions.spec.ts
+++ b/src/gates/CacheMoveDecisions.spec.ts
@@ -41,7 +41,7 @@
     });
   }
 
-  it('moves a few at a time, the first first, and stops when moves prove slower than rebuilding', () => {
+  it('moves a few at a time, in order, and stops when moves prove slower than rebuilding', () => {
     // Guards against useless copies that fill the network for minutes: a runner leaves whose caches are far
     // larger than the settings say, and the measured moves do not correct the estimate.
     const decisions = decisionsOf();
@@ -146,7 +146,7 @@
     expect(next).toEqual([['move c'], ['move d']]);
   });
 
-  it('moves a warm chat that is refused again, and then lets it rest', () => {
+  it('moves a warm chat that is refused twice in a short time, and then not again for a while', () => {
     const decisions = decisionsOf();
     const cache = cacheOf('hot', 10_000);
     const refuse = (now: number) =>
--- a/src/gates/CacheMoveTask.spec.ts
+++ b/src/gates/CacheMoveTask.spec.ts
@@ -91,7 +91,7 @@
   // Guards against copies that are never used and keep the link busy for minutes after a runner has left: while
   // its move waits, a chat is used again and rebuilt at another runner, and its cache is then copied without
   // checking where it already is.
-  it('does not copy what stands at another live runner by the time of its turn', async () => {
+  it('does not copy a cache that is at another live runner when its move would start', async () => {
     const { fleet, homes, ended, task, watch, until } = createMoveBench('leaving');
     homes.warm.set('returned', [warmAt('old', TOKENS), warmAt('new', TOKENS + 1)]);
     homes.warm.set('shorter elsewhere', [warmAt('new', TOKENS - 1)]);
@@ -106,7 +106,7 @@
     expect(homes.told.map(({ chat }) => chat).sort()).toEqual(chats.slice(1).sort());
   });
 
-  it('gives a hot chat one more place, unless the target is one already', async () => {
+  it('copies a hot chat to one more runner, unless the target has it already', async () => {
     const { fleet, homes, ended, task, watch, until } = createMoveBench('live');
     homes.warm.set('at the target', [warmAt('old', TOKENS), warmAt('new', TOKENS)]);
     homes.warm.set('elsewhere', [warmAt('old', TOKENS), warmAt('third', TOKENS)]);
--- a/src/gates/FairQueue.spec.ts
+++ b/src/gates/FairQueue.spec.ts
@@ -92,7 +92,7 @@
     });
   }
 
-  it('gives aged requests of a lower class every eighth turn, when it is told to', () => {
+  it('gives aged requests of a lower class every eighth turn, if aging is enabled', () => {
     // Guards against starvation: with strict priority classes, a weekly summary in the background class never
     // starts while urgent requests keep coming.
     const loads: Load[] = [
@@ -107,7 +107,7 @@
     expect(tokensServed(strict, 16)).toEqual({ counter: 16 * 500 });
   });
 
-  it('does not let a surge shut others out of a full queue', () => {
+  it('does not let a surge of one account keep others out of a full queue', () => {
     const queue = new FairQueue();
     fill(queue, [
       { clientAccount: 'surge', count: 10 },
--- a/src/gates/GateDecisions.property.spec.ts
+++ b/src/gates/GateDecisions.property.spec.ts
@@ -197,7 +197,7 @@
 }
 
 describe(`${GateDecisions.name}, searched`, () => {
-  it('keeps bound, counts and answers through any story', () => {
+  it('keeps the bound, exact counts and one answer for each request in random runs', () => {
     const randomSteps = fc.array(fc.tuple(step, fc.nat(1_500)), { minLength: 20, maxLength: 150 });
     fc.assert(
       fc.property(randomSteps, (steps) => {
--- a/src/gates/GateDecisions.spec.ts
+++ b/src/gates/GateDecisions.spec.ts
@@ -33,7 +33,7 @@
 }
 
 describe(GateDecisions.name, () => {
-  it('accepts in an idle pool, and on an idle runner whatever the size', () => {
+  it('accepts requests in an idle pool, and a request of any size on an idle runner', () => {
     const idle = new GateDecisions();
     idle.decide(0, { kind: 'open', handedOver: [] });
     idle.decide(0, { kind: 'pool_mean', mean: 0, runners: 13 });
@@ -42,7 +42,7 @@
     expect(brief(ask(openGate(), 0, 'large', { promptTokens: 90_000 }))).toEqual(['start large']);
   });
 
-  it('fills a runner to the bound less the room kept free, and counts what falls', () => {
+  it('fills a runner up to the bound minus the headroom, and counts progress', () => {
     // Capacity: 1 + 0.25 × 0.75 = 1.1875 times 1,000 tokens (and a tenth of the request itself).
     const gate = openGate();
     const names = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
@@ -61,7 +61,7 @@
     expect(gate.snapshot(1).runningWork).toEqual(550);
   });
 
-  it('takes doubled, late and unknown messages without harm', () => {
+  it('ignores duplicate, late and unknown messages', () => {
     // Guards against a load below zero and against requests that run twice: a message arrives again, or after the
     // attempt has ended, and changes the counts although its attempt is not on the runner.
     const gate = openGate();
@@ -115,7 +115,7 @@
     expect(refusedAt !== undefined && refusedAt < deadline / 2).toEqual(true);
   });
 
-  it('works out when to come back from the measured drain rate', () => {
+  it('computes the retry time from the measured throughput', () => {
     const gate = openGate({ floorRequests: 1 });
     ask(gate, 0, 'a', { promptTokens: 0, maximumTokens: 30_000 });
     // 2 tokens a millisecond, for long enough to replace the initial rate.
@@ -155,7 +155,7 @@
     expect(gate.snapshot(9_000).state).toEqual('open');
   });
 
-  it('lets in a growing share while nothing is known of the runner', () => {
+  it('admits a growing share while the load of the runner is unknown', () => {
     const gate = new GateDecisions();
     gate.decide(0, { kind: 'pool_mean', mean: 10_000, runners: 10 });
     gate.decide(0, { kind: 'open' });
@@ -178,7 +178,7 @@
     expect(refusalOf(ask(gate, 0, 'a')).reason).toEqual('above_bound');
   });
 
-  it('opens anew when it wakes from a pause', () => {
+  it('restarts its slow start after a pause of the process', () => {
     // Guards against a runner that is loaded twice: a daemon is paused for seconds, another daemon takes over its
     // gates, and the first one resumes with its old counts without noticing the pause.
     const gate = openGate();
@@ -204,7 +204,7 @@
     expect(brief(ask(gate, 4, 'b'))).toEqual(['start b']);
   });
 
-  it('holds an account to its share, and lets others pass', () => {
+  it('limits an account to its share without limiting other accounts', () => {
     // A limit of 8 requests over 10 runners: 2 gates with 4 each.
     const gate = openGate();
     gate.decide(0, { kind: 'pool_mean', mean: 100_000, runners: 10 });
