--- a/src/gates/GateHost.spec.ts
+++ b/src/gates/GateHost.spec.ts
@@ -36,7 +36,7 @@
 import { LocalGatePort } from './LocalGatePort.js';
 import { RoutingGatePort } from './RoutingGatePort.js';
 
-class NoHomes extends HomePort {
+class RecordingHomes extends HomePort {
   readonly told: HomeChange[] = [];
 
   override async ask(): Promise<[]> {
@@ -48,7 +48,7 @@
   }
 }
 
-/** Calls the hosts of this process through the library's own in-memory transport. */
+/** Connects the gate hosts of the test through the RPC library's in-memory transport. */
 class MemoryPeers extends PeerLink {
   readonly clients = new Map<string, Client<typeof PeerService>>();
 
@@ -65,18 +65,18 @@
   readonly fleet: FixedFleetView;
   readonly host: GateHost;
   readonly port: RoutingGatePort;
-  /** By runner; each daemon has its own adapters of the same runner. */
+  /** Upstream adapters by runner; each daemon has its own adapter of the same runner. */
   readonly upstreams: Map<string, TestUpstream>;
-  readonly homes: NoHomes;
+  readonly homes: RecordingHomes;
 }
 
 const RUNNER = 'runner-1';
 
-/** A lost event shows as a wait without end; this ends it. */
-const GUARD_MILLISECONDS = 30_000;
+/** Ends a test that would wait for ever because an event was lost. */
+const TEST_TIMEOUT_MILLISECONDS = 30_000;
 
-/** Moves the gate: what a daemon believes is what the test says. */
-class SetFleetView extends FixedFleetView {
+/** One daemon's view of the fleet, in which the test sets the holder of the gate. */
+class SettableFleetView extends FixedFleetView {
   holder: string | undefined;
 
   override routingPolicy(): RoutingPolicy {
@@ -88,7 +88,7 @@
   }
 }
 
-async function until(condition: () => boolean): Promise<void> {
+async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await nextTurn();
 }
 
@@ -126,15 +126,15 @@
   });
 }
 
-const never = (): AbortSignal => new AbortController().signal;
+const neverAborted = (): AbortSignal => new AbortController().signal;
 
-describe(GateHost.name, { timeout: GUARD_MILLISECONDS }, () => {
+describe(GateHost.name, { timeout: TEST_TIMEOUT_MILLISECONDS }, () => {
   const daemons = new Map<string, Daemon>();
 
-  const hold = (holder: string, ...believers: readonly string[]): void => {
-    for (const name of believers) {
+  const setHolder = (holder: string, ...daemonNames: readonly string[]): void => {
+    for (const name of daemonNames) {
       const { fleet, host } = daemons.get(name)!;
-      (fleet as SetFleetView).holder = holder;
+      (fleet as SettableFleetView).holder = holder;
       host.review();
     }
   };
@@ -147,12 +147,12 @@
     const members = ['a', 'b', 'c'].map((daemonId) => create(MemberSchema, { daemonId }));
     const services = [create(ServiceSchema, { name: 'chats', kind: 'engine' })];
     for (const self of members) {
-      const fleet = new SetFleetView();
+      const fleet = new SettableFleetView();
       fleet.daemons = [self, ...members.filter((member) => member !== self)];
       fleet.runnersKnown = [runnerOf(RUNNER)];
       fleet.inForce = () => create(ConfigurationSchema, { services });
       const upstreams = new Map<string, TestUpstream>();
-      const homes = new NoHomes();
+      const homes = new RecordingHomes();
       const host = new GateHost({
         fleet,
         homes,
@@ -181,29 +181,29 @@
     daemons.clear();
   });
 
-  it('runs an attempt at the gate of another daemon, and refuses where the lists are behind', async () => {
-    hold('b', 'a', 'b');
-    hold('a', 'c');
-    const reading = readAll(at('a').port.execute(requestOf('x'), never()));
-    await until(() => upstreamAt('b').runs.length === 1);
+  it('runs an attempt at the gate of another daemon, and refuses it where the runner list is outdated', async () => {
+    setHolder('b', 'a', 'b');
+    setHolder('a', 'c');
+    const reading = readAll(at('a').port.execute(requestOf('x'), neverAborted()));
+    await waitUntil(() => upstreamAt('b').runs.length === 1);
     upstreamAt('b').runs[0]!.answer(begun(), chunkOf(1), whole(1));
     expect(await reading).toEqual(['started', '1', 'completed']);
-    const refused = await readAll(at('c').port.execute(requestOf('y'), never()));
+    const refused = await readAll(at('c').port.execute(requestOf('y'), neverAborted()));
     expect(refused).toEqual(['refused gate_not_here']);
   });
 
-  it('cancels by name over the hop, and only leaves when the connection is lost', async () => {
-    // Symptom: a caller that comes back through another daemon finds its stream cancelled. Sequence: the
-    //   daemon that read dies while the stream runs. Cause: the gate takes a lost connection for a cancellation.
-    hold('b', 'a', 'b', 'c');
+  it('cancels an attempt at another daemon by its id, but keeps it when only the connection is lost', async () => {
+    // Guards against a caller that comes back through another daemon and finds its stream cancelled: the
+    // reading daemon crashes while the stream runs, and the gate takes the lost connection for a cancellation.
+    setHolder('b', 'a', 'b', 'c');
     const aborted = new AbortController();
     const first = readAll(at('a').port.execute(requestOf('x'), aborted.signal));
-    await until(() => upstreamAt('b').runs.length === 1);
+    await waitUntil(() => upstreamAt('b').runs.length === 1);
     aborted.abort();
     expect(await first).toEqual(['failed cancelled']);
-    const lost = at('a').port.execute(requestOf('y'), never())[Symbol.asyncIterator]();
+    const lost = at('a').port.execute(requestOf('y'), neverAborted())[Symbol.asyncIterator]();
     const start = lost.next();
-    await until(() => upstreamAt('b').runs.length === 2);
+    await waitUntil(() => upstreamAt('b').runs.length === 2);
     const call = upstreamAt('b').runs[1]!;
     call.answer(begun(), chunkOf(1));
     await start;
@@ -214,8 +214,8 @@
       clientAccount: 'tiles',
       deadlineMilliseconds: 20_000,
     });
-    const rest = readAll(at('c').port.resume(request, never()));
-    await until(() => upstreamAt('b').resumes.length === 1);
+    const rest = readAll(at('c').port.resume(request, neverAborted()));
+    await waitUntil(() => upstreamAt('b').resumes.length === 1);
     upstreamAt('b').resumes[0]!.answer(begun(), chunkOf(1), whole(1));
     expect(await rest).toEqual(['started', '1', 'completed']);
     expect(call.signal.aborted).toEqual(false);
@@ -223,42 +223,42 @@
 
   for (const lists of ['before the handover', 'after the handover'] as const) {
     it(`tells the next holder what is on the runner, its lists changing ${lists}`, async () => {
-      // Symptom: a runner is loaded to twice its bound. Sequence: the lists move a gate while requests run;
-      //   the new holder starts counting from zero. Cause: what the old holder started is forgotten.
-      hold('a', 'a', 'b');
-      const reading = readAll(at('a').port.execute(requestOf('x'), never()));
-      if (lists === 'before the handover') hold('b', 'b', 'a');
+      // Guards against a runner that is loaded to twice its bound: a gate moves to another daemon while
+      // requests run, and the new holder counts from zero because it ignores the old holder's attempts.
+      setHolder('a', 'a', 'b');
+      const reading = readAll(at('a').port.execute(requestOf('x'), neverAborted()));
+      if (lists === 'before the handover') setHolder('b', 'b', 'a');
       else {
-        hold('b', 'a');
+        setHolder('b', 'a');
         await nextTurn();
-        hold('b', 'b');
+        setHolder('b', 'b');
       }
-      // So that only the old holder's word counts.
+      // Without load reports, the handover is the only source of the foreign work.
       upstreamAt('b').answersReports = false;
-      await until(() => gateAt('b').snapshot().foreignWork > 0);
+      await waitUntil(() => gateAt('b').snapshot().foreignWork > 0);
       expect(gateAt('b').snapshot().foreignWork).toEqual(120);
       expect(gateAt('b').snapshot().state).toEqual('open');
-      const refused = await readAll(at('a').host.execute(requestOf('y'), never()));
+      const refused = await readAll(at('a').host.execute(requestOf('y'), neverAborted()));
       expect(refused).toEqual(['refused gate_not_here']);
       upstreamAt('a').runs[0]!.answer(begun(), whole(0));
       expect(await reading).toEqual(['started', 'completed']);
-      await until(() => gateAt('b').snapshot().foreignWork === 0);
-      await until(() => upstreamAt('a').closed);
+      await waitUntil(() => gateAt('b').snapshot().foreignWork === 0);
+      await waitUntil(() => upstreamAt('a').closed);
     });
   }
 
   it('drains without cutting what runs, and starts nothing more', async () => {
-    hold('a', 'a');
-    const reading = readAll(at('a').port.execute(requestOf('x'), never()));
+    setHolder('a', 'a');
+    const reading = readAll(at('a').port.execute(requestOf('x'), neverAborted()));
     let drained = false;
-    (at('a').fleet as SetFleetView).holder = 'b';
-    hold('b', 'b');
+    (at('a').fleet as SettableFleetView).holder = 'b';
+    setHolder('b', 'b');
     const draining = at('a')
       .host.drain()
       .then(() => {
         drained = true;
       });
-    const refused = await readAll(at('a').host.execute(requestOf('y'), never()));
+    const refused = await readAll(at('a').host.execute(requestOf('y'), neverAborted()));
     expect(refused).toEqual(['refused draining']);
     for (let turn = 0; turn < 50; turn += 1) await nextTurn();
     expect(drained).toEqual(false);
@@ -271,21 +271,21 @@
   it('moves the cached chats of a runner that leaves by plan, once, and tells their homes', async () => {
     const { fleet, host, homes, upstreams } = at('a');
     fleet.runnersKnown = [runnerOf(RUNNER), runnerOf('runner-2')];
-    hold('a', 'a');
+    setHolder('a', 'a');
     gateAt('a').watch.chatUsed('long', 5_000);
     gateAt('a').watch.chatUsed('short', 10);
     fleet.runnersKnown = [{ ...runnerOf(RUNNER), state: 'leaving' }, runnerOf('runner-2')];
     host.review();
     host.review();
     const places = () => homes.told.map(({ chat, runnerId }) => `${chat} ${runnerId}`);
-    await until(() => places().includes('long runner-2'));
+    await waitUntil(() => places().includes('long runner-2'));
     expect(upstreams.get('runner-2')!.imported).toEqual([{ chat: 'long', bytes: 5_000 }]);
     expect(places()).toEqual([`long ${RUNNER}`, `short ${RUNNER}`, 'long runner-2']);
   });
 
-  it('keeps the other gates open when one runner has a wrong address', () => {
+  it('opens the other gates when one runner has an invalid address', () => {
     at('a').fleet.runnersKnown = [runnerOf('runner-0', ''), runnerOf(RUNNER)];
-    hold('a', 'a');
+    setHolder('a', 'a');
     expect([...at('a').host.hosted().keys()]).toEqual([RUNNER]);
     expect(
       at('a')
--- a/src/gates/GateHost.ts
+++ b/src/gates/GateHost.ts
@@ -1,6 +1,6 @@
 /**
- * All gates that this daemon holds: opens and closes them as the lists change, hands them over, and runs
- * attempts at them.
+ * Manages the gates that this daemon holds: opens and closes them as the assignment of runners to daemons
+ * changes, hands them over to other daemons, and passes attempts to them.
  */
 import type { FleetRunner, FleetView } from '../fleet/FleetView.js';
 import type { Service } from '../generated/baobabdock/v1/configuration_pb.js';
@@ -37,15 +37,15 @@
   settings?: GatesSettings;
 }
 
-/** A gate that this daemon holds, or held until what runs there has finished. */
+/** A gate that this daemon holds, or one that it has closed and whose attempts are still finishing. */
 export interface HostedGate {
   readonly task: GateTask;
   readonly address: string;
-  /** Whether it is held; otherwise it only finishes. */
+  /** Whether this daemon holds the gate; if not, the gate only lets its running attempts finish. */
   held: boolean;
 }
 
-/** The gates of one daemon. */
+/** Opens, closes and hands over the gates of one daemon, and finds the gate for each attempt. */
 export class GateHost {
   private readonly fleet: FleetView;
 
@@ -59,15 +59,15 @@
 
   private readonly gates = new Map<string, HostedGate>();
 
-  /** Gates that finish what runs at them. */
-  private readonly closings = new Set<Promise<void>>();
+  /** One promise for each closed gate whose attempts are still finishing; `drain` waits for them. */
+  private readonly pendingCloses = new Set<Promise<void>>();
 
   private readonly timers: NodeJS.Timeout[] = [];
 
   private draining = false;
 
   /**
-   * @param options - what the daemon believes of the fleet, whom to tell, and settings.
+   * @param options - the daemon's view of the fleet, the connections to other daemons, and settings.
    */
   constructor(options: GateHostOptions) {
     const { clock = new SystemClock(), log = new SilentLog() } = options;
@@ -84,22 +84,23 @@
     });
   }
 
-  /** Opens the gates of this daemon, and reviews them from time to time. */
+  /** Opens the gates of this daemon and starts the periodic reconciliation. */
   start(): void {
     this.review();
     const { reviewMilliseconds, poolMeanMilliseconds } = this.settings;
     this.timers.push(
       setInterval(() => this.review(), reviewMilliseconds),
-      setInterval(() => this.teachAll(), poolMeanMilliseconds),
+      setInterval(() => this.updateGates(), poolMeanMilliseconds),
     );
   }
 
   /**
-   * Compares the gates with the lists; to be called whenever membership, runners or the configuration
-   * have changed. The periodic review is for what nobody told.
+   * Opens and closes gates so that they match the runners assigned to this daemon. To be called whenever
+   * membership, runners or the configuration have changed; the periodic call covers changes that were not
+   * announced.
    */
   review(): void {
-    const wanted = this.draining ? new Map<string, FleetRunner>() : this.ownRunners();
+    const wanted = this.draining ? new Map<string, FleetRunner>() : this.runnersOfOwnGates();
     for (const [runnerId, gate] of this.gates) {
       const runner = wanted.get(runnerId);
       const moved = runner !== undefined && runner.record.address !== gate.address;
@@ -108,13 +109,13 @@
     for (const [runnerId, runner] of wanted) {
       if (!this.gates.get(runnerId)?.held) this.openGate(runner);
     }
-    this.teachAll();
+    this.updateGates();
   }
 
   /**
    * Runs an attempt at a gate held here; see `GatePort`.
    *
-   * @param request - what to run and where.
+   * @param request - the attempt and its runner.
    * @param signal - aborting it cancels the attempt.
    * @returns Its events.
    */
@@ -126,16 +127,17 @@
   }
 
   /**
-   * Continues a stream; see `GatePort`. A gate that is closing still continues what it started.
+   * Continues the stream of an attempt; see `GatePort`. A closed gate still continues attempts that it
+   * started.
    *
-   * @param request - the attempt, and the last chunk that the reader has.
+   * @param request - the attempt, and the last chunk that the reader has received.
    * @param signal - aborting it stops reading.
-   * @returns Its events.
+   * @returns The remaining events of the attempt.
    */
   resume(request: ResumeRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent> {
     const gate = this.gates.get(request.runnerId);
-    // This daemon may hold the gate in a moment, when its list has caught up: the reader asks again. With
-    // "cannot be continued" a stream would be over that its runner goes on with.
+    // This daemon may be about to open the gate, once its runner list is up to date, so the reader should
+    // retry. Answering `cannot_resume` would end a stream that the runner is still generating.
     if (!gate) return endedAtOnce(refusedEvent({ reason: 'gate_not_here' }));
     return gate.task.resume(request, signal);
   }
@@ -144,17 +146,18 @@
    * Cancels an attempt at a gate that is here.
    *
    * @param request - the attempt.
-   * @returns Whether the gate or the runner knew it.
+   * @returns Whether the gate or the runner knew the attempt.
    */
   async cancel(request: CancelRequest): Promise<boolean> {
     return (await this.gates.get(request.runnerId)?.task.cancel(request)) ?? false;
   }
 
   /**
-   * Takes what an earlier holder of a gate knows to be on the runner.
+   * Receives a handover: the attempts that the previous holder of a gate still has on the runner. It is
+   * stored if this daemon has not opened the gate yet.
    *
-   * @param request - from the earlier holder.
-   * @returns Whether it is of use here.
+   * @param request - the handover from the previous holder.
+   * @returns Whether it was accepted; false while this daemon drains.
    */
   receiveHandOver(request: HandOverGateRequest): boolean {
     if (this.draining) return false;
@@ -164,35 +167,35 @@
     return true;
   }
 
-  /** @returns The load of each pool over the gates held here, for the gossip. */
+  /** @returns The load of each pool, summed over the gates held here, for gossip to the other daemons. */
   poolDigests(): PoolDigest[] {
     const held = [...this.gates.values()].filter((gate) => gate.held);
     return poolDigests(held.map(({ task }) => task));
   }
 
-  /** @returns Gates that are here, held or finishing. */
+  /** @returns Gates by runner: those held here, and closed ones whose attempts are still finishing. */
   hosted(): ReadonlyMap<string, HostedGate> {
     return this.gates;
   }
 
-  /** @returns Attempts in progress at all gates here. */
+  /** @returns The number of attempts in progress at all gates of this daemon. */
   inProgress(): number {
     return [...this.gates.values()].reduce((sum, { task }) => sum + task.inProgress, 0);
   }
 
   /**
-   * Hands over all gates and waits until nothing runs at them any more. The fleet must already know that
-   * this daemon leaves, or the next holder could not be told.
+   * Hands over all gates and waits until their last attempts have ended. The fleet must already know that
+   * this daemon is leaving; otherwise no next holder is assigned to receive the handovers.
    *
-   * @returns Resolved when the last attempt here has ended and the next holders were told.
+   * @returns Resolves when the last attempt has ended and the final handovers were sent.
    */
   async drain(): Promise<void> {
     this.draining = true;
     this.review();
-    await Promise.all(this.closings);
+    await Promise.all(this.pendingCloses);
   }
 
-  /** Ends all gates; what still runs is cancelled. */
+  /** Stops all gates and cancels the attempts that still run. */
   stop(): void {
     for (const timer of this.timers) clearInterval(timer);
     this.factory.cacheMoves.stop();
@@ -200,7 +203,7 @@
     this.gates.clear();
   }
 
-  private ownRunners(): Map<string, FleetRunner> {
+  private runnersOfOwnGates(): Map<string, FleetRunner> {
     const self = this.fleet.self().daemonId;
     const runners = this.fleet
       .configuration()
@@ -209,16 +212,16 @@
     return new Map(runners.map((runner) => [runner.id, runner]));
   }
 
-  /** Costs little: only the gates held here, none of the lists. */
-  private teachAll(): void {
+  /** Updates the runner state and pool mean of each gate held here; cheap, as it reads no whole list. */
+  private updateGates(): void {
     for (const [runnerId, gate] of this.gates) {
       const runner = gate.held ? this.fleet.runner(runnerId) : undefined;
-      if (runner) this.teach(runner);
+      if (runner) this.updateGate(runner);
     }
     this.handOver.repeat();
   }
 
-  private teach(runner: FleetRunner): void {
+  private updateGate(runner: FleetRunner): void {
     const { id, state, record } = runner;
     const gate = this.gates.get(id);
     if (!gate?.held) return;
@@ -232,7 +235,7 @@
     const service = this.fleet.service(runner.record.service);
     if (!service) return;
     const before = this.gates.get(runner.id);
-    // Back before its last attempt had ended: the same gate goes on, and counts that attempt.
+    // The gate came back before its last attempt had ended: reuse it, so that this attempt stays counted.
     const reused = before?.address === runner.record.address ? before : undefined;
     const gate = reused ?? this.newGate(runner, service);
     if (!gate) return;
@@ -256,7 +259,7 @@
     try {
       return { task: this.factory.createGate(runner, service), address, held: false };
     } catch (error) {
-      // One wrong address in the list must not keep the other gates of this daemon closed.
+      // One invalid address in the list must not prevent the other gates of this daemon from opening.
       const message = error instanceof Error ? error.message : String(error);
       this.log.write(gatesLogEvents.cannotOpen, { runner: runner.id, address, message });
       return undefined;
@@ -271,15 +274,15 @@
     this.handOver.tell(task);
     this.log.write(gatesLogEvents.closed, { runner: runnerId, inProgress: task.inProgress });
     const closing = this.removeWhenEmpty(runnerId, gate);
-    this.closings.add(closing);
-    void closing.finally(() => this.closings.delete(closing));
+    this.pendingCloses.add(closing);
+    void closing.finally(() => this.pendingCloses.delete(closing));
   }
 
   private async removeWhenEmpty(runnerId: string, gate: HostedGate): Promise<void> {
     await gate.task.whenEmpty();
     if (gate.held) return;
     await this.handOver.finish(gate.task);
-    // It may have been taken back meanwhile, and may have work again.
+    // Meanwhile this daemon may have opened the gate again, or the gate may have new attempts.
     if (gate.held || gate.task.inProgress > 0) return;
     if (this.gates.get(runnerId) === gate) this.gates.delete(runnerId);
     gate.task.stop();
--- a/src/gates/GateHostDigests.ts
+++ b/src/gates/GateHostDigests.ts
@@ -1,5 +1,6 @@
 /**
- * What the gates of a daemon tell others: sums for the gossip, changes for the homes of chats.
+ * Converts the state of a daemon's gates to and from messages between daemons: pool loads for gossip, cache
+ * changes for the homes of chats, and handovers.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -14,8 +15,11 @@
 import type { HeldWork } from './gateTypes.js';
 
 /**
- * @param gate - one gate.
- * @returns Tokens of work on its runner; of those waiting for it, what counts towards the pool's mean.
+ * Computes the load of a gate's runner as it counts towards the pool's mean.
+ *
+ * @param gate - the gate.
+ * @returns Tokens of work on the runner, including work that other holders started, and the share of the
+ *   queued work that counts towards the mean.
  */
 export function loadOf(gate: Pick<GateTask, 'snapshot'>): number {
   const { load, foreignWork } = gate.snapshot();
@@ -23,8 +27,8 @@
 }
 
 /**
- * Sums up pools. Runners that take no work are left out of the mean: they would pull it down, and the
- * bound for all others with it.
+ * Sums the load of each pool. Runners that take no work are left out: they would lower the pool's mean, and
+ * with it the load bound of all other runners.
  *
  * @param gates - the gates that one daemon holds.
  * @returns One digest for each pool.
@@ -49,16 +53,20 @@
 }
 
 /**
- * @param change - what a gate learned.
- * @returns The same for the chat's home.
+ * Converts a cache change to the message for the chat's home.
+ *
+ * @param change - the cache change that a gate detected.
+ * @returns The message.
  */
 export function toHomeChange({ chat, service, runnerId, cachedTokens }: WatchedChange): HomeChange {
   return create(HomeChangeSchema, { chat, service, runnerId, cachedTokens });
 }
 
 /**
- * @param request - a handover as the schema carries it.
- * @returns What is on the runner, as plain data that a session can be recorded with.
+ * Converts the attempts of a handover to plain data, so that they can be recorded with a session.
+ *
+ * @param request - the handover message.
+ * @returns The attempts on the runner.
  */
 export function heldWorkOf({ attempts }: HandOverGateRequest): HeldWork[] {
   return attempts.map(({ attemptId, clientAccount, work }) => ({ attemptId, clientAccount, work }));
--- a/src/gates/GateHostFactory.ts
+++ b/src/gates/GateHostFactory.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the gates of a daemon, each with the adapter of its runner.
+ * Creates the gates of a daemon, each with the upstream adapter of its runner.
  */
 import type { DecisionStep } from '../decisions/DecisionTask.js';
 import type { FleetRunner, FleetView } from '../fleet/FleetView.js';
@@ -26,17 +26,17 @@
   log: Log;
   settings: GatesSettings;
   upstreamsSettings?: UpstreamsSettings;
-  /** Makes a runner's adapter; tests pass a fake. */
+  /** Creates a runner's upstream adapter; tests pass a fake. */
   createUpstream?: (runner: FleetRunner, service: Service) => Upstream;
-  /** Where to count decisions and faults. */
+  /** Registry for the counters of decisions and faults. */
   metrics?: MetricRegistry;
-  /** For recording sessions; called for each step of each gate. */
+  /** Called for each decision step of each gate, to record sessions. */
   record?: (runnerId: string, step: DecisionStep<GateMessage, GateAction>) => void;
 }
 
-/** Gates of one daemon, with what they share. */
+/** Creates the gates of one daemon, and holds the metrics and cache moves that they share. */
 export class GateHostFactory {
-  /** Moves the KV caches of leaving runners and hot chats. */
+  /** Moves KV caches away from leaving runners, and those of chats that a runner above its bound refused. */
   readonly cacheMoves: CacheMoveTask;
 
   private readonly options: GateHostFactoryOptions;
@@ -44,7 +44,7 @@
   private readonly metrics: GateTaskMetrics | undefined;
 
   /**
-   * @param options - what all gates of a daemon share.
+   * @param options - the dependencies and settings that all gates of the daemon share.
    */
   constructor(options: GateHostFactoryOptions) {
     this.options = options;
@@ -64,10 +64,12 @@
   }
 
   /**
-   * @param runner - whose gate it is.
+   * Creates the gate of a runner; it is not open yet.
+   *
+   * @param runner - the runner.
    * @param service - the runner's service.
-   * @returns A gate that is not open yet.
-   * @throws VError when the runner's address is not an IP number with a port.
+   * @returns The gate.
+   * @throws VError when the runner's address is not an IP address with a port.
    */
   createGate(runner: FleetRunner, service: Service): GateTask {
     const { homes, record, clock, log, settings } = this.options;
--- a/src/gates/GateHostHandOver.ts
+++ b/src/gates/GateHostHandOver.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the next holder of a gate what the last one still has on the runner, and keeps what arrives before
- * this daemon's own lists say that it is the next holder.
+ * Sends the attempts that are still on a runner to the next holder of its gate, and stores handovers that
+ * arrive before this daemon's own runner list names it as the holder.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -22,49 +22,56 @@
   timeoutMilliseconds: number;
 }
 
-interface KeptHandOver {
+interface ReceivedHandOver {
   readonly request: HandOverGateRequest;
   /** Monotonic milliseconds. */
   readonly at: number;
 }
 
-/** Lists differ for seconds; what is older says nothing of the runner any more. */
-const KEPT_MILLISECONDS = 10_000;
+/** The runner lists of two daemons differ for seconds; an older handover no longer describes the runner. */
+const RECEIVED_LIFETIME_MILLISECONDS = 10_000;
 
-/** Handovers that are kept; a daemon holds a handful of gates. */
-const MAXIMUM_KEPT = 1_000;
+/** Upper limit of stored handovers; a daemon normally holds only a handful of gates. */
+const MAXIMUM_RECEIVED = 1_000;
 
-/** Handovers to and from this daemon. */
+/** Sends and receives the handovers of one daemon. */
 export class GateHostHandOver {
   private readonly options: GateHostHandOverOptions;
 
-  /** Gates whose next holder is told again and again what is still on the runner. */
+  /** Closed gates whose remaining attempts are sent repeatedly to their next holders. */
   private readonly closing = new Set<GateTask>();
 
-  private readonly kept = new Map<string, KeptHandOver>();
+  private readonly received = new Map<string, ReceivedHandOver>();
 
   /**
-   * @param options - the fleet, and how to reach it.
+   * @param options - the view of the fleet, the connections to other daemons, and the send timeout.
    */
   constructor(options: GateHostHandOverOptions) {
     this.options = options;
   }
 
   /**
-   * @param gate - was closed just now; its next holder is told, and again while attempts finish here.
+   * Sends the handover of a gate to its next holder, to be sent again while attempts finish here.
+   *
+   * @param gate - the gate, which was just closed.
    */
   tell(gate: GateTask): void {
     this.closing.add(gate);
     void this.send(gate);
   }
 
-  /** Tells the next holders what is left, so that they need not wait for the runners' lagging reports. */
+  /**
+   * Sends the remaining attempts of all closed gates again, so that the next holders need not wait for the
+   * delayed load reports of the runners.
+   */
   repeat(): void {
     for (const gate of this.closing) void this.send(gate);
   }
 
   /**
-   * @param gate - has nothing on its runner any more.
+   * Sends the last handover of a gate and stops sending.
+   *
+   * @param gate - the gate, whose last attempt has ended.
    */
   async finish(gate: GateTask): Promise<void> {
     if (!this.closing.delete(gate)) return;
@@ -72,31 +79,39 @@
   }
 
   /**
-   * @param runnerId - its gate is held here again, nobody else has to be told.
+   * Stops sending the handover of a gate that this daemon holds again.
+   *
+   * @param runnerId - the runner of the gate.
    */
   forget(runnerId: string): void {
     for (const gate of this.closing) if (gate.runnerId === runnerId) this.closing.delete(gate);
   }
 
   /**
-   * @param request - for a gate that is not open here yet.
+   * Stores a handover until the gate is opened here. At the limit, the oldest stored one is dropped.
+   *
+   * @param request - the handover of a gate that is not open here yet.
    */
   keep(request: HandOverGateRequest): void {
-    if (this.kept.size >= MAXIMUM_KEPT) {
-      const [oldest] = this.kept.keys();
-      if (oldest !== undefined) this.kept.delete(oldest);
+    if (this.received.size >= MAXIMUM_RECEIVED) {
+      const [oldest] = this.received.keys();
+      if (oldest !== undefined) this.received.delete(oldest);
     }
-    this.kept.set(request.runnerId, { request, at: this.now() });
+    this.received.set(request.runnerId, { request, at: this.now() });
   }
 
   /**
-   * @param runnerId - its gate is opened now.
-   * @returns What an earlier holder said lately.
+   * Removes and returns the stored handover of a gate.
+   *
+   * @param runnerId - the runner whose gate is being opened.
+   * @returns The handover, unless there is none or it is too old.
    */
   take(runnerId: string): HandOverGateRequest | undefined {
-    const kept = this.kept.get(runnerId);
-    this.kept.delete(runnerId);
-    return kept && this.now() - kept.at <= KEPT_MILLISECONDS ? kept.request : undefined;
+    const kept = this.received.get(runnerId);
+    this.received.delete(runnerId);
+    return kept && this.now() - kept.at <= RECEIVED_LIFETIME_MILLISECONDS
+      ? kept.request
+      : undefined;
   }
 
   private async send(gate: GateTask): Promise<void> {
@@ -104,7 +119,7 @@
     const { runnerId } = gate;
     const self = fleet.self().daemonId;
     const next = fleet.gateOf(runnerId);
-    // The last daemon that leaves has nobody to tell.
+    // When the last daemon leaves, there is no next holder.
     if (!next || next.daemonId === self) return;
     const attempts = gate.heldWork();
     const request = create(HandOverGateRequestSchema, {
--- a/src/gates/GateHostHandlers.ts
+++ b/src/gates/GateHostHandlers.ts
@@ -1,5 +1,5 @@
 /**
- * The part of the peer service that belongs to gates.
+ * Implements the methods of the peer service by which other daemons reach the gates of this one.
  */
 import type { HandlerContext, ServiceImpl } from '@connectrpc/connect';
 
@@ -10,18 +10,18 @@
 } from '../generated/baobabdock/v1/peers_pb.js';
 import type { GateHost } from './GateHost.js';
 
-/** Methods of the peer service that gates serve. */
+/** The methods of the peer service that are implemented here. */
 export type GateHandlers = Pick<
   ServiceImpl<typeof PeerService>,
   'execute' | 'resume' | 'cancel' | 'handOverGate'
 >;
 
 /**
- * A lost connection is not a cancellation: the daemon that read may have died, and its caller may come back
- * through another one. So the reader leaves, and the gate keeps the attempt for a while; who wants an
- * attempt to end says so by `Cancel`.
+ * Passes on events until the connection is lost. A lost connection is not a cancellation: the reading daemon
+ * may have crashed, and its caller may reconnect through another one. So only the reading ends, and the gate
+ * keeps the attempt for a while; to end an attempt, its owner calls `Cancel`.
  */
-async function* untilLost(
+async function* readUntilDisconnect(
   events: AsyncIterable<ExecuteEvent>,
   { signal }: HandlerContext,
 ): AsyncGenerator<ExecuteEvent, void, undefined> {
@@ -44,15 +44,18 @@
 }
 
 /**
+ * Creates the handlers for the gates of a daemon.
+ *
  * @param host - the gates of this daemon.
  * @returns Handlers for the peer server to mount.
  */
 export function gateHandlers(host: GateHost): GateHandlers {
-  const never = (): AbortSignal => new AbortController().signal;
+  const neverAborted = (): AbortSignal => new AbortController().signal;
   return {
     execute: (request: ExecuteRequest, context) =>
-      untilLost(host.execute(request, never()), context),
-    resume: (request, context) => untilLost(host.resume(request, never()), context),
+      readUntilDisconnect(host.execute(request, neverAborted()), context),
+    resume: (request, context) =>
+      readUntilDisconnect(host.resume(request, neverAborted()), context),
     cancel: async (request) => ({ known: await host.cancel(request) }),
     handOverGate: async (request) => ({ accepted: host.receiveHandOver(request) }),
   };
--- a/src/gates/GateHostWarmth.spec.ts
+++ b/src/gates/GateHostWarmth.spec.ts
@@ -17,26 +17,42 @@
   readonly isUsable?: boolean;
   readonly service?: string;
   readonly tokens?: number;
-  /** Whether there is room, for each place found. */
+  /** The expected `hasRoom` of each place; empty if none is expected. */
   readonly found: boolean[];
 }
 
 const CASES: readonly Case[] = [
-  { name: 'one at the mean has room', found: [true] },
+  { name: 'a runner at the mean load has room', found: [true] },
   {
-    name: 'one up to half the way to its bound has room',
+    name: 'a runner up to half the distance to its bound has room',
     snapshot: { load: 1_120 },
     found: [true],
   },
-  { name: 'one beyond has none', snapshot: { load: 1_130 }, found: [false] },
-  { name: 'work of others counts', snapshot: { foreignWork: 130 }, found: [false] },
-  { name: 'a few requests always fit', snapshot: { running: 3, load: 9_000 }, found: [true] },
-  { name: 'none where requests wait', snapshot: { running: 3, queued: 1 }, found: [false] },
-  { name: 'none while it opens', snapshot: { state: 'opening' }, found: [false] },
-  { name: 'a gate that moved is left out', held: false, found: [] },
-  { name: 'a leaving runner is left out', isUsable: false, found: [] },
-  { name: 'another service is left out', service: 'other', found: [] },
-  { name: 'a cold runner is left out', tokens: 0, found: [] },
+  {
+    name: 'a runner above half the distance has no room',
+    snapshot: { load: 1_130 },
+    found: [false],
+  },
+  { name: 'work started by other holders counts', snapshot: { foreignWork: 130 }, found: [false] },
+  {
+    name: 'a runner with few running requests has room at any load',
+    snapshot: { running: 3, load: 9_000 },
+    found: [true],
+  },
+  {
+    name: 'a runner with queued requests has no room',
+    snapshot: { running: 3, queued: 1 },
+    found: [false],
+  },
+  {
+    name: 'a runner whose gate is opening has no room',
+    snapshot: { state: 'opening' },
+    found: [false],
+  },
+  { name: 'a gate that is no longer held is left out', held: false, found: [] },
+  { name: 'an unusable runner is left out', isUsable: false, found: [] },
+  { name: 'a runner of another service is left out', service: 'other', found: [] },
+  { name: 'a runner without the chat in its cache is left out', tokens: 0, found: [] },
 ];
 
 describe(GateHostWarmth.name, () => {
--- a/src/gates/GateHostWarmth.ts
+++ b/src/gates/GateHostWarmth.ts
@@ -1,5 +1,6 @@
 /**
- * Where a chat is warm behind the gates of this daemon, and whether it would start there at once.
+ * Finds the runners behind the gates of this daemon that have a chat in their prefix cache, and tells whether
+ * a request would start there at once.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type { LocalWarmPlace } from '../homes/LocalWarmth.js';
@@ -13,23 +14,27 @@
   fleet: Pick<FleetView, 'poolLoad' | 'routingPolicy'>;
 }
 
-/** A continuous batch of so few requests makes no queue, whatever the mean of an idle pool is. */
-const FEW_REQUESTS = 4;
+/**
+ * Fewer running requests than this always leave room: they fit into the continuous batch without a queue,
+ * however low the mean load of an idle pool is.
+ */
+const SMALL_BATCH_REQUESTS = 4;
 
 /**
- * Part of the way from the mean to the bound up to which a runner counts as having room. Above it the gate
- * may refuse the request, and the other runners where the chat is warm are worth a question to its home.
+ * Share of the distance from the pool's mean load to its bound, up to which a runner counts as having room.
+ * Above it the gate may refuse the request, so it is worth asking the chat's home for other runners that
+ * have the chat cached.
  */
-const SHARE_OF_THE_BOUND = 0.5;
+const BOUND_SHARE_WITH_ROOM = 0.5;
 
-/** Reads the gates; keeps nothing. */
+/** Looks up cached chats in the gates of this daemon; has no state of its own. */
 export class GateHostWarmth extends LocalWarmth {
   private readonly host: Pick<GateHost, 'hosted'>;
 
   private readonly fleet: Pick<FleetView, 'poolLoad' | 'routingPolicy'>;
 
   /**
-   * @param options - the gates, and the loads and policies that they are held against.
+   * @param options - the gates, and the pool loads and routing policies that their loads are compared with.
    */
   constructor({ host, fleet }: GateHostWarmthOptions) {
     super();
@@ -51,9 +56,9 @@
   private hasRoom({ task }: HostedGate): boolean {
     const { state, running, queued } = task.snapshot();
     if (state !== 'open' || queued > 0) return false;
-    if (running < FEW_REQUESTS) return true;
+    if (running < SMALL_BATCH_REQUESTS) return true;
     const { bound } = this.fleet.routingPolicy(task.service);
     const { mean } = this.fleet.poolLoad(task.service);
-    return loadOf(task) <= mean * (1 + (bound - 1) * SHARE_OF_THE_BOUND);
+    return loadOf(task) <= mean * (1 + (bound - 1) * BOUND_SHARE_WITH_ROOM);
   }
 }
--- a/src/gates/GateTask.spec.ts
+++ b/src/gates/GateTask.spec.ts
@@ -16,13 +16,13 @@
 import { GateTask } from './GateTask.js';
 import { begun, chunkOf, cut, TestUpstream, whole } from './GateTaskTestUpstream.js';
 
-/** A lost event shows as a wait without end; this ends it. */
-const GUARD_MILLISECONDS = 30_000;
+/** Ends a test that would wait for ever because an event was lost. */
+const TEST_TIMEOUT_MILLISECONDS = 30_000;
 
 /** Long enough never to pass during a test. */
 const LONG_MILLISECONDS = 3_600_000;
 
-class NotedLog extends Log {
+class RecordingLog extends Log {
   readonly lines: string[] = [];
 
   override write({ name }: LogEvent, { attempt = '', reason = '' }: LogFields = {}): void {
@@ -33,13 +33,13 @@
 interface Gate {
   readonly task: GateTask;
   readonly upstream: TestUpstream;
-  readonly log: NotedLog;
+  readonly log: RecordingLog;
   readonly told: string[];
 }
 
 function gateOf(settings: Partial<GatesSettings> = {}): Gate {
   const upstream = new TestUpstream();
-  const log = new NotedLog();
+  const log = new RecordingLog();
   const told: string[] = [];
   const task = new GateTask({
     runnerId: 'runner-1',
@@ -99,13 +99,13 @@
   return all;
 }
 
-async function until(condition: () => boolean): Promise<void> {
+async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await nextTurn();
 }
 
-const never = (): AbortSignal => new AbortController().signal;
+const neverAborted = (): AbortSignal => new AbortController().signal;
 
-describe(GateTask.name, { timeout: GUARD_MILLISECONDS }, () => {
+describe(GateTask.name, { timeout: TEST_TIMEOUT_MILLISECONDS }, () => {
   const gates: Gate[] = [];
   const open = (settings: Partial<GatesSettings> = {}): Gate => {
     const gate = gateOf(settings);
@@ -125,10 +125,10 @@
     for (const { task } of gates.splice(0)) task.stop();
   });
 
-  it('runs an attempt, logs the decision and tells what is cached', async () => {
+  it('runs an attempt, logs the decision and reports the cached tokens of the chat', async () => {
     const { task, upstream, log, told } = open();
     upstream.onRun = (call) => call.answer(begun(), chunkOf(1), chunkOf(2), whole(2));
-    const events = await readAll(task.execute(requestOf('a'), never()));
+    const events = await readAll(task.execute(requestOf('a'), neverAborted()));
     expect(events).toEqual(['started', '1', '2', 'completed']);
     expect(log.lines).toEqual(['gates.started a']);
     expect(told).toEqual(['chat of a 100']);
@@ -138,19 +138,19 @@
   it('answers "not run" when the runner had not started it, and counts it no longer', async () => {
     const { task, upstream } = open();
     upstream.onRun = (call) => call.answer({ kind: 'not_run', reason: 'refused', message: '' });
-    const events = await readAll(task.execute(requestOf('a'), never()));
+    const events = await readAll(task.execute(requestOf('a'), neverAborted()));
     expect(events).toEqual(['refused runner_refused']);
     expect(task.heldWork()).toEqual([]);
     expect(task.inProgress).toEqual(0);
   });
 
   it('takes a cut stream up again where it broke', async () => {
-    // Symptom: a reader gets a token twice, or misses one. Sequence: chunk 2, a cut, the runner repeats
-    //   chunk 2 and goes on. Cause: the stream is continued without comparing sequences.
+    // Guards against a reader that gets a token twice or misses one: the stream is cut after chunk 2, and the
+    // runner repeats chunk 2 when it is resumed. This happens if sequence numbers are not compared.
     const { task, upstream, log } = open();
     upstream.onRun = (call) => call.answer(begun(), chunkOf(1), chunkOf(2), cut(true));
-    const reading = readAll(task.execute(requestOf('a'), never()));
-    await until(() => upstream.resumes.length === 1);
+    const reading = readAll(task.execute(requestOf('a'), neverAborted()));
+    await waitUntil(() => upstream.resumes.length === 1);
     expect(upstream.resumes[0]!.afterSequence).toEqual(2);
     upstream.resumes[0]!.answer(begun(), chunkOf(2), chunkOf(3), whole(3));
     expect(await reading).toEqual(['started', '1', '2', '3', 'completed']);
@@ -160,26 +160,28 @@
 
   for (const reason of ['cut', 'timeout', 'crossed', 'malformed', 'unknown_attempt'] as const) {
     it(`never repeats what may not be repeated, nor says "not run" of it: ${reason}`, async () => {
-      // Symptom: a board is reserved twice. Sequence: the reservation is sent, its answer is lost.
-      // Cause: the gate takes the lost answer for "not run" or tries again.
+      // Guards against a reservation that is made twice: it is sent, its answer is lost, and the gate either
+      // reports it as not run, so that the caller repeats it, or repeats it itself.
       const { task, upstream } = open();
       const message = reason;
       upstream.onRun = (call) => call.answer({ kind: 'failed', reason, message, resumable: false });
       const request = requestOf('a', { idempotent: false, streaming: false });
-      expect(await readAll(task.execute(request, never()))).toEqual(['failed outcome_unknown']);
+      expect(await readAll(task.execute(request, neverAborted()))).toEqual([
+        'failed outcome_unknown',
+      ]);
       expect(upstream.runs.length + upstream.resumes.length).toEqual(1);
     });
   }
 
-  it('says that the rest of a stream is gone when its runner has dropped it', async () => {
-    // Symptom: a caller of a stream that nobody has any more is told to come back, again and again.
-    // Sequence: a stream that may not run twice is cut; the runner drops it before it is taken up again.
-    // Cause: "may not run twice" goes before what the runner says, and reads as one more cut.
+  it('reports that a stream cannot be resumed when its runner has dropped it', async () => {
+    // Guards against a caller that is told again and again to resume a stream that no longer exists: the
+    // stream of a request that is not idempotent is cut, and the runner drops it before it is resumed. This
+    // happens if the rule for such requests goes before the runner's answer, which then counts as another cut.
     const { task, upstream } = open();
     upstream.onRun = (call) => call.answer(begun(), chunkOf(1), cut(true));
     const request = requestOf('a', { idempotent: false, streaming: true });
-    const reading = readAll(task.execute(request, never()));
-    await until(() => upstream.resumes.length === 1);
+    const reading = readAll(task.execute(request, neverAborted()));
+    await waitUntil(() => upstream.resumes.length === 1);
     const message = 'status 404';
     const gone = { kind: 'failed', reason: 'unknown_attempt', message, resumable: false } as const;
     upstream.resumes[0]!.answer(gone);
@@ -188,17 +190,17 @@
   });
 
   it('does not run a doubled attempt', async () => {
-    // Symptom: the runner does the work twice. Sequence: the attempt's message arrives twice.
-    // Cause: the second is taken for a new attempt; "not run" for it would be as wrong.
+    // Guards against a runner that does the work twice: the message of the attempt arrives twice, and the
+    // second one counts as a new attempt. Refusing it as not run would be wrong too.
     const { task, upstream } = open();
-    void task.execute(requestOf('a'), never());
-    expect(await readAll(task.execute(requestOf('a'), never()))).toEqual([
+    void task.execute(requestOf('a'), neverAborted());
+    expect(await readAll(task.execute(requestOf('a'), neverAborted()))).toEqual([
       'failed outcome_unknown',
     ]);
     expect(upstream.runs.length).toEqual(1);
   });
 
-  it('cancels at the runner what is aborted, and never starts what was cancelled while it waited', async () => {
+  it('cancels an aborted attempt at the runner, and never starts one that was cancelled while it waited', async () => {
     const { task, upstream } = open({ maximumConcurrentPerRunner: 1 });
     const running = new AbortController();
     const waiting = new AbortController();
@@ -213,58 +215,62 @@
     ]);
   });
 
-  it('refuses an attempt whose cancellation overtook it', async () => {
-    // Symptom: a runner works for nobody. Sequence: a cancellation arrives before its attempt, on another
-    //   connection. Cause: a cancellation of something unknown is forgotten.
+  it('refuses an attempt whose cancellation arrived first', async () => {
+    // Guards against a runner that works on an attempt without a caller: the cancellation arrives on another
+    // connection before its attempt, and is forgotten because the attempt is unknown.
     const { task, upstream } = open();
     await task.cancel({
       attemptId: 'a',
       runnerId: 'runner-1',
       $typeName: 'baobabdock.v1.CancelRequest',
     });
-    expect(await readAll(task.execute(requestOf('a'), never()))).toEqual(['refused cancelled']);
+    expect(await readAll(task.execute(requestOf('a'), neverAborted()))).toEqual([
+      'refused cancelled',
+    ]);
     expect(upstream.runs.length).toEqual(0);
   });
 
-  it('answers at once when the deadline passes at a silent runner', async () => {
+  it('answers at once when the deadline passes at an unresponsive runner', async () => {
     const { task, upstream } = open();
     const request = requestOf('a', { deadlineMilliseconds: 30 });
-    expect(await readAll(task.execute(request, never()))).toEqual(['failed deadline_exceeded']);
+    expect(await readAll(task.execute(request, neverAborted()))).toEqual([
+      'failed deadline_exceeded',
+    ]);
     expect(upstream.runs[0]!.signal.aborted).toEqual(true);
   });
 
   it('keeps a stream whose reader went, for its own account only', async () => {
-    // Symptom: a caller's stream ends with the daemon that read it. Sequence: the daemon dies, the caller
-    //   comes back through another one. Cause: the gate cancels what nobody reads at this moment.
+    // Guards against a stream that ends with the daemon that reads it: the daemon crashes, and the caller
+    // comes back through another one, but the gate has already cancelled the attempt without a reader.
     const { task, upstream } = open();
     upstream.onRun = (call) => call.answer(begun(), chunkOf(1), chunkOf(2));
-    const stream = task.execute(requestOf('a'), never())[Symbol.asyncIterator]();
+    const stream = task.execute(requestOf('a'), neverAborted())[Symbol.asyncIterator]();
     await stream.next();
     await stream.return?.();
-    const stranger = await readAll(task.resume(resumeOf('parcels', 1), never()));
+    const stranger = await readAll(task.resume(resumeOf('parcels', 1), neverAborted()));
     expect(stranger).toEqual(['failed cannot_resume']);
-    const reading = readAll(task.resume(resumeOf('tiles', 1), never()));
+    const reading = readAll(task.resume(resumeOf('tiles', 1), neverAborted()));
     upstream.resumes[0]!.answer(begun(), chunkOf(2), chunkOf(3), whole(3));
     expect(await reading).toEqual(['started', '2', '3', 'completed']);
     expect(upstream.cancelled).toEqual([]);
     expect(task.heldWork()).toEqual([]);
   });
 
-  it('gives up a stream that nobody came back for', async () => {
+  it('cancels a stream that got no new reader in time', async () => {
     const { task, upstream } = open({ orphanMilliseconds: 5 });
-    const stream = task.execute(requestOf('a'), never())[Symbol.asyncIterator]();
+    const stream = task.execute(requestOf('a'), neverAborted())[Symbol.asyncIterator]();
     await stream.return?.();
-    await until(() => task.inProgress === 0);
+    await waitUntil(() => task.inProgress === 0);
     expect(upstream.runs[0]!.signal.aborted).toEqual(true);
   });
 
-  it('reads no more from the runner than a slow reader takes', async () => {
-    // Symptom: a daemon's memory grows with the slowness of its callers. Sequence: a runner generates fast, a
-    //   reader stops reading. Cause: the gate reads ahead without a limit.
+  it('stops reading from the runner when the buffer of a slow reader is full', async () => {
+    // Guards against unlimited memory use of a daemon with slow callers: a runner generates fast, a reader
+    // stops reading, and the gate reads ahead without a limit.
     const { task, upstream } = open({ maximumBufferedBytes: 1_000 });
     upstream.onRun = (call) =>
       call.answerEndlessly((index) => (index === 1 ? begun() : chunkOf(index - 1, 100)));
-    const stream = task.execute(requestOf('a'), never())[Symbol.asyncIterator]();
+    const stream = task.execute(requestOf('a'), neverAborted())[Symbol.asyncIterator]();
     for (let turn = 0; turn < 200; turn += 1) await nextTurn();
     expect(upstream.runs[0]!.pulled).toEqual(12);
     for (let index = 0; index < 5; index += 1) await stream.next();
@@ -274,7 +280,7 @@
     task.stop();
   });
 
-  it('ejects a runner that goes on failing, and takes it back after an answered report', async () => {
+  it('ejects a runner that fails repeatedly, and readmits it after an answered report', async () => {
     const { task, upstream, log } = open({
       failuresUntilEjection: 3,
       ejectionMilliseconds: 1,
@@ -282,29 +288,33 @@
     });
     task.learnRunner('live', 1);
     upstream.answersReports = false;
-    await until(() => log.lines.includes('gates.runner_ejected'));
-    expect(await readAll(task.execute(requestOf('a'), never()))).toEqual(['refused runner_down']);
+    await waitUntil(() => log.lines.includes('gates.runner_ejected'));
+    expect(await readAll(task.execute(requestOf('a'), neverAborted()))).toEqual([
+      'refused runner_down',
+    ]);
     upstream.answersReports = true;
-    await until(() => log.lines.includes('gates.runner_returned'));
+    await waitUntil(() => log.lines.includes('gates.runner_returned'));
     upstream.onRun = (call) => call.answer(begun(), whole(0));
-    const events = await readAll(task.execute(requestOf('b'), never()));
+    const events = await readAll(task.execute(requestOf('b'), neverAborted()));
     expect(events).toEqual(['started', 'completed']);
   });
 
-  it('ejects a runner that answers only with server errors, whose chats stay as cached as before', async () => {
-    // Symptom: a broken runner draws work for hours. Sequence: it answers each request at once and whole,
-    //   with status 500. Cause: a whole answer is taken for a sign of health.
+  it('ejects a runner that answers only with server errors, and leaves its cached chats unchanged', async () => {
+    // Guards against a broken runner that attracts work for hours: it answers each request at once and
+    // completely, but with status 500, and a complete answer counts as a sign of health.
     const { task, upstream, told } = open({ failuresUntilEjection: 3 });
     task.learnRunner('live', 1);
     upstream.onRun = (call) => call.answer(begun(), whole(0));
-    await readAll(task.execute(requestOf('good'), never()));
+    await readAll(task.execute(requestOf('good'), neverAborted()));
     const end = { kind: 'completed', promptTokens: 0, generatedTokens: 0 } as const;
     upstream.onRun = (call) =>
       call.answer({ ...begun(), status: 500 }, { ...end, cachedTokens: 0, lastSequence: 0 });
     for (const id of ['a', 'b', 'c']) {
-      await readAll(task.execute(requestOf(id, { chat: 'chat of good' }), never()));
+      await readAll(task.execute(requestOf(id, { chat: 'chat of good' }), neverAborted()));
     }
-    expect(await readAll(task.execute(requestOf('d'), never()))).toEqual(['refused runner_down']);
+    expect(await readAll(task.execute(requestOf('d'), neverAborted()))).toEqual([
+      'refused runner_down',
+    ]);
     expect(told).toEqual(['chat of good 100']);
   });
 
@@ -312,7 +322,7 @@
     const { task } = open();
     task.learnRunner('leaving', 5);
     task.learnRunner('live', 5);
-    expect(await readAll(task.execute(requestOf('a'), never()))).toEqual([
+    expect(await readAll(task.execute(requestOf('a'), neverAborted()))).toEqual([
       'refused runner_leaving',
     ]);
   });
--- a/src/gates/GateTask.ts
+++ b/src/gates/GateTask.ts
@@ -1,6 +1,7 @@
 /**
- * The gate of one runner: carries requests to {@link GateDecisions}, runs what they start, and is the only
- * one that sends work to the runner, asks for its reports and reads its cache events.
+ * The gate of one runner, which controls the admission of attempts. It passes requests to
+ * {@link GateDecisions} and runs the attempts that these start. Only the gate sends work to the runner,
+ * requests its load reports and reads its cache events.
  */
 import { match } from 'ts-pattern';
 
@@ -33,18 +34,18 @@
 export interface GateTaskOptions {
   runnerId: string;
   service: string;
-  /** Whether the runner reports load and cache; plain services are only probed. */
+  /** Whether the runner reports load and cache events; runners of plain services only get health checks. */
   isEngine: boolean;
   upstream: Upstream;
   clock: Clock;
   log: Log;
   settings: GatesSettings;
-  /** Limits of the service; 0 or missing where it has none of its own. */
+  /** Limits of the service; 0 or missing where the settings apply. */
   maximumConcurrent?: number;
   maximumQueued?: number;
-  /** Called when the runner's cache is known to have changed. */
+  /** Called with each detected change of the runner's prefix cache. */
   cacheChanged?: (changes: readonly WatchedChange[]) => void;
-  /** Called when a chat that is warm at the runner was refused because of the bound. */
+  /** Called when a request was refused above the load bound although its chat is cached at the runner. */
   warmRefused?: (change: CacheChange) => void;
   record?: (step: DecisionStep<GateMessage, GateAction>) => void;
   metrics?: GateTaskMetrics;
@@ -54,16 +55,16 @@
   return PRIORITIES.find((priority) => priority === text) ?? 'standard';
 }
 
-/** One gate of one runner. */
+/** Admits attempts to one runner and runs them there. */
 export class GateTask extends DecisionTask<GateMessage, GateAction> {
   readonly runnerId: string;
 
   readonly service: string;
 
-  /** Health, load reports and cache events of the runner. */
+  /** Monitors the runner's health, load and prefix cache. */
   readonly watch: GateTaskRunnerWatch;
 
-  /** The runner's adapter. */
+  /** The upstream adapter of the runner. */
   readonly upstream: Upstream;
 
   private readonly gate: GateDecisions;
@@ -72,7 +73,7 @@
 
   private readonly attempts: GateTaskAttempts;
 
-  private readonly warmRefused: (change: CacheChange) => void;
+  private readonly onWarmRefused: (change: CacheChange) => void;
 
   /**
    * @param options - the runner, its adapter and the settings.
@@ -91,7 +92,7 @@
     this.runnerId = runnerId;
     this.service = service;
     this.upstream = upstream;
-    this.warmRefused = options.warmRefused ?? (() => {});
+    this.onWarmRefused = options.warmRefused ?? (() => {});
     this.log = new GateTaskLog(options);
     const send = (message: GateMessage): void => this.send(message);
     this.watch = new GateTaskRunnerWatch({ ...options, send });
@@ -104,23 +105,23 @@
   }
 
   /**
-   * Holds the gate from now on.
+   * Opens the gate; this daemon holds it from now on.
    *
-   * @param handedOver - what an earlier holder knows to be on the runner, if it said so.
-   * @param lastCacheEvent - the last cache event that it has seen.
+   * @param handedOver - the previous holder's attempts on the runner, if it sent a handover.
+   * @param lastCacheEvent - the number of the last cache event that the previous holder has read.
    */
   open(handedOver?: readonly HeldWork[], lastCacheEvent = 0): void {
     this.watch.start(lastCacheEvent);
     this.send(handedOver ? { kind: 'open', handedOver } : { kind: 'open' });
   }
 
-  /** Starts nothing more; what runs here finishes here. */
+  /** Closes the gate: it starts no more attempts, and running ones finish here. */
   closeGate(): void {
     this.watch.stop();
     this.send({ kind: 'close' });
   }
 
-  /** Cancels what still runs and releases the runner's connections. */
+  /** Cancels the running attempts and closes the connections to the runner. */
   override stop(): void {
     this.attempts.stop();
     super.stop();
@@ -128,37 +129,41 @@
     this.upstream.close();
   }
 
-  /** @returns What others may know of this gate. */
+  /** @returns The current state and load of this gate. */
   snapshot(): GateSnapshot {
     return this.gate.snapshot(this.clock.monotonicMilliseconds());
   }
 
-  /** @returns Work on the runner, for the next holder. */
+  /** @returns The attempts on the runner, for the handover to the next holder. */
   heldWork(): HeldWork[] {
     return this.gate.heldWork();
   }
 
-  /** @returns Attempts here that have not ended. */
+  /** @returns The number of attempts here that have not ended. */
   get inProgress(): number {
     return this.attempts.size;
   }
 
-  /** @returns Resolved when no attempt is in progress here. */
+  /** @returns Resolves when no attempt is in progress here. */
   whenEmpty(): Promise<void> {
     return this.attempts.whenEmpty();
   }
 
   /**
-   * @param mean - tokens of work on an average runner of the pool.
-   * @param runners - how many there are.
+   * Updates the load of the runner's pool.
+   *
+   * @param mean - mean load of the pool's runners, in tokens of work.
+   * @param runners - the number of runners in the pool.
    */
   learnPool(mean: number, runners: number): void {
     this.send({ kind: 'pool_mean', mean, runners });
   }
 
   /**
-   * @param state - what the lists say of the runner.
-   * @param incarnation - of which start of it.
+   * Updates the state of the runner from this daemon's runner list.
+   *
+   * @param state - the runner's state.
+   * @param incarnation - the incarnation that the state belongs to.
    */
   learnRunner(state: RunnerState, incarnation: number): void {
     this.watch.learnRunner(state, incarnation);
@@ -167,7 +172,7 @@
   /**
    * Runs one attempt; see `GatePort`.
    *
-   * @param request - what to run.
+   * @param request - the attempt to run.
    * @param signal - aborting it cancels the attempt.
    * @returns Its events.
    */
@@ -203,11 +208,11 @@
   }
 
   /**
-   * Continues a stream; see `GatePort`.
+   * Continues the stream of an attempt; see `GatePort`.
    *
-   * @param request - the attempt, and the last chunk that the reader has.
+   * @param request - the attempt, and the last chunk that the reader has received.
    * @param signal - aborting it stops reading.
-   * @returns Its events.
+   * @returns The remaining events of the attempt.
    */
   resume(request: ResumeRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent> {
     const { attemptId, afterSequence, clientAccount } = request;
@@ -228,10 +233,11 @@
   }
 
   /**
-   * Cancels an attempt, also one that this gate does not know: an earlier holder may have started it.
+   * Cancels an attempt. One that is unknown here is cancelled at the runner, because an earlier holder of the
+   * gate may have started it.
    *
    * @param request - the attempt.
-   * @returns Whether the gate or the runner knew it.
+   * @returns Whether the gate or the runner knew the attempt.
    */
   async cancel({ attemptId }: CancelRequest): Promise<boolean> {
     const attempt = this.attempts.get(attemptId);
@@ -263,7 +269,7 @@
 
   private reportWarmRefusal(attemptId: string): void {
     const { chat = '', cachedTokens = 0 } = this.attempts.pendingOf(attemptId)?.request ?? {};
-    if (chat && cachedTokens > 0) this.warmRefused({ chat, cachedTokens });
+    if (chat && cachedTokens > 0) this.onWarmRefused({ chat, cachedTokens });
   }
 
   private logAdmission(action: AdmissionAction): void {
--- a/src/gates/GateTaskAttempt.ts
+++ b/src/gates/GateTaskAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt on its way through a gate: reads the runner at the pace of its reader, takes up a cut stream
- * again, goes on without a reader for a while, and ends exactly once.
+ * Runs one attempt at the runner: reads the answer with backpressure from its reader, resumes a cut stream,
+ * continues without a reader for a while, and ends exactly once.
  */
 import type { ExecuteEvent } from '../generated/baobabdock/v1/peers_pb.js';
 import type { Clock } from '../time/Clock.js';
@@ -23,30 +23,30 @@
 type Phase = 'waiting' | 'running' | 'ended';
 type Source = (signal: AbortSignal) => AsyncIterable<UpstreamEvent>;
 
-/** Statuses from here on: the runner ran the request and broke. */
+/** HTTP statuses from here on mean that the runner ran the request and failed. */
 const FIRST_SERVER_ERROR = 500;
 
-/** Chunks between two messages about progress: each costs a decision. */
+/** Chunks between two progress messages to the gate; each message costs a decision. */
 const CHUNKS_PER_PROGRESS = 8;
 
-/** Wait before a cut stream is taken up again, doubled each time. */
-const FIRST_RESUME_WAIT_MILLISECONDS = 20;
+/** Backoff before a cut stream is resumed; doubled with each further resume. */
+const INITIAL_RESUME_BACKOFF_MILLISECONDS = 20;
 
-/** Two timers of the same deadline do not fire in the same millisecond. */
+/** Tolerance for comparing deadlines: two timers of the same deadline do not fire in the same millisecond. */
 const DEADLINE_SLACK_MILLISECONDS = 5;
 
-/** What the gate is told of an attempt. */
+/** Callbacks by which an attempt reports to its gate. */
 export interface AttemptListener {
   started: (attempt: GateTaskAttempt, cachedTokens: number) => void;
   progress: (attempt: GateTaskAttempt, generatedTokens: number) => void;
-  /** The runner did not start it; the gate answers with {@link GateTaskAttempt.refuse}. */
+  /** The runner did not start the attempt; the gate answers with {@link GateTaskAttempt.refuse}. */
   notRun: (attempt: GateTaskAttempt, reason: 'refused' | 'unreachable', message: string) => void;
   completed: (attempt: GateTaskAttempt, cachedTokens: number) => void;
   failed: (attempt: GateTaskAttempt, failure: AttemptFailure) => void;
   takenUpAgain: (attempt: GateTaskAttempt, failure: AttemptFailure) => void;
   /** The last call for this attempt. */
   ended: (attempt: GateTaskAttempt, end: AttemptEnd) => void;
-  /** The reader went while the attempt was running or waiting. */
+  /** The reader stopped reading while the attempt was running or waiting. */
   left: (attempt: GateTaskAttempt) => void;
 }
 
@@ -60,7 +60,7 @@
   maximumResumes: number;
 }
 
-/** One attempt, from its request to its end. */
+/** Runs one attempt, from its request to its last event. */
 export class GateTaskAttempt {
   readonly details: AttemptDetails;
 
@@ -72,7 +72,7 @@
 
   private stream: GateTaskStream;
 
-  /** Grows with each new reading, so that what an older one still delivers is dropped. */
+  /** Number of the current read loop. It grows with each new loop, so that late events of older ones are dropped. */
   private reading = 0;
 
   private iterator: AsyncIterator<UpstreamEvent> | undefined;
@@ -94,7 +94,7 @@
   private stopReason: 'cancelled' | 'deadline' | undefined;
 
   /**
-   * @param options - the attempt, its runner and whom to tell.
+   * @param options - the attempt, its runner, the listener and the limits.
    */
   constructor(options: GateTaskAttemptOptions) {
     this.options = options;
@@ -102,40 +102,40 @@
     this.stream = this.newStream();
   }
 
-  /** @returns The events for the reader that asked for the attempt. */
+  /** @returns The events for the current reader of the attempt. */
   get events(): AsyncIterable<ExecuteEvent> {
     return this.stream;
   }
 
-  /** @returns Whether the runner may have it. */
+  /** @returns Whether the attempt was sent to the runner and has not ended. */
   get isRunning(): boolean {
     return this.phase === 'running';
   }
 
-  /** @returns Whether the runner answered that it broke. */
+  /** @returns Whether the runner answered with a server error. */
   get isServerError(): boolean {
     return this.status >= FIRST_SERVER_ERROR;
   }
 
-  /** @returns Whether it was cancelled. */
+  /** @returns Whether the attempt was cancelled. */
   get isCancelled(): boolean {
     return this.stopReason === 'cancelled';
   }
 
   /**
-   * Sends it to the runner.
+   * Sends the attempt to the runner.
    *
-   * @param attempt - what to run.
+   * @param attempt - the request for the runner.
    */
   start(attempt: UpstreamAttempt): void {
     this.run((signal) => this.options.upstream.run(attempt, signal));
   }
 
   /**
-   * Continues an attempt that another holder of the gate, or an earlier reader, had started.
+   * Continues an attempt for a new reader; an earlier reader or another holder of the gate had started it.
    *
-   * @param afterSequence - the last chunk that the reader has.
-   * @returns The events for the new reader; an earlier reader gets no more.
+   * @param afterSequence - the sequence number of the last chunk that the new reader has received.
+   * @returns The events for the new reader; the stream of an earlier reader ends.
    */
   continueAfter(afterSequence: number): AsyncIterable<ExecuteEvent> {
     this.stream.push(takenOverEvent(this.details.attemptId));
@@ -144,14 +144,14 @@
     this.lastSequence = afterSequence;
     this.begun = false;
     this.resumes = 0;
-    this.takeUp();
+    this.resumeAtRunner();
     return this.stream;
   }
 
   /**
-   * Ends it: nothing ran.
+   * Ends an attempt that did not run.
    *
-   * @param details - why.
+   * @param details - the reason, and the load and Retry-After to report.
    */
   refuse(details: RefusalDetails): void {
     if (this.phase === 'ended') return;
@@ -159,12 +159,12 @@
     this.end(refusedEvent({ ...details, reason }));
   }
 
-  /** Cancels it at the runner; its last event follows at once. */
+  /** Cancels the attempt at the runner; its last event follows at once. */
   cancel(): void {
     this.stop('cancelled');
   }
 
-  /** Notes that the owner wants it no more, for the reason of a refusal that may follow. */
+  /** Marks the attempt as cancelled, so that a refusal that follows gets the reason `cancelled`. */
   markCancelled(): void {
     this.stopReason ??= 'cancelled';
   }
@@ -181,9 +181,9 @@
     void this.read(source, this.reading);
   }
 
-  private takeUp(): void {
+  private resumeAtRunner(): void {
     const { attemptId } = this.details;
-    // Not awaited: a generator that waits for a silent runner ends only when that speaks.
+    // Not awaited: a generator that waits for an unresponsive runner ends only with the runner's next event.
     void this.iterator?.return?.().catch(() => {});
     this.isResumed = true;
     this.run((signal) => this.options.upstream.resume(attemptId, this.lastSequence, signal));
@@ -195,27 +195,27 @@
       this.iterator = iterator;
       for (;;) {
         const step = await iterator.next();
-        if (this.isOver(reading)) return;
-        if (step.done) throw new Error('the runner ended the answer without saying how');
-        this.take(step.value);
+        if (this.isStaleRead(reading)) return;
+        if (step.done) throw new Error('the runner ended its answer without a final event');
+        this.handleEvent(step.value);
         await this.stream.room();
-        if (this.isOver(reading)) return;
+        if (this.isStaleRead(reading)) return;
       }
     } catch (error) {
-      if (this.isOver(reading)) return;
+      if (this.isStaleRead(reading)) return;
       const message = error instanceof Error ? error.message : String(error);
       this.fail({ reason: 'malformed', message, resumable: false });
     }
   }
 
-  private isOver(reading: number): boolean {
+  private isStaleRead(reading: number): boolean {
     return reading !== this.reading || this.phase === 'ended';
   }
 
-  private take(event: UpstreamEvent): void {
+  private handleEvent(event: UpstreamEvent): void {
     const { attemptId } = this.details;
-    if (event.kind === 'started') this.takeStarted(event);
-    if (event.kind === 'chunk') this.takeChunk(event);
+    if (event.kind === 'started') this.handleStarted(event);
+    if (event.kind === 'chunk') this.handleChunk(event);
     if (event.kind === 'completed') {
       this.options.listener.completed(this, event.promptTokens + event.generatedTokens);
       this.end(completedEvent(attemptId, event), 'completed');
@@ -226,8 +226,8 @@
     if (event.kind === 'failed') this.fail(event);
   }
 
-  private takeStarted(event: Extract<UpstreamEvent, { kind: 'started' }>): void {
-    // Taken up again after a cut: the reader has seen the start already.
+  private handleStarted(event: Extract<UpstreamEvent, { kind: 'started' }>): void {
+    // A resumed stream starts again, but the reader has already received the start.
     if (this.begun) return;
     this.begun = true;
     this.status = event.status;
@@ -236,7 +236,7 @@
     this.stream.push(startedEvent(attemptId, runnerId, event));
   }
 
-  private takeChunk(event: Extract<UpstreamEvent, { kind: 'chunk' }>): void {
+  private handleChunk(event: Extract<UpstreamEvent, { kind: 'chunk' }>): void {
     if (event.sequence <= this.lastSequence) return;
     this.lastSequence = event.sequence;
     this.stream.push(chunkEvent(this.details.attemptId, event));
@@ -246,13 +246,14 @@
 
   private fail(failure: AttemptFailure): void {
     const { listener, maximumResumes, clock } = this.options;
-    // The adapter has the same deadline; whoever is first, the runner is not to blame for it.
+    // The upstream adapter has the same deadline. If its timer fires first, the failure still counts as a
+    // passed deadline and not as a failure of the runner.
     const left = this.details.deadline - clock.monotonicMilliseconds();
     if (left <= DEADLINE_SLACK_MILLISECONDS) this.stopReason ??= 'deadline';
     if (!this.stopReason) listener.failed(this, failure);
     const again = !this.stopReason && this.resumes < maximumResumes && canTakeUpAgain(failure);
     if (again) {
-      this.takeUpLater(failure);
+      this.scheduleResume(failure);
       return;
     }
     const { attemptId, streaming, idempotent } = this.details;
@@ -270,14 +271,14 @@
     this.end(failedEvent({ attemptId, code, message, resumable }), resumable ? 'lost' : end);
   }
 
-  private takeUpLater(failure: AttemptFailure): void {
-    const wait = FIRST_RESUME_WAIT_MILLISECONDS * 2 ** this.resumes;
+  private scheduleResume(failure: AttemptFailure): void {
+    const wait = INITIAL_RESUME_BACKOFF_MILLISECONDS * 2 ** this.resumes;
     this.resumes += 1;
     this.reading += 1;
     this.resumeTimer = setTimeout(() => {
       this.resumeTimer = undefined;
       this.options.listener.takenUpAgain(this, failure);
-      this.takeUp();
+      this.resumeAtRunner();
     }, wait);
   }
 
@@ -291,13 +292,18 @@
     if (this.phase === 'ended') return;
     this.stopReason = reason;
     if (this.phase === 'waiting') return;
-    // The runner's adapter cancels what it started; what was taken up again has to be named.
+    // Aborting makes the adapter cancel an attempt that it started itself; a resumed one must be cancelled
+    // by its id.
     this.controller.abort();
     if (this.isResumed) void this.options.upstream.cancel(this.details.attemptId);
     this.stream.lift();
     if (!this.resumeTimer) return;
     clearTimeout(this.resumeTimer);
-    this.fail({ reason: 'cut', message: `${reason} while cut off`, resumable: false });
+    this.fail({
+      reason: 'cut',
+      message: `${reason} while waiting to resume a cut stream`,
+      resumable: false,
+    });
   }
 
   private end(event: ExecuteEvent, end?: AttemptEnd): void {
@@ -306,7 +312,7 @@
     clearTimeout(this.resumeTimer);
     this.stream.push(event);
     this.stream.end();
-    // Lets the adapter's generator close its connection.
+    // Makes the adapter's generator close its connection.
     void this.iterator?.return?.().catch(() => {});
     this.options.listener.ended(this, end ?? 'failed');
   }
--- a/src/gates/GateTaskAttemptTypes.ts
+++ b/src/gates/GateTaskAttemptTypes.ts
@@ -1,8 +1,8 @@
 /**
- * What an attempt at a gate is.
+ * The type of an attempt's fixed properties.
  */
 
-/** What an attempt is, whoever asked for it. */
+/** The fixed properties of an attempt, whether it was requested here or resumed from another holder. */
 export interface AttemptDetails {
   readonly attemptId: string;
   readonly runnerId: string;
@@ -10,6 +10,6 @@
   readonly chat: string;
   readonly streaming: boolean;
   readonly idempotent: boolean;
-  /** Monotonic milliseconds. */
+  /** Monotonic milliseconds of this daemon. */
   readonly deadline: number;
 }
--- a/src/gates/GateTaskAttempts.ts
+++ b/src/gates/GateTaskAttempts.ts
@@ -1,6 +1,6 @@
 /**
- * All attempts at one gate: what each of them tells goes to the gate's decisions, to the watch over the
- * runner and to the log.
+ * Manages all attempts at one gate, and passes their events on to the gate's decisions, the monitoring of the
+ * runner and the log.
  */
 import type { ExecuteRequest } from '../generated/baobabdock/v1/peers_pb.js';
 import type { Clock } from '../time/Clock.js';
@@ -22,22 +22,22 @@
   settings: GatesSettings;
   log: GateTaskLog;
   watch: GateTaskRunnerWatch;
-  /** Takes messages for the gate's decisions. */
+  /** Sends a message to the gate's decisions. */
   send: (message: GateMessage) => void;
 }
 
-/** An attempt that has not started, with what it will run. */
+/** An attempt that has not started, with its request. */
 export interface PendingAttempt {
   readonly attempt: GateTaskAttempt;
   readonly request: ExecuteRequest;
-  /** Monotonic milliseconds. */
+  /** Monotonic milliseconds of this daemon. */
   readonly receivedAt: number;
 }
 
-/** Cancellations that are remembered because they came before their attempt. */
+/** Upper limit of remembered cancellations that arrived before their attempts; the oldest is dropped. */
 const MAXIMUM_EARLY_CANCELLATIONS = 1_000;
 
-/** The attempts of one gate, from their request to their end. */
+/** Creates, starts, cancels and tracks the attempts of one gate. */
 export class GateTaskAttempts {
   private readonly options: GateTaskAttemptsOptions;
 
@@ -48,47 +48,54 @@
   private readonly orphans: GateTaskOrphans;
 
   /**
-   * A cancellation travels on another connection than its attempt and can overtake it. The attempt would
-   * then run to its end for nobody, which shows as work that no caller waits for.
+   * Attempts whose cancellation arrived before they did: it travels on another connection and can overtake
+   * the attempt. If it were forgotten, the attempt would run to its end, visible as work on the runner that
+   * no caller waits for.
    */
   private readonly cancelledEarly = new Set<string>();
 
   private readonly emptyListeners: (() => void)[] = [];
 
   /**
-   * @param options - the runner, and whom to tell.
+   * @param options - the runner, its monitoring, the log and the settings.
    */
   constructor(options: GateTaskAttemptsOptions) {
     this.options = options;
     this.orphans = new GateTaskOrphans({
       keepMilliseconds: options.settings.orphanMilliseconds,
-      giveUp: (attemptId) => this.giveUp(attemptId),
+      onTimeout: (attemptId) => this.cancelOrphan(attemptId),
     });
   }
 
-  /** @returns Attempts that have not ended. */
+  /** @returns The number of attempts that have not ended. */
   get size(): number {
     return this.attempts.size;
   }
 
   /**
+   * Looks up an attempt.
+   *
    * @param attemptId - the attempt.
-   * @returns It, until it has ended.
+   * @returns The attempt, unless it is unknown or has ended.
    */
   get(attemptId: string): GateTaskAttempt | undefined {
     return this.attempts.get(attemptId);
   }
 
   /**
+   * Looks up an attempt that has not started.
+   *
    * @param attemptId - the attempt.
-   * @returns What it will run, until it has started.
+   * @returns The attempt with its request, unless it is unknown or has started.
    */
   pendingOf(attemptId: string): PendingAttempt | undefined {
     return this.pending.get(attemptId);
   }
 
   /**
-   * @param request - what to run, once the gate lets it.
+   * Creates an attempt that waits for its start.
+   *
+   * @param request - the request to run once the gate admits it.
    * @returns The attempt.
    */
   create(request: ExecuteRequest): GateTaskAttempt {
@@ -100,7 +107,10 @@
   }
 
   /**
-   * @param details - an attempt that was started before, here or elsewhere.
+   * Registers an attempt by its details. One that was started before, here or by another holder of the gate,
+   * is then resumed rather than started.
+   *
+   * @param details - the details of the attempt.
    * @returns The attempt.
    */
   adopt(details: Omit<AttemptDetails, 'runnerId'>): GateTaskAttempt {
@@ -119,7 +129,9 @@
   }
 
   /**
-   * @param attemptId - has a reader again.
+   * Stops the timeout of an attempt that has a reader again.
+   *
+   * @param attemptId - the attempt.
    */
   found(attemptId: string): void {
     this.orphans.remove(attemptId);
@@ -150,19 +162,23 @@
   }
 
   /**
-   * @param attempt - is no longer wanted; one that has ended is left alone.
+   * Cancels an attempt; does nothing if it has ended.
+   *
+   * @param attempt - the attempt.
    */
   cancel(attempt: GateTaskAttempt): void {
     const { attemptId } = attempt.details;
     if (this.attempts.get(attemptId) !== attempt) return;
     attempt.markCancelled();
     this.options.send({ kind: 'cancel', attemptId });
-    // The decisions do not count what an earlier holder had started.
+    // The gate's decisions do not track attempts that an earlier holder started, so cancel those here.
     if (attempt.isRunning) attempt.cancel();
   }
 
   /**
-   * @param attemptId - was cancelled before it came.
+   * Remembers a cancellation that arrived before its attempt.
+   *
+   * @param attemptId - the attempt.
    */
   cancelEarly(attemptId: string): void {
     this.cancelledEarly.add(attemptId);
@@ -172,20 +188,22 @@
   }
 
   /**
-   * @param attemptId - an attempt that has just come.
-   * @returns Whether it was cancelled before.
+   * Checks whether an attempt that has just arrived was already cancelled, and forgets that cancellation.
+   *
+   * @param attemptId - the attempt.
+   * @returns Whether it was cancelled.
    */
   wasCancelledEarly(attemptId: string): boolean {
     return this.cancelledEarly.delete(attemptId);
   }
 
-  /** Cancels all. */
+  /** Cancels all attempts. */
   stop(): void {
     for (const attempt of [...this.attempts.values()]) this.cancel(attempt);
     this.orphans.clear();
   }
 
-  /** @returns Resolved when no attempt is in progress. */
+  /** @returns Resolves when no attempt is in progress. */
   whenEmpty(): Promise<void> {
     if (this.attempts.size === 0) return Promise.resolve();
     return new Promise((resolve) => {
@@ -205,15 +223,15 @@
       if (reason === 'unreachable' && !attempt.isCancelled) this.options.watch.attemptFailed();
       this.options.log.fault(attemptId, reason, message);
       this.options.send({ kind: 'refused_by_runner', attemptId });
-      // The decisions answer for what they count; this is for the rest.
+      // The gate's decisions refuse the attempts that they track; this refuses all others.
       attempt.refuse({ reason: 'runner_refused' });
     },
     completed: ({ details: { chat }, isServerError }, cachedTokens) => {
       const { watch } = this.options;
-      // A whole answer that says "I broke" is no sign of health.
+      // A complete answer with a server error is no sign of a healthy runner.
       if (isServerError) watch.attemptFailed();
       else watch.attemptSucceeded();
-      // An error answer counts no tokens; the chat is as cached as before.
+      // An error answer reports no tokens; it leaves the cached tokens of the chat unchanged.
       if (chat && cachedTokens > 0) watch.chatUsed(chat, cachedTokens);
     },
     failed: ({ details: { attemptId } }, { reason, message }) => {
@@ -227,21 +245,22 @@
       this.attempts.delete(attemptId);
       this.pending.delete(attemptId);
       this.orphans.remove(attemptId);
-      // It may go on at the runner, and its reader may come back for it.
+      // The runner may still be generating, and the reader may come back to resume the stream.
       if (end === 'lost' && idempotent) this.orphans.add(attemptId);
       this.options.send({ kind: 'ended', attemptId, end });
       if (this.attempts.size > 0) return;
       for (const listener of this.emptyListeners.splice(0)) listener();
     },
     left: (attempt) => {
-      // What waits without a reader is of no use. What may not be repeated is let finish: stopping it
-      // half done would be worse than an answer that nobody reads.
+      // Without a reader, a waiting attempt is of no use, and a running one is kept for a while if it is
+      // idempotent. One that is not idempotent runs to its end: stopping it half done would be worse than
+      // an answer without a reader.
       if (!attempt.isRunning) this.cancel(attempt);
       else if (attempt.details.idempotent) this.orphans.add(attempt.details.attemptId);
     },
   };
 
-  private giveUp(attemptId: string): void {
+  private cancelOrphan(attemptId: string): void {
     const attempt = this.attempts.get(attemptId);
     if (attempt) this.cancel(attempt);
     else void this.options.upstream.cancel(attemptId);
--- a/src/gates/GateTaskCacheKnowledge.spec.ts
+++ b/src/gates/GateTaskCacheKnowledge.spec.ts
@@ -13,8 +13,8 @@
 
 describe(GateTaskCacheKnowledge.name, () => {
   it('forgets as many of the oldest chats as events are missing', () => {
-    // Symptom: chats return to runners that no longer hold them. Sequence: two eviction events are lost.
-    // Cause: a gap in the numbers is not noticed, and what was evicted counts as cached for ever.
+    // Guards against chats that are routed to runners which no longer have them cached: two eviction events
+    // are lost, the gap in the event numbers is not noticed, and evicted chats count as cached for ever.
     const knowledge = new GateTaskCacheKnowledge();
     knowledge.take([stored(1, 'a'), stored(2, 'b'), stored(3, 'c')]);
     const { changes, lost } = knowledge.take([stored(6, 'd')]);
@@ -27,7 +27,7 @@
     expect(knowledge.recentChats().map(({ chat }) => chat)).toEqual(['d', 'c']);
   });
 
-  it('drops doubled events, and starts anew with a runner that restarted', () => {
+  it('skips duplicate events, and is cleared when the runner restarts', () => {
     const knowledge = new GateTaskCacheKnowledge();
     knowledge.take([stored(1, 'a'), stored(2, 'b')]);
     expect(knowledge.take([stored(1, 'a', 5), stored(2, 'b')])).toEqual({ changes: [], lost: 0 });
@@ -35,7 +35,7 @@
     expect(knowledge.take([stored(1, 'c')]).changes.length).toEqual(1);
   });
 
-  it('believes in no more chats than fit, whichever events are lost', () => {
+  it('contains no more chats than fit into the cache, whichever events are lost', () => {
     const chats = fc.constantFrom(...'abcdefghijklmnop');
     const step = fc.record({ chat: chats, lost: fc.boolean() });
     fc.assert(
@@ -53,10 +53,11 @@
         loses = false;
         cache.store('last', 100);
         knowledge.take(cache.eventsAfter(knowledge.lastNumber));
-        // Five chats fit. A lost event that was no eviction makes the gate forget one more, never one less.
-        const believed = knowledge.recentChats().map(({ chat }) => chat);
-        expect(believed.length <= 5).toEqual(true);
-        expect(believed[0]).toEqual('last');
+        // Five chats fit into the cache. A lost event that was no eviction makes the index forget one chat
+        // too many; it never keeps one too many.
+        const known = knowledge.recentChats().map(({ chat }) => chat);
+        expect(known.length <= 5).toEqual(true);
+        expect(known[0]).toEqual('last');
       }),
     );
   });
--- a/src/gates/GateTaskCacheKnowledge.ts
+++ b/src/gates/GateTaskCacheKnowledge.ts
@@ -1,32 +1,33 @@
 /**
- * What a gate knows of its runner's prefix cache, from answers and from events that come late and with gaps.
- * Pure: events go in, changes for the homes of chats come out.
+ * Tracks which chats are in a runner's prefix cache, from answers and from cache events that arrive late and
+ * with gaps. Does no input or output: takes events and returns changes for the homes of chats.
  */
 import type { CacheEvent } from '../upstreams/Upstream.js';
 
-/** A chat whose cached tokens at this runner changed; 0 means not cached any more. */
+/** A chat whose cached tokens at this runner changed. */
 export interface CacheChange {
   readonly chat: string;
+  /** 0 means that the chat is no longer cached. */
   readonly cachedTokens: number;
 }
 
-/** What a reading of events gave. */
+/** The result of applying a series of cache events. */
 export interface CacheReading {
   readonly changes: readonly CacheChange[];
-  /** Events that are missing. */
+  /** Number of events that were missing from the series. */
   readonly lost: number;
 }
 
 /** Options of a {@link GateTaskCacheKnowledge}. */
 export interface GateTaskCacheKnowledgeOptions {
   maximumChats?: number;
-  /** The last event that an earlier holder of the gate has seen. */
+  /** Number of the last event that the previous holder of the gate has read. */
   lastNumber?: number;
 }
 
 const DEFAULT_MAXIMUM_CHATS = 20_000;
 
-/** The chats that are believed to be cached at one runner, the least recently used first. */
+/** An index of the chats that are probably cached at one runner, the least recently used first. */
 export class GateTaskCacheKnowledge {
   private readonly maximumChats: number;
 
@@ -35,7 +36,7 @@
   private last: number;
 
   /**
-   * @param options - size, and where the events continue.
+   * @param options - the maximum number of chats, and the event number to continue after.
    */
   constructor({
     maximumChats = DEFAULT_MAXIMUM_CHATS,
@@ -45,13 +46,15 @@
     this.last = lastNumber;
   }
 
-  /** @returns The number of the last event that was seen. */
+  /** @returns The number of the last event that was applied. */
   get lastNumber(): number {
     return this.last;
   }
 
   /**
-   * @param number - the last event that an earlier holder of the gate has seen; an older one is ignored.
+   * Continues after the last event that the previous holder of the gate has read.
+   *
+   * @param number - the number of that event; ignored if a later event was applied already.
    */
   continueAfter(number: number): void {
     this.last = Math.max(this.last, number);
@@ -63,41 +66,43 @@
   }
 
   /**
-   * @param chat - a chat.
-   * @returns Its tokens that are believed to be cached; 0 when it is not known.
+   * Looks up a chat.
+   *
+   * @param chat - the chat.
+   * @returns Its number of tokens that are probably cached; 0 when it is not in the index.
    */
   tokensOf(chat: string): number {
     return this.tokensByChat.get(chat) ?? 0;
   }
 
   /**
-   * Takes what an answer showed.
+   * Records that a chat was used.
    *
    * @param chat - the chat.
-   * @param cachedTokens - tokens that are cached now.
-   * @returns Changes for the homes.
+   * @param cachedTokens - its number of tokens that are cached now.
+   * @returns The change for the chat's home; none if the number is the same as before.
    */
   used(chat: string, cachedTokens: number): CacheChange[] {
     const before = this.tokensByChat.get(chat);
     this.tokensByChat.delete(chat);
     if (cachedTokens === 0) return before === undefined ? [] : [{ chat, cachedTokens }];
     this.tokensByChat.set(chat, cachedTokens);
-    this.limit();
+    this.evictOverLimit();
     return before === cachedTokens ? [] : [{ chat, cachedTokens }];
   }
 
   /**
-   * Takes events in the order of their numbers.
+   * Applies cache events in the order of their numbers; events that were applied already are skipped.
    *
-   * @param events - as the runner gave them.
-   * @returns Changes for the homes, and how many events are missing.
+   * @param events - the events as the runner returned them.
+   * @returns The changes for the homes of chats, and the number of missing events.
    */
   take(events: readonly CacheEvent[]): CacheReading {
     const changes: CacheChange[] = [];
     let lost = 0;
     for (const event of events) {
       if (event.number <= this.last) continue;
-      // Before the first event nothing is known that a gap could make wrong.
+      // Before the first event there is no earlier event that could be missing.
       const missing = this.last === 0 ? 0 : event.number - this.last - 1;
       if (missing > 0) {
         lost += missing;
@@ -110,9 +115,10 @@
   }
 
   /**
-   * The runner restarted: its cache is empty and its events are numbered anew.
+   * Clears the index after a restart of the runner: its cache is empty and its events are numbered from the
+   * start again.
    *
-   * @returns Changes for the homes.
+   * @returns The changes for the homes of chats.
    */
   restarted(): CacheChange[] {
     this.last = 0;
@@ -126,9 +132,10 @@
   }
 
   /**
-   * Each missing event may have been an eviction, and engines evict what was used least recently. So as
-   * many of the oldest chats as events are missing count as gone: chats that return to nothing would show
-   * as answers with fewer cached tokens than expected. Forgetting all would cost far more reuse.
+   * Removes the least recently used chats. Each missing event may have been an eviction, and engines evict the
+   * least recently used chat; so one chat is removed for each missing event. If evicted chats stayed in the
+   * index, their requests would return to a runner that no longer has them, visible as answers with fewer
+   * cached tokens than expected. Removing all chats would lose far more cache reuse.
    */
   private forgetOldest(count: number): CacheChange[] {
     const oldest = [...this.tokensByChat.keys()].slice(0, count);
@@ -136,7 +143,7 @@
     return oldest.map((chat) => ({ chat, cachedTokens: 0 }));
   }
 
-  private limit(): void {
+  private evictOverLimit(): void {
     if (this.tokensByChat.size <= this.maximumChats) return;
     const [oldest] = this.tokensByChat.keys();
     if (oldest !== undefined) this.tokensByChat.delete(oldest);
--- a/src/gates/GateTaskEvents.ts
+++ b/src/gates/GateTaskEvents.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the events that an attempt's owner reads from a gate.
+ * Creates the events that a gate sends to the reader of an attempt.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -9,7 +9,7 @@
 import type { UpstreamEvent } from '../upstreams/Upstream.js';
 import type { RefusalReason } from './gateTypes.js';
 
-/** Why nothing ran. */
+/** Why an attempt did not run, and the runner's load at that time. */
 export interface RefusalDetails {
   readonly reason: RefusalReason;
   readonly retryAfterMilliseconds?: number;
@@ -28,8 +28,10 @@
 type UpstreamEventOf<Kind extends UpstreamEvent['kind']> = Extract<UpstreamEvent, { kind: Kind }>;
 
 /**
- * @param details - why nothing ran.
- * @returns The last event of an attempt that did not run.
+ * Creates the `refused` event.
+ *
+ * @param details - why the attempt did not run.
+ * @returns The only event of an attempt that did not run.
  */
 export function refusedEvent({
   reason,
@@ -42,9 +44,11 @@
 }
 
 /**
+ * Creates the `started` event.
+ *
  * @param attemptId - the attempt.
- * @param runnerId - where it runs.
- * @param event - from the runner.
+ * @param runnerId - the runner of the attempt.
+ * @param event - the event from the runner.
  * @returns The first event of an attempt that runs.
  */
 export function startedEvent(
@@ -63,19 +67,21 @@
 }
 
 /**
+ * Creates a `chunk` event.
+ *
  * @param attemptId - the attempt.
- * @param event - from the runner.
+ * @param event - the event from the runner.
  * @returns A part of the answer.
  */
 export function chunkEvent(
   attemptId: string,
   { sequence, data }: UpstreamEventOf<'chunk'>,
 ): ExecuteEvent {
-  // Set field by field: initial values are looked at one by one, which a message for each token is too many for.
+  // Set field by field: `create` checks initial values one by one, too slow for one message per token.
   const value = create(ChunkSchema);
   value.attemptId = attemptId;
   value.sequence = sequence;
-  // A view of a larger buffer would keep all of that in memory as long as the reader is slow.
+  // Copied if it is a view: a view keeps its whole larger buffer in memory until a slow reader has read it.
   const whole = data.byteLength === data.buffer.byteLength;
   value.data = whole ? data : new Uint8Array(data);
   const event = create(ExecuteEventSchema);
@@ -84,9 +90,11 @@
 }
 
 /**
+ * Creates the `completed` event.
+ *
  * @param attemptId - the attempt.
- * @param event - from the runner.
- * @returns The last event of a whole answer.
+ * @param event - the event from the runner.
+ * @returns The last event of a complete answer.
  */
 export function completedEvent(
   attemptId: string,
@@ -97,8 +105,10 @@
 }
 
 /**
- * @param details - how it failed.
- * @returns The last event of an attempt whose answer is not whole.
+ * Creates the `failed` event.
+ *
+ * @param details - how the attempt failed.
+ * @returns The last event of an attempt whose answer is incomplete or whose outcome is unknown.
  */
 export function failedEvent({ attemptId, code, message, resumable }: FailureDetails): ExecuteEvent {
   const value = { attemptId, code, message, resumable, retryAfterMilliseconds: 0 };
@@ -106,8 +116,11 @@
 }
 
 /**
- * @param event - all that happens.
- * @returns The events of an attempt that ends at once.
+ * Creates the event stream of an attempt that ends at once.
+ *
+ * @param event - the only event.
+ * @yields The event.
+ * @returns The stream.
  */
 export async function* endedAtOnce(
   event: ExecuteEvent,
@@ -116,34 +129,37 @@
 }
 
 /**
- * A doubled attempt: the first one may be running, so "not run" would be a lie, and running it again a
- * second run.
+ * Creates the answer to an attempt whose id is already in progress here. The first one may be running, so the
+ * duplicate can neither be refused as "not run" nor be run a second time.
  *
  * @param attemptId - the attempt.
- * @returns Its last event.
+ * @returns The only event for the duplicate.
  */
 export function doubledEvent(attemptId: string): ExecuteEvent {
-  const message = 'an attempt of this id is already here';
+  const message = 'an attempt with this id is already in progress at this gate';
   return failedEvent({ attemptId, code: 'outcome_unknown', message, resumable: false });
 }
 
 /**
+ * Creates the answer to a resume request for a stream that this gate cannot continue for that reader.
+ *
  * @param attemptId - the attempt.
- * @returns The last event of a stream that this gate cannot continue for whoever asked.
+ * @returns The only event for the reader.
  */
 export function cannotResumeEvent(attemptId: string): ExecuteEvent {
-  const message = 'this stream cannot be continued';
+  const message = 'this gate cannot continue the stream of this attempt';
   return failedEvent({ attemptId, code: 'cannot_resume', message, resumable: false });
 }
 
 /**
- * Another reader continues the stream. Were the earlier one only left without an end, its owner would take
- * that for a cut and resume: two owners would take the stream from each other in turns.
+ * Creates the last event for a reader whose stream another reader has taken over. Without a last event, the
+ * earlier reader would take the end for a cut and resume, and the two readers would take the stream from each
+ * other in turns.
  *
  * @param attemptId - the attempt.
  * @returns The last event for the earlier reader.
  */
 export function takenOverEvent(attemptId: string): ExecuteEvent {
-  const message = 'another reader continues this stream';
+  const message = 'another reader has taken over the stream of this attempt';
   return failedEvent({ attemptId, code: 'stream_cut', message, resumable: false });
 }
--- a/src/gates/GateTaskFailures.ts
+++ b/src/gates/GateTaskFailures.ts
@@ -1,21 +1,22 @@
 /**
- * What a fault at the runner means for the attempt's owner. Pure.
+ * Decides what a failure at the runner means for the owner of the request: whether to resume, and which
+ * outcome code to report. Pure functions.
  */
 import type { OutcomeCode } from '../requests/requestTypes.js';
 import type { UpstreamEvent } from '../upstreams/Upstream.js';
 
-/** Why an answer is not whole. */
+/** Why an answer is incomplete. */
 export type AttemptFailure = Pick<
   Extract<UpstreamEvent, { kind: 'failed' }>,
   'reason' | 'message' | 'resumable'
 >;
 
-/** What has to be known to name a failure. */
+/** The input of {@link attemptFailureCode}. */
 export interface FailedAttempt {
   readonly failure: AttemptFailure;
-  /** Whether this side stopped it. */
+  /** Why this daemon stopped the attempt, if it did. */
   readonly stopReason: 'cancelled' | 'deadline' | undefined;
-  /** Whether the runner was asked for the rest of an answer rather than for the whole. */
+  /** Whether the attempt was resumed, that is, the runner was asked for the rest of an answer. */
   readonly resumed: boolean;
   /** Whether the answer had begun. */
   readonly begun: boolean;
@@ -23,24 +24,28 @@
   readonly idempotent: boolean;
 }
 
-/** Faults of the way rather than of the answer. */
-const TAKEN_UP_AGAIN: ReadonlySet<AttemptFailure['reason']> = new Set([
+/** Failure reasons after which a resume helps, because they concern the connection and not the answer. */
+const RESUMED_REASONS: ReadonlySet<AttemptFailure['reason']> = new Set([
   'cut',
   'crossed',
   'timeout',
 ]);
 
 /**
- * @param failure - why an answer is not whole.
- * @returns Whether to ask the runner for the rest.
+ * Decides whether to resume an attempt after a failure.
+ *
+ * @param failure - why the answer is incomplete.
+ * @returns Whether to ask the runner for the rest of the answer.
  */
 export function canTakeUpAgain({ reason, resumable }: AttemptFailure): boolean {
-  return resumable && TAKEN_UP_AGAIN.has(reason);
+  return resumable && RESUMED_REASONS.has(reason);
 }
 
 /**
- * @param attempt - how it failed.
- * @returns The code that the owner of the request sees.
+ * Finds the outcome code of a failed attempt.
+ *
+ * @param attempt - the failure and the state of the attempt.
+ * @returns The code that the owner of the request receives.
  */
 export function attemptFailureCode({
   failure,
@@ -52,7 +57,7 @@
 }: FailedAttempt): OutcomeCode {
   const isGone = resumed && failure.reason === 'unknown_attempt';
   if (isGone && stopReason === undefined) return 'cannot_resume';
-  // Whatever stopped it: what may not run twice may have run, and the caller must not be led to repeat it.
+  // A request that is not idempotent may have run, whatever stopped it; no other code may suggest a retry.
   if (!idempotent) return 'outcome_unknown';
   if (stopReason === 'cancelled') return 'cancelled';
   if (stopReason === 'deadline') return 'deadline_exceeded';
--- a/src/gates/GateTaskHealth.ts
+++ b/src/gates/GateTaskHealth.ts
@@ -1,6 +1,7 @@
 /**
- * Judges a runner by the outcomes that its gate sees: ejected after failures in a row, back after a time
- * that doubles and an answered probe. Pure: the time is passed in.
+ * Outlier ejection for one runner, from the outcomes that its gate observes. The runner is ejected after
+ * consecutive failures, and returns after an ejection time, which doubles, and a further success. Pure: the
+ * time is passed in.
  */
 import { ChartInterpreter } from '../charts/ChartInterpreter.js';
 import type { EventOf, StateOf } from '../charts/chartTypes.js';
@@ -8,19 +9,20 @@
 
 /** Options of a {@link GateTaskHealth}. */
 export interface GateTaskHealthOptions {
+  /** Consecutive failures from one source, attempts or reports, that eject the runner. */
   failuresUntilEjection?: number;
-  /** First time without work, in ms. */
+  /** Duration of the first ejection, in ms. */
   ejectionMilliseconds?: number;
-  /** Longest time without work, in ms. */
+  /** Longest duration of an ejection, in ms. */
   maximumEjectionMilliseconds?: number;
 }
 
-/** States of a runner's health. */
+/** Health states of a runner. */
 export type HealthState = StateOf<typeof chart>;
 
 /**
- * Where an outcome was seen. They are counted apart: a runner that answers every probe and fails every
- * attempt would otherwise look healthy for ever.
+ * Source of an outcome: an attempt or a load report. Their failures are counted separately; otherwise a runner
+ * that answers every report but fails every attempt would always count as healthy.
  */
 export type HealthWitness = 'attempt' | 'report';
 
@@ -30,7 +32,7 @@
 
 const interpreter = new ChartInterpreter<HealthState, EventOf<typeof chart>>({ chart });
 
-/** The health of one runner. */
+/** Decides when one runner is ejected and when it returns. */
 export class GateTaskHealth {
   private readonly failuresUntilEjection: number;
 
@@ -42,12 +44,13 @@
 
   private current: HealthState = interpreter.initial();
 
+  /** Monotonic milliseconds. */
   private ejectedUntil = 0;
 
   private ejections = 0;
 
   /**
-   * @param options - limits and times.
+   * @param options - the number of failures and the ejection times.
    */
   constructor({
     failuresUntilEjection = DEFAULT_FAILURES_UNTIL_EJECTION,
@@ -59,37 +62,41 @@
     this.maximumEjectionMilliseconds = maximumEjectionMilliseconds;
   }
 
-  /** @returns The chart's state. */
+  /** @returns The current health state. */
   get state(): HealthState {
     return this.current;
   }
 
   /**
+   * Records a failure. After the ejection time, a failure of an ejected runner ejects it again.
+   *
    * @param now - monotonic milliseconds.
-   * @param witness - where it was seen.
+   * @param source - the source of the outcome.
    * @returns Whether the state changed.
    */
-  failed(now: number, witness: HealthWitness): boolean {
-    this.failures[witness] += 1;
+  failed(now: number, source: HealthWitness): boolean {
+    this.failures[source] += 1;
     if (this.current === 'ejected') {
       if (now >= this.ejectedUntil) this.eject(now);
       return false;
     }
-    if (this.failures[witness] < this.failuresUntilEjection) return false;
+    if (this.failures[source] < this.failuresUntilEjection) return false;
     this.eject(now);
     return true;
   }
 
   /**
+   * Records a success. After the ejection time, it ends the ejection.
+   *
    * @param now - monotonic milliseconds.
-   * @param witness - where it was seen.
+   * @param source - the source of the outcome.
    * @returns Whether the state changed.
    */
-  succeeded(now: number, witness: HealthWitness): boolean {
-    this.failures[witness] = 0;
+  succeeded(now: number, source: HealthWitness): boolean {
+    this.failures[source] = 0;
     if (this.current === 'live') {
-      // Only work that was done proves that the next ejection is not the same one again.
-      if (witness === 'attempt') this.ejections = 0;
+      // Only a successful attempt proves that the cause of the last ejection is gone, which resets the backoff.
+      if (source === 'attempt') this.ejections = 0;
       return false;
     }
     if (now < this.ejectedUntil) return false;
--- a/src/gates/GateTaskLog.ts
+++ b/src/gates/GateTaskLog.ts
@@ -1,5 +1,6 @@
 /**
- * The log lines of a gate: one for each admission decision, one for each fault of an attempt.
+ * Writes the log lines of a gate, and counts them: one for each admission decision, one for each fault of an
+ * attempt and one for each resumed stream.
  */
 import type { ExecuteRequest } from '../generated/baobabdock/v1/peers_pb.js';
 import type { Log, LogFields } from '../logging/Log.js';
@@ -13,11 +14,11 @@
   log: Log;
   runnerId: string;
   service: string;
-  /** Counts what is logged. */
+  /** Counters of the logged decisions and faults. */
   metrics?: GateTaskMetrics;
 }
 
-/** A decision about an attempt. */
+/** An admission decision about an attempt. */
 export type AdmissionAction = Extract<GateAction, { kind: 'start' | 'refuse' | 'queued' }>;
 
 const ADMISSION_EVENTS = {
@@ -26,7 +27,7 @@
   queued: gatesLogEvents.queued,
 } as const;
 
-/** Writes what concerns one runner. */
+/** Logs and counts the decisions and faults at the gate of one runner. */
 export class GateTaskLog {
   private readonly log: Log;
 
@@ -37,7 +38,7 @@
   private readonly metrics: GateTaskMetrics | undefined;
 
   /**
-   * @param options - the log and the runner.
+   * @param options - the log, the metrics and the runner.
    */
   constructor({ log, runnerId, service, metrics }: GateTaskLogOptions) {
     this.log = log;
@@ -47,9 +48,11 @@
   }
 
   /**
-   * @param action - what was decided.
-   * @param request - the request, as far as it is still known.
-   * @param waitedMilliseconds - since it came.
+   * Logs and counts an admission decision.
+   *
+   * @param action - the decision.
+   * @param request - the request, if it is still known.
+   * @param waitedMilliseconds - time since the attempt arrived.
    */
   admission(
     action: AdmissionAction,
@@ -71,9 +74,11 @@
   }
 
   /**
+   * Logs and counts a fault of an attempt.
+   *
    * @param attemptId - the attempt.
-   * @param reason - why its answer is not whole, or why it did not run.
-   * @param message - for people.
+   * @param reason - why the answer is incomplete, or why the runner did not start the attempt.
+   * @param message - the error message, for people to read.
    */
   fault(attemptId: string, reason: string, message: string): void {
     this.metrics?.fault(this.service, reason);
@@ -83,8 +88,10 @@
   }
 
   /**
-   * @param attemptId - the attempt whose stream is taken up again.
-   * @param reason - why it was cut.
+   * Logs that a cut stream is resumed.
+   *
+   * @param attemptId - the attempt.
+   * @param reason - why the stream was cut.
    */
   takenUpAgain(attemptId: string, reason: string): void {
     this.log.write(upstreamsLogEvents.resumed, { ...this.place, attempt: attemptId, reason });
--- a/src/gates/GateTaskMetrics.ts
+++ b/src/gates/GateTaskMetrics.ts
@@ -1,5 +1,5 @@
 /**
- * What operators can count of gates: decisions, waits, faults of runners.
+ * The metrics of gates: admission decisions, waiting times, and faults of runners.
  */
 import type { Counter } from '../metrics/Counter.js';
 import type { Histogram } from '../metrics/Histogram.js';
@@ -14,17 +14,17 @@
 export interface CountedAdmission {
   readonly service: string;
   readonly decision: 'start' | 'queued' | 'refuse';
-  /** Empty unless refused. */
+  /** Reason of a refusal; empty for other decisions. */
   readonly reason: string;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Finer waits do not matter to anybody; in seconds. */
+/** Resolution of recorded waiting times; shorter differences do not matter to operators. */
 const WAIT_RESOLUTION_SECONDS = 0.001;
 const MAXIMUM_WAIT_SECONDS = 600;
 
-/** Shared by all gates of a daemon. */
+/** Records the metrics of all gates of a daemon. */
 export class GateTaskMetrics {
   private readonly decisions: Counter<'service' | 'decision' | 'reason'>;
 
@@ -33,7 +33,7 @@
   private readonly faults: Counter<'service' | 'reason'>;
 
   /**
-   * @param options - where to count.
+   * @param options - the registry for the metrics.
    */
   constructor({ registry }: GateTaskMetricsOptions) {
     this.decisions = registry.counter({
@@ -57,8 +57,10 @@
   }
 
   /**
-   * @param admission - what was decided.
-   * @param waitedMilliseconds - since the attempt came.
+   * Counts an admission decision, and records the waiting time of a started attempt.
+   *
+   * @param admission - the decision.
+   * @param waitedMilliseconds - time since the attempt arrived.
    */
   admission({ service, decision, reason }: CountedAdmission, waitedMilliseconds: number): void {
     this.decisions.increment({ service, decision, reason });
@@ -67,8 +69,10 @@
   }
 
   /**
-   * @param service - the pool.
-   * @param reason - why the answer is not whole, or why it did not run.
+   * Counts a fault of an attempt.
+   *
+   * @param service - the service, which is the pool of the runner.
+   * @param reason - why the answer is incomplete, or why the runner did not start the attempt.
    */
   fault(service: string, reason: string): void {
     this.faults.increment({ service, reason });
--- a/src/gates/GateTaskPoller.ts
+++ b/src/gates/GateTaskPoller.ts
@@ -1,25 +1,25 @@
 /**
- * Asks something again and again, never twice at once, at a bounded rate with jitter.
+ * Polls at a bounded rate with jitter; the next poll is scheduled only after the last one has ended.
  */
 import { seededRandom } from '../random/seededRandom.js';
 
 /** Options of a {@link GateTaskPoller}. */
 export interface GateTaskPollerOptions {
   intervalMilliseconds: number;
-  /** Different seeds spread the pollers of a daemon over the interval. */
+  /** Seed of the jitter; different seeds spread the pollers of a daemon over the interval. */
   seed: number;
-  /** Asks once; its failure is its own business. */
+  /** Polls once. It has to handle its own failures: a rejected promise is not handled here. */
   poll: () => Promise<void>;
 }
 
-/** Share of the interval by which a wait is longer or shorter at most. */
+/** Largest share of the interval by which a wait is longer or shorter. */
 const JITTER = 0.2;
 
-/** One poll after the other. */
+/** Runs one poll after another until it is stopped. */
 export class GateTaskPoller {
   private readonly options: GateTaskPollerOptions;
 
-  /** From 0 up to 1. */
+  /** Returns a number from 0 up to, but not including, 1. */
   private readonly random: () => number;
 
   private timer: NodeJS.Timeout | undefined;
@@ -27,25 +27,25 @@
   private stopped = false;
 
   /**
-   * @param options - what to ask, and how often.
+   * @param options - the poll function, its interval and the seed of the jitter.
    */
   constructor(options: GateTaskPollerOptions) {
     this.options = options;
     this.random = seededRandom(options.seed);
   }
 
-  /** Starts after a random part of the interval, so that a restart does not ask all runners at once. */
+  /** Starts after a random part of the interval, so that a restarted daemon does not poll all runners at once. */
   start(): void {
-    this.arm(this.options.intervalMilliseconds * this.random());
+    this.schedule(this.options.intervalMilliseconds * this.random());
   }
 
-  /** Asks no more. */
+  /** Stops polling. */
   stop(): void {
     this.stopped = true;
     clearTimeout(this.timer);
   }
 
-  private arm(wait: number): void {
+  private schedule(wait: number): void {
     if (this.stopped) return;
     this.timer = setTimeout(() => {
       void this.pollOnce();
@@ -58,7 +58,7 @@
       await this.options.poll();
     } finally {
       const spread = 1 + JITTER * (2 * this.random() - 1);
-      this.arm(this.options.intervalMilliseconds * spread);
+      this.schedule(this.options.intervalMilliseconds * spread);
     }
   }
 }
--- a/src/gates/GateTaskRunnerWatch.ts
+++ b/src/gates/GateTaskRunnerWatch.ts
@@ -1,6 +1,7 @@
 /**
- * Watches one runner for its gate: load reports and cache events at a bounded rate, and its health.
- * Only the gate's holder asks, so that the cost grows with the runners and not with runners times daemons.
+ * Monitors one runner for its gate: polls its load reports and cache events at a bounded rate, and tracks its
+ * health. Only the daemon that holds the gate polls, so that the cost grows with the number of runners and not
+ * with runners times daemons.
  */
 import murmurhash from 'murmurhash';
 
@@ -26,20 +27,21 @@
 export interface GateTaskRunnerWatchOptions {
   runnerId: string;
   service: string;
-  /** Whether the runner reports load and cache; plain services are only probed. */
+  /** Whether the runner reports load and cache events; runners of plain services only get health checks. */
   isEngine: boolean;
   upstream: Upstream;
   clock: Clock;
   log: Log;
   settings: GatesSettings;
-  /** Takes messages for the gate's decisions. */
+  /** Sends a message to the gate's decisions. */
   send: (message: GateMessage) => void;
+  /** Called with each detected change of the runner's prefix cache. */
   cacheChanged?: (changes: readonly WatchedChange[]) => void;
 }
 
-/** One runner, as its gate sees it. */
+/** Monitors the health, load and prefix cache of one runner. */
 export class GateTaskRunnerWatch {
-  /** What is known of the runner's prefix cache. */
+  /** The chats that are probably in the runner's prefix cache. */
   readonly cache: GateTaskCacheKnowledge;
 
   private readonly options: GateTaskRunnerWatchOptions;
@@ -55,7 +57,7 @@
   private throughput = 0;
 
   /**
-   * @param options - the runner, and whom to tell.
+   * @param options - the runner, the settings, and the callbacks for messages and cache changes.
    */
   constructor(options: GateTaskRunnerWatchOptions) {
     this.options = options;
@@ -63,20 +65,20 @@
     this.cache = new GateTaskCacheKnowledge({ maximumChats: options.settings.maximumKnownChats });
   }
 
-  /** @returns Tokens a second that the runner reported; 0 before the first report. */
+  /** @returns The throughput that the runner reported, in tokens per second; 0 before the first report. */
   get tokensPerSecond(): number {
     return this.throughput;
   }
 
-  /** @returns Whether the runner is believed to take work. */
+  /** @returns Whether the runner may get work: it is live or suspect, and not ejected. */
   get isUsable(): boolean {
     return this.effectiveState() === 'live' || this.effectiveState() === 'suspect';
   }
 
   /**
-   * Starts asking; nothing happens when it is asking already.
+   * Starts polling, unless it has started already.
    *
-   * @param lastCacheEvent - the last cache event that an earlier holder of the gate has seen.
+   * @param lastCacheEvent - the number of the last cache event that the previous holder of the gate has read.
    */
   start(lastCacheEvent = 0): void {
     this.cache.continueAfter(lastCacheEvent);
@@ -102,15 +104,18 @@
     for (const poller of this.pollers) poller.start();
   }
 
-  /** Asks no more until {@link GateTaskRunnerWatch.start}: another daemon does. */
+  /** Stops polling until {@link GateTaskRunnerWatch.start}, because another daemon now polls the runner. */
   stop(): void {
     for (const poller of this.pollers) poller.stop();
     this.pollers = [];
   }
 
   /**
-   * @param state - what the lists say of the runner.
-   * @param incarnation - of which start of it.
+   * Updates the state of the runner from this daemon's runner list. A state of an older incarnation is
+   * ignored; a newer incarnation clears the index of the prefix cache.
+   *
+   * @param state - the runner's state.
+   * @param incarnation - the incarnation that the state belongs to.
    */
   learnRunner(state: RunnerState, incarnation: number): void {
     if (incarnation < this.incarnation) return;
@@ -118,26 +123,28 @@
     const changed = restarted || state !== this.listed || this.incarnation === 0;
     this.listed = state;
     this.incarnation = incarnation;
-    if (restarted) this.tell(this.cache.restarted());
+    if (restarted) this.reportCacheChanges(this.cache.restarted());
     if (changed) this.sendState();
   }
 
-  /** An attempt ended whole. */
+  /** Records that an attempt completed. */
   attemptSucceeded(): void {
     if (this.health.succeeded(this.now(), 'attempt')) this.healthChanged();
   }
 
-  /** An attempt broke, or met nobody. */
+  /** Records that an attempt failed, got a server error, or could not reach the runner. */
   attemptFailed(): void {
     if (this.health.failed(this.now(), 'attempt')) this.healthChanged();
   }
 
   /**
-   * @param chat - the chat of a whole answer.
-   * @param cachedTokens - tokens that are cached now.
+   * Records that a chat got a complete answer; ignored for runners of plain services.
+   *
+   * @param chat - the chat.
+   * @param cachedTokens - its number of tokens that are cached now.
    */
   chatUsed(chat: string, cachedTokens: number): void {
-    if (this.options.isEngine) this.tell(this.cache.used(chat, cachedTokens));
+    if (this.options.isEngine) this.reportCacheChanges(this.cache.used(chat, cachedTokens));
   }
 
   private async readLoad(): Promise<void> {
@@ -148,7 +155,7 @@
       this.throughput = report.tokensPerSecond;
       this.options.send({ kind: 'load_report', report });
     } catch (error) {
-      this.reportFailed('load', error);
+      this.logReportFailure('load', error);
       if (this.health.failed(this.now(), 'report')) this.healthChanged();
     }
   }
@@ -157,7 +164,7 @@
     try {
       const events = await this.options.upstream.readCacheEvents(this.cache.lastNumber);
       const { changes, lost } = this.cache.take(events);
-      this.tell(changes);
+      this.reportCacheChanges(changes);
       if (lost === 0) return;
       const { runnerId: runner, log } = this.options;
       log.write(gatesLogEvents.cacheEventsLost, {
@@ -166,11 +173,11 @@
         forgotten: changes.length,
       });
     } catch (error) {
-      this.reportFailed('cache_events', error);
+      this.logReportFailure('cache_events', error);
     }
   }
 
-  private reportFailed(report: string, error: unknown): void {
+  private logReportFailure(report: string, error: unknown): void {
     const message = error instanceof Error ? error.message : String(error);
     const { runnerId: runner, log } = this.options;
     log.write(upstreamsLogEvents.reportFailed, { runner, report, message });
@@ -190,11 +197,11 @@
   }
 
   private effectiveState(): RunnerState {
-    const trusted = this.listed === 'live' || this.listed === 'suspect';
-    return trusted && this.health.state === 'ejected' ? 'ejected' : this.listed;
+    const isListedUsable = this.listed === 'live' || this.listed === 'suspect';
+    return isListedUsable && this.health.state === 'ejected' ? 'ejected' : this.listed;
   }
 
-  private tell(changes: readonly CacheChange[]): void {
+  private reportCacheChanges(changes: readonly CacheChange[]): void {
     if (changes.length === 0) return;
     const { runnerId, service } = this.options;
     this.options.cacheChanged?.(changes.map((change) => ({ ...change, runnerId, service })));
--- a/src/gates/GateTaskStream.ts
+++ b/src/gates/GateTaskStream.ts
@@ -1,11 +1,11 @@
 /**
- * The events of one attempt on their way to its reader: bounded, and left at once when the reader goes.
+ * A bounded queue between an attempt and its reader. A reader that leaves ends it at once.
  */
 import type { ExecuteEvent } from '../generated/baobabdock/v1/peers_pb.js';
 
 /** Options of a {@link GateTaskStream}. */
 export interface GateTaskStreamOptions {
-  /** Bytes of chunks that may wait for the reader. */
+  /** Bytes of buffered chunks above which the writer waits for the reader. */
   maximumBufferedBytes: number;
   /** Called when the reader stops before the end. */
   onLeft: () => void;
@@ -16,8 +16,8 @@
 }
 
 /**
- * Pulled by one reader. Not an async generator: leaving one while it waits for a silent runner would take
- * effect only when the runner speaks again.
+ * Buffers the events of one attempt for one reader. It is not an async generator, because returning from a
+ * generator that waits for an unresponsive runner would take effect only with the runner's next event.
  */
 export class GateTaskStream implements AsyncIterableIterator<ExecuteEvent> {
   private readonly options: GateTaskStreamOptions;
@@ -35,14 +35,16 @@
   private unlimited = false;
 
   /**
-   * @param options - the limit, and what to do when the reader leaves.
+   * @param options - the limit, and the callback for a reader that leaves.
    */
   constructor(options: GateTaskStreamOptions) {
     this.options = options;
   }
 
   /**
-   * @param event - the next event; dropped when nobody reads any more.
+   * Adds an event; it is dropped when the stream has ended.
+   *
+   * @param event - the next event.
    */
   push(event: ExecuteEvent): void {
     if (this.ended) return;
@@ -56,7 +58,7 @@
     this.bufferedBytes += bytesOf(event);
   }
 
-  /** Ends the stream after what was pushed. */
+  /** Ends the stream after the events that were pushed. */
   end(): void {
     this.ended = true;
     this.waitingReader?.({ value: undefined, done: true });
@@ -64,13 +66,13 @@
     this.releaseWriter();
   }
 
-  /** Waits no more for the reader: the attempt is ending, and only its last events are to come. */
+  /** Removes the limit: the attempt is ending, and only its last events follow. */
   lift(): void {
     this.unlimited = true;
     this.releaseWriter();
   }
 
-  /** @returns Resolved when there is room for more, or when nobody reads any more. */
+  /** @returns Resolves when the buffer is within its limit, the limit is removed, or the stream has ended. */
   room(): Promise<void> {
     const full = this.bufferedBytes > this.options.maximumBufferedBytes;
     if (!full || this.ended || this.unlimited) return Promise.resolve();
--- a/src/gates/GateTaskTestUpstream.ts
+++ b/src/gates/GateTaskTestUpstream.ts
@@ -1,5 +1,5 @@
 /**
- * A runner for tests of gates: it answers what the test tells it to, when the test tells it to.
+ * A scripted upstream for tests of gates: the test decides what the runner answers, and when.
  */
 import type { LoadReport } from './gateTypes.js';
 import { Upstream } from '../upstreams/Upstream.js';
@@ -11,23 +11,27 @@
   UpstreamState,
 } from '../upstreams/Upstream.js';
 
-/** @returns The start of an answer. */
+/** @returns The first event of an answer, with status 200. */
 export function begun(): Extract<UpstreamEvent, { kind: 'started' }> {
   return { kind: 'started', status: 200, headers: [], cachedTokens: 10 };
 }
 
 /**
- * @param sequence - of the chunk.
- * @param bytes - its size.
- * @returns A chunk.
+ * Creates a chunk event.
+ *
+ * @param sequence - the sequence number of the chunk.
+ * @param bytes - the size of the chunk.
+ * @returns The event.
  */
 export function chunkOf(sequence: number, bytes = 1): UpstreamEvent {
   return { kind: 'chunk', sequence, data: new Uint8Array(bytes).fill(sequence) };
 }
 
 /**
- * @param lastSequence - of the last chunk.
- * @returns The end of a whole answer.
+ * Creates the last event of a complete answer.
+ *
+ * @param lastSequence - the sequence number of the last chunk.
+ * @returns The event.
  */
 export function whole(lastSequence: number): UpstreamEvent {
   return {
@@ -40,37 +44,39 @@
 }
 
 /**
- * @param resumable - whether the runner keeps the stream.
- * @returns The end of a cut answer.
+ * Creates the last event of an answer whose connection was cut.
+ *
+ * @param resumable - whether the runner keeps the stream, so that it can be resumed.
+ * @returns The event.
  */
 export function cut(resumable: boolean): UpstreamEvent {
   return { kind: 'failed', reason: 'cut', message: 'cut', resumable };
 }
 
-async function* parts(bytes: Uint8Array): AsyncGenerator<Uint8Array, void, undefined> {
+async function* streamOf(bytes: Uint8Array): AsyncGenerator<Uint8Array, void, undefined> {
   yield bytes;
 }
 
-/** One `run` or `resume` that the gate made. */
+/** One call of `run` or `resume` by the gate; the test sets its events. */
 export class TestCall implements AsyncIterableIterator<UpstreamEvent> {
   readonly attemptId: string;
 
   readonly signal: AbortSignal;
 
-  /** Missing for a `run`. */
+  /** The last chunk that the gate has; undefined for a `run`. */
   readonly afterSequence: number | undefined;
 
-  /** Events that the gate has asked for. */
+  /** Number of events that the gate has requested. */
   pulled = 0;
 
   /** Whether the gate stopped reading before the end. */
   left = false;
 
-  private endless: ((index: number) => UpstreamEvent) | undefined;
+  private endlessEvent: ((index: number) => UpstreamEvent) | undefined;
 
   private readonly events: UpstreamEvent[] = [];
 
-  private waiting: ((result: IteratorResult<UpstreamEvent>) => void) | undefined;
+  private waitingReader: ((result: IteratorResult<UpstreamEvent>) => void) | undefined;
 
   constructor(attemptId: string, signal: AbortSignal, afterSequence?: number) {
     this.attemptId = attemptId;
@@ -80,33 +86,37 @@
   }
 
   /**
-   * @param events - what the runner says next.
+   * Adds the next events of the runner.
+   *
+   * @param events - the events.
    */
   answer(...events: readonly UpstreamEvent[]): void {
     this.events.push(...events);
-    const deliver = this.waiting;
+    const deliver = this.waitingReader;
     const next = this.events.shift();
     if (!deliver || !next) {
       if (next) this.events.unshift(next);
       return;
     }
-    this.waiting = undefined;
+    this.waitingReader = undefined;
     deliver({ value: next, done: false });
   }
 
   /**
-   * @param make - gives an event for each pull, numbered from 1.
+   * Answers each request for an event with a new one, without an end.
+   *
+   * @param make - creates the event for the given request, numbered from 1.
    */
   answerEndlessly(make: (index: number) => UpstreamEvent): void {
-    this.endless = make;
+    this.endlessEvent = make;
   }
 
   next(): Promise<IteratorResult<UpstreamEvent>> {
     this.pulled += 1;
-    const event = this.events.shift() ?? this.endless?.(this.pulled);
+    const event = this.events.shift() ?? this.endlessEvent?.(this.pulled);
     if (event) return Promise.resolve({ value: event, done: false });
     return new Promise((resolve) => {
-      this.waiting = resolve;
+      this.waitingReader = resolve;
     });
   }
 
@@ -120,7 +130,7 @@
   }
 }
 
-/** Notes all calls. */
+/** Records all calls, and answers as the test sets it. */
 export class TestUpstream extends Upstream {
   readonly runs: TestCall[] = [];
 
@@ -130,12 +140,12 @@
 
   readonly imported: { readonly chat: string; readonly bytes: number }[] = [];
 
-  /** Whether reports are answered. */
+  /** Whether load reports are answered; otherwise they fail. */
   answersReports = true;
 
   cacheEvents: readonly CacheEvent[] = [];
 
-  /** What `exportCache` gives for any chat. */
+  /** The cache that `exportCache` returns for any chat. */
   exported: Uint8Array | undefined;
 
   closed = false;
@@ -166,7 +176,7 @@
   }
 
   override async readLoad(): Promise<LoadReport> {
-    if (!this.answersReports) throw new Error('no answer');
+    if (!this.answersReports) throw new Error('the test runner does not answer load reports');
     return { load: 0, running: 0, queued: 0, ageMilliseconds: 0, tokensPerSecond: 1_000 };
   }
 
@@ -183,7 +193,7 @@
   }
 
   override async exportCache(): Promise<AsyncIterable<Uint8Array> | undefined> {
-    return this.exported && parts(this.exported);
+    return this.exported && streamOf(this.exported);
   }
 
   override async importCache(chat: string, cache: AsyncIterable<Uint8Array>): Promise<number> {
