--- a/src/membership/ClockWatch.ts
+++ b/src/membership/ClockWatch.ts
@@ -1,24 +1,25 @@
 /**
- * Notices that the machine was suspended.
+ * Detects that the machine was suspended.
  *
- * A suspended machine stops the monotonic clock as well, so that the decisions see no gap; only the wall
- * clock jumps. A wall clock that was set forward by hand looks the same: a short step back does no harm then.
+ * A suspend also stops the monotonic clock, so the membership decisions see no gap in it; only the wall clock
+ * jumps. A wall clock that is set forward by hand looks the same. That is harmless: the daemon only stops
+ * acting for a short time until peers have answered.
  */
 import type { Clock } from '../time/Clock.js';
 
 /** Options of a {@link ClockWatch}. */
 export interface ClockWatchOptions {
   clock: Clock;
-  /** A larger jump of the wall clock against the monotonic one counts as an absence. */
+  /** A larger forward jump of the wall clock relative to the monotonic clock counts as a suspend. */
   thresholdMilliseconds: number;
-  /** Told how long the machine stood. */
+  /** Called with the length of the suspend. */
   onJump: (milliseconds: number) => void;
 }
 
 /** How often the two clocks are compared. */
 const CHECK_MILLISECONDS = 1_000;
 
-/** Compares the clocks from its start to its stop. */
+/** Compares the wall clock with the monotonic clock once a second and reports forward jumps. */
 export class ClockWatch {
   private readonly clock: Clock;
 
@@ -31,7 +32,7 @@
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param options - the clock and whom to tell.
+   * @param options - the clock, the threshold and the callback.
    */
   constructor({ clock, thresholdMilliseconds, onJump }: ClockWatchOptions) {
     this.clock = clock;
@@ -39,19 +40,19 @@
     this.onJump = onJump;
   }
 
-  /** Starts to compare; does not keep the process alive. */
+  /** Starts the comparisons; their timer does not keep the process alive. */
   start(): void {
     this.offset = this.currentOffset();
     this.timer = setInterval(() => this.check(), CHECK_MILLISECONDS);
     this.timer.unref();
   }
 
-  /** Stops comparing. */
+  /** Stops the comparisons. */
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Compares once. */
+  /** Compares the clocks once and reports a jump above the threshold. */
   check(): void {
     const jump = this.currentOffset() - this.offset;
     this.offset += jump;
--- a/src/membership/Deadlines.ts
+++ b/src/membership/Deadlines.ts
@@ -1,13 +1,15 @@
 /**
- * Names with a time at which something happens to them.
+ * A set of named deadlines.
  */
 
-/** A handful of deadlines; the earliest is looked for when asked. */
+/** Holds one deadline a name. It expects few of them: each query scans all. */
 export class Deadlines {
   private readonly byName = new Map<string, number>();
 
   /**
-   * @param name - what the deadline is for; an earlier one of the same name is replaced.
+   * Sets a deadline.
+   *
+   * @param name - what the deadline is for; replaces the deadline that was set under this name.
    * @param at - monotonic milliseconds.
    */
   set(name: string, at: number): void {
@@ -15,9 +17,9 @@
   }
 
   /**
-   * Brings a deadline forward if it is later.
+   * Moves a deadline to an earlier time; does nothing if it is due earlier already.
    *
-   * @param name - what the deadline is for; without one nothing happens.
+   * @param name - what the deadline is for; a name without a deadline is ignored.
    * @param at - monotonic milliseconds.
    */
   bringForward(name: string, at: number): void {
@@ -26,24 +28,28 @@
   }
 
   /**
-   * Moves all deadlines.
+   * Delays all deadlines.
    *
-   * @param milliseconds - by how much.
+   * @param milliseconds - the delay.
    */
   postpone(milliseconds: number): void {
     for (const [name, at] of this.byName) this.byName.set(name, at + milliseconds);
   }
 
   /**
-   * @param name - whose deadline no longer matters.
+   * Removes a deadline.
+   *
+   * @param name - what the deadline is for.
    */
   delete(name: string): void {
     this.byName.delete(name);
   }
 
   /**
+   * Removes the deadlines that are due.
+   *
    * @param now - monotonic milliseconds.
-   * @returns Names whose time has come; their deadlines are gone.
+   * @returns The names of the removed deadlines.
    */
   takeDue(now: number): string[] {
     const due = [...this.byName].filter(([, at]) => at <= now).map(([name]) => name);
@@ -51,7 +57,7 @@
     return due;
   }
 
-  /** @returns The earliest deadline, or `undefined`. */
+  /** @returns The earliest deadline in monotonic milliseconds, or `undefined` if there is none. */
   earliest(): number | undefined {
     return this.byName.size === 0 ? undefined : Math.min(...this.byName.values());
   }
--- a/src/membership/GossipCalls.ts
+++ b/src/membership/GossipCalls.ts
@@ -1,5 +1,5 @@
 /**
- * Makes calls to other daemons: the message, the probe's number, the time limit.
+ * Builds the actions that call other daemons: gossip messages and requests for indirect probes.
  */
 import type { GossipComposer } from './GossipComposer.js';
 import type { MembershipTuning } from './membershipOptions.js';
@@ -15,14 +15,14 @@
   tuning: MembershipTuning;
 }
 
-/** Where a daemon is that is not known yet. */
+/** The address of a daemon that has no record here yet. */
 export interface UnknownDaemon {
-  /** Empty for a seed. */
+  /** Empty for a seed, of which only the address is known. */
   readonly daemonId: string;
   readonly peerAddress: string;
 }
 
-/** Opens a probe for each call. */
+/** Builds calls and registers each one as a pending probe, so that its result can be matched to it. */
 export class GossipCalls {
   private readonly table: MemberTable;
 
@@ -33,7 +33,7 @@
   private readonly tuning: MembershipTuning;
 
   /**
-   * @param options - the tables and limits.
+   * @param options - the member table, the message builder, the pending probes and the tuning.
    */
   constructor({ table, composer, probes, tuning }: GossipCallsOptions) {
     this.table = table;
@@ -43,11 +43,11 @@
   }
 
   /**
-   * Asks somebody who is not known yet for the whole picture.
+   * Asks a daemon without a record here for all members.
    *
    * @param now - monotonic milliseconds.
-   * @param unknown - where it is.
-   * @param local - what is in force here.
+   * @param unknown - the daemon's address.
+   * @param local - this daemon's own news.
    * @returns The call.
    */
   address(now: number, unknown: UnknownDaemon, local: LocalNews): MembershipAction {
@@ -57,18 +57,18 @@
       records: [this.table.self],
       local,
     });
-    return this.gossip(unknown, 'seed', gossip);
+    return this.createCall(unknown, 'seed', gossip);
   }
 
   /**
-   * Calls a known daemon, unless a round wants one that is being probed already.
+   * Sends gossip to a known daemon. Periodic and dispute calls are skipped while a probe of it is pending.
    *
    * @param now - monotonic milliseconds.
-   * @param local - what is in force here.
-   * @param daemonId - whom.
-   * @param reason - why; a comparison without records asks for what differs.
-   * @param records - what the partner has to see.
-   * @returns The call, or nothing.
+   * @param local - this daemon's own news.
+   * @param daemonId - the daemon to call.
+   * @param reason - why it is called; `comparison` without records asks the daemon which records differ.
+   * @param records - records to include in any case.
+   * @returns The call, or no action if the daemon is unknown or the call is skipped.
    */
   member(
     now: number,
@@ -78,26 +78,27 @@
     records: readonly MemberRecord[] = [],
   ): MembershipAction[] {
     const partner = this.table.get(daemonId);
-    const waits = reason === 'round' || reason === 'dispute';
-    if (!partner || (waits && this.probes.isOpen(daemonId))) return [];
-    const revives = reason === 'revive';
-    const compares = revives || (reason === 'comparison' && records.length === 0);
+    const skipsPending = reason === 'round' || reason === 'dispute';
+    if (!partner || (skipsPending && this.probes.isOpen(daemonId))) return [];
+    const isRevive = reason === 'revive';
+    const requestsComparison = isRevive || (reason === 'comparison' && records.length === 0);
     const gossip = this.composer.compose(now, {
-      kind: compares ? 'compare' : 'delta',
+      kind: requestsComparison ? 'compare' : 'delta',
       partner,
-      records: revives ? [this.table.self] : records,
+      records: isRevive ? [this.table.self] : records,
       local,
     });
-    return [this.gossip(partner, reason, gossip)];
+    return [this.createCall(partner, reason, gossip)];
   }
 
   /**
-   * Asks others to probe a daemon, so that one bad link is not taken for a death.
+   * Asks other daemons to probe a daemon (indirect probe), so that one bad link does not make a healthy
+   * daemon suspect.
    *
-   * @param helpers - names of those who are asked.
-   * @param target - who is probed.
-   * @param refused - whether its host refused our own probe.
-   * @returns The calls.
+   * @param helpers - names of the daemons that make the probe.
+   * @param target - the daemon to be probed.
+   * @param refused - whether its host refused the connection of the direct probe.
+   * @returns One request for each helper.
    */
   through(
     helpers: readonly string[],
@@ -113,7 +114,7 @@
     });
   }
 
-  private gossip(
+  private createCall(
     { daemonId, peerAddress }: UnknownDaemon,
     reason: ProbeReason,
     gossip: Gossip,
--- a/src/membership/GossipComposer.ts
+++ b/src/membership/GossipComposer.ts
@@ -1,5 +1,5 @@
 /**
- * Puts messages together: bounded, and with what the partner needs most.
+ * Builds gossip messages of bounded size, with the content that the receiver needs most.
  */
 import type { Dissemination } from './Dissemination.js';
 import type { MembershipTuning } from './membershipOptions.js';
@@ -12,56 +12,58 @@
 /** Options of a {@link GossipComposer}. */
 export interface GossipComposerOptions {
   table: MemberTable;
-  board: NewsBoard;
+  newsCache: NewsBoard;
   dissemination: Dissemination;
-  choice: PartnerChoice;
+  selector: PartnerChoice;
   tuning: MembershipTuning;
 }
 
-/** What a message is to hold beside the ordinary. */
+/** What a message has to contain besides queued changes and recent news. */
 export interface GossipRequest {
   readonly kind: GossipKind;
-  /** The partner's record, if it is known. */
+  /** The receiver's record, if it is known. */
   readonly partner: MemberRecord | undefined;
-  /** Records that the partner has to see. */
+  /** Records to include in any case. */
   readonly records?: readonly MemberRecord[];
-  /** The own news, for the revisions. */
+  /** This daemon's own news; the message carries its revisions. */
   readonly local: LocalNews;
 }
 
-/** Reads the tables, changes only the counts of what was passed on. */
+/** Builds messages. The only state that it changes is the count of how often each change was sent. */
 export class GossipComposer {
   private readonly table: MemberTable;
 
-  private readonly board: NewsBoard;
+  private readonly newsCache: NewsBoard;
 
   private readonly dissemination: Dissemination;
 
-  private readonly choice: PartnerChoice;
+  private readonly selector: PartnerChoice;
 
   private readonly tuning: MembershipTuning;
 
   /**
-   * @param options - the tables and limits.
+   * @param options - the sources of the content, and the size limits.
    */
-  constructor({ table, board, dissemination, choice, tuning }: GossipComposerOptions) {
+  constructor({ table, newsCache, dissemination, selector, tuning }: GossipComposerOptions) {
     this.table = table;
-    this.board = board;
+    this.newsCache = newsCache;
     this.dissemination = dissemination;
-    this.choice = choice;
+    this.selector = selector;
     this.tuning = tuning;
   }
 
   /**
+   * Builds a message.
+   *
    * @param now - monotonic milliseconds.
-   * @param request - what is wanted.
+   * @param request - the kind of message, its receiver and the records to include.
    * @returns The message.
    */
   compose(now: number, { kind, partner, records = [], local }: GossipRequest): Gossip {
     const members = new Map<string, MemberRecord>();
-    // A daemon that is doubted has to hear it, or it could not refute.
-    const isDoubted = partner?.state === 'suspect' || partner?.state === 'dead';
-    if (isDoubted) members.set(partner.daemonId, partner);
+    // A receiver that is suspect or dead here gets its own record, because it can refute only what it knows of.
+    const isSuspectOrDead = partner?.state === 'suspect' || partner?.state === 'dead';
+    if (isSuspectOrDead) members.set(partner.daemonId, partner);
     for (const record of records) members.set(record.daemonId, record);
     const { recordsPerMessage } = this.tuning;
     for (const daemonId of this.dissemination.take(recordsPerMessage, this.table.size)) {
@@ -79,27 +81,29 @@
     };
   }
 
-  /** @returns Everybody who is there, for a daemon that joins. */
+  /** @returns The records of all present members, for a daemon that joins. */
   wholePicture(): MemberRecord[] {
     return this.table.all().filter(isPresent);
   }
 
   /**
-   * @param hashes - the partner's hashes of the parts.
-   * @param told - records that the partner has sent just now.
-   * @returns Our records in the parts that differ, as many as one message takes.
+   * Finds the records to send for anti-entropy.
+   *
+   * @param hashes - the peer's bucket hashes.
+   * @param received - the records in the peer's message; equal ones are not sent back.
+   * @returns This daemon's records in the buckets that differ: a random sample, if one message can't hold all.
    */
-  differences(hashes: readonly number[], told: readonly MemberRecord[]): MemberRecord[] {
-    const differing = this.table.picture.differingBuckets(hashes);
-    const sent = new Map(told.map((record) => [record.daemonId, record]));
-    const unlike = this.table.inBuckets(differing).filter((record) => {
+  differences(hashes: readonly number[], received: readonly MemberRecord[]): MemberRecord[] {
+    const buckets = this.table.picture.differingBuckets(hashes);
+    const sent = new Map(received.map((record) => [record.daemonId, record]));
+    const differingRecords = this.table.inBuckets(buckets).filter((record) => {
       const theirs = sent.get(record.daemonId);
       return theirs?.incarnation !== record.incarnation || theirs.state !== record.state;
     });
     const limit = this.tuning.recordsPerComparison;
-    if (unlike.length <= limit) return unlike;
-    const names = this.choice.sample(
-      unlike.map(({ daemonId }) => daemonId),
+    if (differingRecords.length <= limit) return differingRecords;
+    const names = this.selector.sample(
+      differingRecords.map(({ daemonId }) => daemonId),
       limit,
     );
     return names.map((daemonId) => this.table.get(daemonId)!);
@@ -112,11 +116,15 @@
     if (!partner) return { news: [], summaries: [] };
     const { newsPerMessage, summariesPerMessage } = this.tuning;
     const { daemonId, dataCentre } = this.table.self;
-    const summaries = this.board.youngestSummaries(now, summariesPerMessage, partner.dataCentre);
+    const summaries = this.newsCache.youngestSummaries(
+      now,
+      summariesPerMessage,
+      partner.dataCentre,
+    );
     if (partner.dataCentre === dataCentre) {
-      return { news: this.board.youngestNews(now, newsPerMessage, daemonId), summaries };
+      return { news: this.newsCache.youngestNews(now, newsPerMessage, daemonId), summaries };
     }
-    const own = this.board.summarize(dataCentre, this.table.near());
-    return { news: [], summaries: own ? [own, ...summaries] : summaries };
+    const ownSummary = this.newsCache.summarize(dataCentre, this.table.near());
+    return { news: [], summaries: ownSummary ? [ownSummary, ...summaries] : summaries };
   }
 }
--- a/src/membership/GossipIntake.ts
+++ b/src/membership/GossipIntake.ts
@@ -1,5 +1,5 @@
 /**
- * Takes in what a message holds: records, news, sums, revisions.
+ * Applies a received gossip message: member records, news, data centre summaries and revisions.
  */
 import type { Dissemination } from './Dissemination.js';
 import type { MembershipTuning } from './membershipOptions.js';
@@ -12,25 +12,25 @@
 /** Options of a {@link GossipIntake}. */
 export interface GossipIntakeOptions {
   table: MemberTable;
-  board: NewsBoard;
-  book: MemberBook;
+  newsCache: NewsBoard;
+  tracker: MemberBook;
   dissemination: Dissemination;
   tuning: MembershipTuning;
 }
 
-/** What came of a message; `newer` are records in which the sender is behind. */
+/** The result of a message; `newer` are records of this daemon that the sender has in an older version. */
 export interface TakenGossip {
   readonly actions: MembershipAction[];
   readonly newer: readonly MemberRecord[];
 }
 
-/** One message at a time, in any order and any number of times. */
+/** Applies messages. They may arrive in any order and more than once. */
 export class GossipIntake {
   private readonly table: MemberTable;
 
-  private readonly board: NewsBoard;
+  private readonly newsCache: NewsBoard;
 
-  private readonly book: MemberBook;
+  private readonly tracker: MemberBook;
 
   private readonly dissemination: Dissemination;
 
@@ -39,87 +39,93 @@
   private readonly revisions = new RevisionWatch();
 
   /**
-   * @param options - the tables and limits.
+   * @param options - the tables that are updated, and the size limits.
    */
-  constructor({ table, board, book, dissemination, tuning }: GossipIntakeOptions) {
+  constructor({ table, newsCache, tracker, dissemination, tuning }: GossipIntakeOptions) {
     this.table = table;
-    this.board = board;
-    this.book = book;
+    this.newsCache = newsCache;
+    this.tracker = tracker;
     this.dissemination = dissemination;
     this.tuning = tuning;
   }
 
   /**
+   * Applies one message.
+   *
    * @param now - monotonic milliseconds.
-   * @param from - the daemon that sent it, as the connection proved.
+   * @param from - the sender's name, as authenticated by the connection.
    * @param gossip - the message.
-   * @param local - what is in force here.
-   * @returns Actions, and what the sender should hear.
+   * @param local - this daemon's own news.
+   * @returns Actions, and records that the sender should get.
    */
   take(now: number, from: string, gossip: Gossip, local: LocalNews): TakenGossip {
     const actions: MembershipAction[] = [];
     const newer: MemberRecord[] = [];
-    for (const heard of gossip.members) {
-      if (heard.daemonId === this.table.self.daemonId) {
-        actions.push(...this.takeOwnRecord(heard, newer, local));
+    for (const received of gossip.members) {
+      if (received.daemonId === this.table.self.daemonId) {
+        actions.push(...this.handleOwnRecord(received, newer, local));
         continue;
       }
-      const reason = heard.daemonId === from ? 'answered' : 'told_by_peer';
-      const merged = this.book.merge(now, heard, reason);
+      const reason = received.daemonId === from ? 'answered' : 'told_by_peer';
+      const merged = this.tracker.merge(now, received, reason);
       actions.push(...merged.actions);
       if (merged.newer) newer.push(merged.newer);
     }
-    actions.push(...this.takeNews(now, gossip));
+    actions.push(...this.applyNews(now, gossip));
     const sender = this.table.get(from);
     if (sender) {
-      actions.push(...this.takeRevisions(sender, gossip));
+      actions.push(...this.applyRevisions(sender, gossip));
       actions.push(...this.revisions.compare(now, sender, gossip, local));
     }
     return { actions, newer: newer.slice(0, this.tuning.recordsPerMessage) };
   }
 
-  private takeRevisions(member: MemberRecord, gossip: Gossip): MembershipAction[] {
+  private applyRevisions(member: MemberRecord, gossip: Gossip): MembershipAction[] {
     if (member.dataCentre === this.table.self.dataCentre) return [];
-    if (!this.board.hearRevisions(member.daemonId, gossip)) return [];
-    return [{ kind: 'member_changed', member, news: this.board.newsOf(member.daemonId) }];
+    if (!this.newsCache.hearRevisions(member.daemonId, gossip)) return [];
+    return [{ kind: 'member_changed', member, news: this.newsCache.newsOf(member.daemonId) }];
   }
 
-  private takeNews(now: number, { news, summaries }: Gossip): MembershipAction[] {
+  private applyNews(now: number, { news, summaries }: Gossip): MembershipAction[] {
     const actions: MembershipAction[] = [];
     const { self } = this.table;
-    for (const each of news) {
-      const member = this.table.get(each.daemonId);
-      const isOther = each.daemonId !== self.daemonId;
-      if (!isOther || member?.incarnation !== each.incarnation) continue;
-      if (!this.board.hear(now, each)) continue;
-      actions.push({ kind: 'member_changed', member, news: this.board.newsOf(each.daemonId) });
+    for (const entry of news) {
+      const member = this.table.get(entry.daemonId);
+      const isOther = entry.daemonId !== self.daemonId;
+      if (!isOther || member?.incarnation !== entry.incarnation) continue;
+      if (!this.newsCache.hear(now, entry)) continue;
+      actions.push({ kind: 'member_changed', member, news: this.newsCache.newsOf(entry.daemonId) });
     }
     for (const summary of summaries) {
       if (summary.dataCentre === self.dataCentre) continue;
-      if (this.board.hearSummary(now, summary)) actions.push({ kind: 'summary_changed', summary });
+      if (this.newsCache.hearSummary(now, summary))
+        actions.push({ kind: 'summary_changed', summary });
     }
     return actions;
   }
 
-  /** A claim about this daemon is answered by a greater version, or the fleet would go on without it. */
-  private takeOwnRecord(
-    heard: MemberRecord,
+  /**
+   * Refutes a record of this daemon that has another state or a newer incarnation by raising its own version.
+   * Without that the fleet would treat a running daemon as dead.
+   */
+  private handleOwnRecord(
+    received: MemberRecord,
     newer: MemberRecord[],
     local: LocalNews,
   ): MembershipAction[] {
     const { self } = this.table;
-    if (heard.incarnation < self.incarnation) {
+    if (received.incarnation < self.incarnation) {
       newer.push(self);
       return [];
     }
-    const isSame = heard.incarnation === self.incarnation;
-    if (isSame && heard.version < self.version) {
-      if (heard.state !== self.state) newer.push(self);
+    const isSame = received.incarnation === self.incarnation;
+    if (isSame && received.version < self.version) {
+      if (received.state !== self.state) newer.push(self);
       return [];
     }
-    if (isSame && heard.state === self.state) return [];
-    const incarnation = isSame ? self.incarnation : heard.incarnation + 1;
-    const version = Math.max(heard.version, self.version) + 1;
+    if (isSame && received.state === self.state) return [];
+    const incarnation = isSame ? self.incarnation : received.incarnation + 1;
+    const version = Math.max(received.version, self.version) + 1;
     const member = { ...self, incarnation, version };
     this.table.set(member);
     this.dissemination.add(self.daemonId);
@@ -127,7 +133,7 @@
     return [
       ...(isSame ? [] : [{ kind: 'incarnation_raised', incarnation } as const]),
       { kind: 'member_changed', member, news: local },
-      { kind: 'refuted', claim: heard.state, version },
+      { kind: 'refuted', claim: received.state, version },
     ];
   }
 }
--- a/src/membership/MemberBook.ts
+++ b/src/membership/MemberBook.ts
@@ -1,5 +1,6 @@
 /**
- * What is believed of the others: merges what is heard, runs the suspicions, and says what changed.
+ * The state of all other daemons as seen by this one: merges received records, runs the suspicion timeouts and
+ * reports state changes.
  */
 import { ChartInterpreter } from '../charts/ChartInterpreter.js';
 import { Deadlines } from './Deadlines.js';
@@ -22,13 +23,14 @@
 /** Options of a {@link MemberBook}. */
 export interface MemberBookOptions {
   table: MemberTable;
-  board: NewsBoard;
+  newsCache: NewsBoard;
   dissemination: Dissemination;
   tuning: MembershipTuning;
 }
 
 const memberChart = new ChartInterpreter<MemberState, MemberEvent>({ chart });
 
+/** Most daemons whose disputed state waits for a call; bounds memory. */
 const MAXIMUM_DISPUTED = 256;
 
 const NOTES: Readonly<Record<MemberState, MemberNote>> = {
@@ -39,30 +41,30 @@
   left: 'left',
 };
 
-/** Owns the beliefs about all daemons but this one. */
+/** Tracks the states of all daemons but this one. */
 export class MemberBook {
   private readonly table: MemberTable;
 
-  private readonly board: NewsBoard;
+  private readonly newsCache: NewsBoard;
 
   private readonly dissemination: Dissemination;
 
   private readonly tuning: MembershipTuning;
 
-  private readonly suspicions = new Deadlines();
+  private readonly suspicionDeadlines = new Deadlines();
 
-  private readonly forgetting = new Deadlines();
+  private readonly removalDeadlines = new Deadlines();
 
   private readonly disputed = new Set<string>();
 
-  private listed = new Map<string, ListedInstance>();
+  private platformInstances = new Map<string, ListedInstance>();
 
   /**
-   * @param options - the tables and times.
+   * @param options - the tables that are updated, and the timeouts.
    */
-  constructor({ table, board, dissemination, tuning }: MemberBookOptions) {
+  constructor({ table, newsCache, dissemination, tuning }: MemberBookOptions) {
     this.table = table;
-    this.board = board;
+    this.newsCache = newsCache;
     this.dissemination = dissemination;
     this.tuning = tuning;
   }
@@ -71,31 +73,32 @@
    * Merges a record of another daemon.
    *
    * @param now - monotonic milliseconds.
-   * @param heard - a peer's record.
-   * @param reason - `answered` when the daemon itself sent it.
-   * @returns Actions, and our record if the peer's is older or disputed.
+   * @param received - the record that a peer sent.
+   * @param reason - `answered` if the daemon itself sent it.
+   * @returns Actions, and the record known here if the peer's is older or disputed.
    */
   merge(
     now: number,
-    heard: MemberRecord,
+    received: MemberRecord,
     reason: NoteReason,
   ): { actions: MembershipAction[]; newer?: MemberRecord } {
-    const known = this.table.get(heard.daemonId);
-    const outcome = mergeRecord(memberChart, known, heard);
+    const known = this.table.get(received.daemonId);
+    const outcome = mergeRecord(memberChart, known, received);
     if (outcome.kind === 'accepted') {
       return { actions: this.accept(now, known, outcome.record, reason) };
     }
     if (!known || outcome.kind === 'nothing_new') return { actions: [] };
-    // Disputes that find no room come again with the next comparison.
+    // A dispute beyond the limit comes up again with the next comparison.
     const hasRoom = this.disputed.size < MAXIMUM_DISPUTED;
-    if (outcome.kind === 'disputed' && hasRoom) this.disputed.add(heard.daemonId);
+    if (outcome.kind === 'disputed' && hasRoom) this.disputed.add(received.daemonId);
     return { actions: [], newer: known };
   }
 
   /**
-   * Takes daemons that some believe dead and others alive, to ask them.
+   * Removes daemons from the list of those that some daemons see as dead and others as alive. The caller asks
+   * them directly.
    *
-   * @param limit - how many.
+   * @param limit - the largest number of daemons.
    * @returns Their names.
    */
   takeDisputed(limit: number): string[] {
@@ -105,77 +108,79 @@
   }
 
   /**
-   * Takes in that a daemon answered no probe, neither ours nor those of others.
+   * Makes a daemon suspect after neither the direct nor any indirect probe was answered.
    *
    * @param now - monotonic milliseconds.
-   * @param daemonId - its name.
-   * @param refused - whether its host said that nobody listens.
+   * @param daemonId - the daemon's name.
+   * @param refused - whether its host refused the connection, which shortens the suspicion timeout.
    * @returns Actions.
    */
   doubt(now: number, daemonId: string, refused: boolean): MembershipAction[] {
     const known = this.table.get(daemonId);
     if (!known) return [];
-    // Nothing is placed on a leaving daemon, so there is no harm in believing at once that it is gone.
+    // Nothing is placed on a leaving daemon, so it can be declared dead without a suspicion timeout.
     const event = known.state === 'leaving' ? 'died' : 'suspected';
     const { state, accepted } = memberChart.next(known.state, event);
     const actions = accepted ? this.accept(now, known, { ...known, state }, 'own_probe') : [];
-    if (refused || this.listed.get(daemonId)?.state === 'leaving') this.shorten(now, daemonId);
+    if (refused || this.platformInstances.get(daemonId)?.state === 'leaving')
+      this.shortenSuspicion(now, daemonId);
     return actions;
   }
 
   /**
-   * Takes the platform's list. It lags, so it proves neither life nor death; it only shortens a doubt that
-   * probes have raised.
+   * Stores the platform's list of instances. The list lags, so it proves neither that a daemon is alive nor
+   * that it is dead; it only shortens the suspicion timeout of a daemon that probes have made suspect.
    *
    * @param now - monotonic milliseconds.
-   * @param instances - the list.
+   * @param instances - the platform's list.
    */
   takePlatformList(now: number, instances: readonly ListedInstance[]): void {
-    this.listed = new Map(instances.map((instance) => [instance.daemonId, instance]));
+    this.platformInstances = new Map(instances.map((instance) => [instance.daemonId, instance]));
     for (const { daemonId, state } of instances) {
-      if (state === 'leaving') this.shorten(now, daemonId);
+      if (state === 'leaving') this.shortenSuspicion(now, daemonId);
     }
   }
 
-  /** @returns Live instances of the platform's list that are not known here. */
+  /** @returns Live instances of the platform's list that have no record here. */
   unknownInstances(): ListedInstance[] {
-    return [...this.listed.values()].filter(
+    return [...this.platformInstances.values()].filter(
       ({ daemonId, state }) => state === 'live' && !this.table.get(daemonId),
     );
   }
 
   /**
-   * Carries out what time brings.
+   * Declares daemons dead whose suspicion timeout is over, and removes dead and left ones after their retention
+   * time.
    *
    * @param now - monotonic milliseconds.
    * @returns Actions.
    */
   passTime(now: number): MembershipAction[] {
-    const died = this.suspicions.takeDue(now).flatMap((daemonId) => {
+    const died = this.suspicionDeadlines.takeDue(now).flatMap((daemonId) => {
       const known = this.table.get(daemonId);
       if (!known) return [];
       const { state, accepted } = memberChart.next(known.state, 'died');
       return accepted ? this.accept(now, known, { ...known, state }, 'suspicion_timeout') : [];
     });
-    const forgotten = this.forgetting.takeDue(now).map((daemonId) => this.forget(daemonId));
+    const forgotten = this.removalDeadlines.takeDue(now).map((daemonId) => this.forget(daemonId));
     return [...died, ...forgotten];
   }
 
   /**
-   * Gives every suspect its whole time again: this daemon was away and heard no refutation.
+   * Extends all suspicion timeouts by a pause of this process, during which it received no refutations.
    *
-   * @param milliseconds - how long it was away.
+   * @param milliseconds - length of the pause.
    */
   postpone(milliseconds: number): void {
-    this.suspicions.postpone(milliseconds);
+    this.suspicionDeadlines.postpone(milliseconds);
   }
 
-  /** @returns The next time at which something happens, in monotonic milliseconds. */
+  /** @returns The earliest end of a suspicion timeout, in monotonic milliseconds, or `undefined`. */
   nextWake(): number | undefined {
-    return this.suspicions.earliest();
+    return this.suspicionDeadlines.earliest();
   }
 
-  /** @returns How long a daemon stays suspect in a fleet of the present size, in ms. */
+  /** @returns The suspicion timeout for the fleet's present size, in ms. */
   suspicionTimeout(): number {
     const scale = Math.max(1, Math.log10(this.table.size));
     return this.tuning.suspicionRounds * scale * this.tuning.gossipIntervalMilliseconds;
@@ -190,16 +195,17 @@
     const { daemonId, state } = record;
     this.table.set(record);
     const restarted = known !== undefined && known.incarnation !== record.incarnation;
-    if (restarted) this.board.forget(daemonId);
+    if (restarted) this.newsCache.forget(daemonId);
     const changed = restarted || known?.state !== state;
-    // A version alone is passed on, too: without it a refutation would not reach those who doubt.
+    // A record with only a greater version is queued, too: otherwise a refutation would not reach the daemons
+    // that suspect its sender.
     this.dissemination.add(daemonId);
     if (!changed) return [];
-    this.schedule(now, daemonId, state);
+    this.scheduleTimeouts(now, daemonId, state);
     const member: MembershipAction = {
       kind: 'member_changed',
       member: record,
-      news: this.board.newsOf(daemonId),
+      news: this.newsCache.newsOf(daemonId),
     };
     let note = NOTES[state];
     if (!known) note = 'joined';
@@ -207,22 +213,22 @@
     return [member, { kind: 'note', note, daemonId, reason }];
   }
 
-  private schedule(now: number, daemonId: string, state: MemberState): void {
-    this.suspicions.delete(daemonId);
-    this.forgetting.delete(daemonId);
-    if (state === 'suspect') this.suspicions.set(daemonId, now + this.suspicionTimeout());
+  private scheduleTimeouts(now: number, daemonId: string, state: MemberState): void {
+    this.suspicionDeadlines.delete(daemonId);
+    this.removalDeadlines.delete(daemonId);
+    if (state === 'suspect') this.suspicionDeadlines.set(daemonId, now + this.suspicionTimeout());
     if (state === 'dead' || state === 'left') {
-      this.forgetting.set(daemonId, now + this.tuning.forgetDeadAfterMilliseconds);
+      this.removalDeadlines.set(daemonId, now + this.tuning.forgetDeadAfterMilliseconds);
     }
   }
 
-  private shorten(now: number, daemonId: string): void {
-    this.suspicions.bringForward(daemonId, now + this.tuning.shortSuspicionMilliseconds);
+  private shortenSuspicion(now: number, daemonId: string): void {
+    this.suspicionDeadlines.bringForward(daemonId, now + this.tuning.shortSuspicionMilliseconds);
   }
 
   private forget(daemonId: string): MembershipAction {
     this.table.delete(daemonId);
-    this.board.forget(daemonId);
+    this.newsCache.forget(daemonId);
     this.dissemination.remove(daemonId);
     this.disputed.delete(daemonId);
     return { kind: 'member_forgotten', daemonId };
--- a/src/membership/MemberTable.ts
+++ b/src/membership/MemberTable.ts
@@ -1,9 +1,10 @@
 /**
- * All known daemons, with the lists that choices are made from.
+ * The records of all known daemons, with lists derived from them for choosing peers.
  */
 import type { MemberRecord } from './membershipTypes.js';
 import { bucketOf, Picture } from './Picture.js';
 
+/** Lists derived from the records; computed on demand and kept until a state or a data centre changes. */
 interface Lists {
   readonly others: readonly string[];
   readonly near: readonly MemberRecord[];
@@ -13,15 +14,15 @@
 
 /**
  * @param record - a daemon's record.
- * @returns Whether it is neither dead nor gone.
+ * @returns Whether the daemon is present, that is neither dead nor left.
  */
 export function isPresent({ state }: MemberRecord): boolean {
   return state !== 'dead' && state !== 'left';
 }
 
-/** Records by name; this daemon's own is always there. */
+/** Holds the records by daemon name; this daemon's own record is always in it. */
 export class MemberTable {
-  /** Hashes of who is there. */
+  /** Hashes of the present members, for comparing tables between daemons. */
   readonly picture = new Picture();
 
   private readonly records = new Map<string, MemberRecord>();
@@ -43,7 +44,7 @@
     return this.records.get(this.selfId)!;
   }
 
-  /** @returns Daemons that are there, this one included. */
+  /** @returns The number of present daemons, this one included. */
   get size(): number {
     return this.currentLists().others.length + 1;
   }
@@ -57,21 +58,23 @@
   }
 
   /**
-   * Puts a record in the place of the one before.
+   * Adds a record, or replaces the one with the same daemon name.
    *
-   * @param record - the record.
+   * @param record - the new record.
    */
   set(record: MemberRecord): void {
     const before = this.records.get(record.daemonId);
     this.records.set(record.daemonId, record);
     this.picture.replace(before, record);
     const isSame = before?.state === record.state && before.dataCentre === record.dataCentre;
-    // Versions change all the time; the lists of names do not depend on them.
+    // Versions change often, and the lists do not depend on them.
     if (!isSame) this.lists = undefined;
   }
 
   /**
-   * @param daemonId - a daemon to forget.
+   * Removes a record.
+   *
+   * @param daemonId - the daemon's name.
    */
   delete(daemonId: string): void {
     const before = this.records.get(daemonId);
@@ -86,38 +89,38 @@
   }
 
   /**
-   * @param buckets - parts of the picture.
-   * @returns The records in them, the dead included: they may be what differs.
+   * @param buckets - indexes of hash buckets.
+   * @returns The records in these buckets, with those of dead daemons: they may be the ones that differ.
    */
   inBuckets(buckets: ReadonlySet<number>): MemberRecord[] {
     return this.all().filter(({ daemonId }) => buckets.has(bucketOf(daemonId)));
   }
 
-  /** @returns Names of the other daemons that are there. */
+  /** @returns The names of the other daemons that are present. */
   others(): readonly string[] {
     return this.currentLists().others;
   }
 
   /**
    * @param daemonId - a daemon's name.
-   * @returns Whether it is another daemon that is there.
+   * @returns Whether this is the name of another daemon, and that one is present.
    */
   isOther(daemonId: string): boolean {
     const record = this.records.get(daemonId);
     return daemonId !== this.selfId && record !== undefined && isPresent(record);
   }
 
-  /** @returns The daemons of this data centre that are there, this one included. */
+  /** @returns The present daemons of this data centre, this one included. */
   near(): MemberRecord[] {
     return this.currentLists().near.map(({ daemonId }) => this.records.get(daemonId)!);
   }
 
-  /** @returns Names of the others in this data centre. */
+  /** @returns The names of the other present daemons of this data centre. */
   nearOthers(): readonly string[] {
     return this.currentLists().nearOthers;
   }
 
-  /** @returns Names of the dead that are still kept. */
+  /** @returns The names of the dead daemons whose records are still kept. */
   dead(): readonly string[] {
     return this.currentLists().dead;
   }
--- a/src/membership/MembershipDecisions.faults.spec.ts
+++ b/src/membership/MembershipDecisions.faults.spec.ts
@@ -9,8 +9,8 @@
 const SECOND = 1_000;
 const NAMES = ['rosario-1', 'rosario-2', 'rosario-3', 'sofia-1', 'sofia-2', 'sofia-3'];
 const TUNING = { differencesBeforeComparison: 5 };
-/** Long enough for suspicion, revival and refutation at the default times. */
-const CALM = 90 * SECOND;
+/** Long enough for suspicion, reviving a dead daemon and refutation at the default times, in ms. */
+const SETTLE_MILLISECONDS = 90 * SECOND;
 
 function settledFleet(): TestFleet {
   const fleet = new TestFleet({ names: NAMES, tuning: TUNING });
@@ -25,82 +25,83 @@
 
 interface Fault {
   readonly name: string;
-  /** Told by the comment of the table's line. */
-  readonly happen: (fleet: TestFleet) => void;
-  /** What the others believe of sofia-1 right after it. */
-  readonly believed: MemberState;
-  /** And after a calm time. */
-  readonly inTheEnd: MemberState;
+  /** Injects the fault; the comment of the table's entry says what happens. */
+  readonly inject: (fleet: TestFleet) => void;
+  /** The state in which rosario-1 has sofia-1 right after the fault. */
+  readonly stateAfterFault: MemberState;
+  /** The state in which all others have it after {@link SETTLE_MILLISECONDS}. */
+  readonly finalState: MemberState;
 }
 
 const FAULTS: readonly Fault[] = [
   {
-    // Symptom: gates stay on a dead daemon. Sequence: its process is killed, its host refuses connections.
-    // Cause: without a probe nobody looks.
+    // Guards against gates that stay on a dead daemon. Its process is killed and its host refuses connections;
+    // only a probe can detect that.
     name: 'a kill',
-    happen: (fleet) => {
+    inject: (fleet) => {
       fleet.kill('sofia-1');
       fleet.run(8 * SECOND);
     },
-    believed: 'dead',
-    inTheEnd: 'dead',
+    stateAfterFault: 'dead',
+    finalState: 'dead',
   },
   {
-    // Symptom: a frozen daemon keeps its gates, or never gets them back. Sequence: it stops for 20 s, wakes.
-    // Cause: silence is not noticed, or the refutation of the waking daemon does not reach those who doubt.
+    // Guards against a frozen daemon that keeps its gates, or never gets them back. It stops for 20 s and then
+    // resumes. Missing answers have to be detected, and its refutation has to reach the daemons that suspect
+    // it.
     name: 'a pause of 20 s',
-    happen: (fleet) => {
+    inject: (fleet) => {
       fleet.pause('sofia-1', true);
       fleet.run(20 * SECOND);
       fleet.pause('sofia-1', false);
     },
-    believed: 'dead',
-    inTheEnd: 'alive',
+    stateAfterFault: 'dead',
+    finalState: 'alive',
   },
   {
-    // Symptom: a healthy daemon is declared dead. Sequence: one daemon cannot reach it, all others can.
-    // Cause: one bad link is taken for a death.
+    // Guards against declaring a healthy daemon dead because of one bad link: one daemon can't reach it, all
+    // others can.
     name: 'a link that is cut one way',
-    happen: (fleet) => {
-      // eslint-disable-next-line no-param-reassign -- the rule is the fleet's to hold
+    inject: (fleet) => {
+      // eslint-disable-next-line no-param-reassign -- the test fleet's link rule is set from outside
       fleet.mayPass = (from, to) => from !== 'rosario-1' || to !== 'sofia-1';
       fleet.run(60 * SECOND);
     },
-    believed: 'alive',
-    inTheEnd: 'alive',
+    stateAfterFault: 'alive',
+    finalState: 'alive',
   },
   {
-    // Symptom: two halves never meet again. Sequence: the regions lose each other until each side has
-    // declared the other dead, then the link returns. Cause: the dead are not tried any more.
+    // Guards against a split that never heals. The link between the regions fails until each side has declared
+    // the other dead, and then returns. Dead daemons have to be probed from time to time.
     name: 'a cut between the regions',
-    happen: (fleet) => {
-      // eslint-disable-next-line no-param-reassign -- the rule is the fleet's to hold
+    inject: (fleet) => {
+      // eslint-disable-next-line no-param-reassign -- the test fleet's link rule is set from outside
       fleet.mayPass = (from, to) => !isCutBetweenRegions(from, to);
       fleet.run(60 * SECOND);
-      // eslint-disable-next-line no-param-reassign -- the rule is the fleet's to hold
+      // eslint-disable-next-line no-param-reassign -- the test fleet's link rule is set from outside
       fleet.mayPass = () => true;
     },
-    believed: 'dead',
-    inTheEnd: 'alive',
+    stateAfterFault: 'dead',
+    finalState: 'alive',
   },
   {
-    // Symptom: a restarted daemon stays dead. Sequence: killed, started again within a second.
-    // Cause: old claims about the name are held against the new process.
+    // Guards against a restarted daemon that stays dead. It is killed and started again within a second;
+    // records of the old incarnation must not apply to the new one.
     name: 'a quick restart',
-    happen: (fleet) => {
+    inject: (fleet) => {
       fleet.kill('sofia-1');
       fleet.run(SECOND);
       fleet.start('sofia-1', 2);
       fleet.run(2 * SECOND);
     },
-    believed: 'alive',
-    inTheEnd: 'alive',
+    stateAfterFault: 'alive',
+    finalState: 'alive',
   },
   {
-    // Symptom: a flapping daemon shakes the fleet. Sequence: it restarts five times, three seconds apart.
-    // Cause: records of older incarnations win over newer ones.
+    // Guards against records of older incarnations that win over newer ones. The daemon restarts five times,
+    // three seconds apart.
     name: 'flapping',
-    happen: (fleet) => {
+    inject: (fleet) => {
       for (let incarnation = 2; incarnation < 7; incarnation += 1) {
         fleet.kill('sofia-1');
         fleet.run(3 * SECOND);
@@ -108,14 +109,15 @@
         fleet.run(3 * SECOND);
       }
     },
-    believed: 'alive',
-    inTheEnd: 'alive',
+    stateAfterFault: 'alive',
+    finalState: 'alive',
   },
   {
-    // Symptom: a planned stop looks like a death, with its alert. Sequence: leave, a while, farewell, exit.
-    // Cause: the farewell is lost or is weaker than a doubt.
+    // Guards against a planned stop that is reported as a failure, with its alert. The daemon announces
+    // `leaving`, later `left`, and exits. The record with `left` must not be lost, and must win over a
+    // suspicion.
     name: 'a planned stop',
-    happen: (fleet) => {
+    inject: (fleet) => {
       fleet.tell('sofia-1', { kind: 'leave' });
       fleet.run(5 * SECOND);
       fleet.tell('sofia-1', { kind: 'left' });
@@ -123,20 +125,20 @@
       fleet.kill('sofia-1');
       fleet.run(5 * SECOND);
     },
-    believed: 'left',
-    inTheEnd: 'left',
+    stateAfterFault: 'left',
+    finalState: 'left',
   },
 ];
 
 describe(`${MembershipDecisions.name} and faults`, () => {
-  for (const { name, happen, believed, inTheEnd } of FAULTS) {
+  for (const { name, inject, stateAfterFault, finalState } of FAULTS) {
     it(`survives ${name}`, () => {
       const fleet = settledFleet();
-      happen(fleet);
+      inject(fleet);
       const others = NAMES.filter((other) => other !== 'sofia-1');
-      expect(fleet.view('rosario-1')['sofia-1']).toEqual(believed);
-      fleet.run(CALM);
-      for (const other of others) expect(fleet.view(other)['sofia-1']).toEqual(inTheEnd);
+      expect(fleet.view('rosario-1')['sofia-1']).toEqual(stateAfterFault);
+      fleet.run(SETTLE_MILLISECONDS);
+      for (const other of others) expect(fleet.view(other)['sofia-1']).toEqual(finalState);
       for (const other of others) {
         const unharmed = others.map((neighbour) => fleet.view(other)[neighbour]);
         expect(new Set(unharmed)).toEqual(new Set(['alive']));
--- a/src/membership/MembershipDecisions.spec.ts
+++ b/src/membership/MembershipDecisions.spec.ts
@@ -10,8 +10,8 @@
 const SECOND = 1_000;
 const NAMES = ['rosario-1', 'rosario-2', 'rosario-3', 'sofia-1', 'sofia-2', 'sofia-3'];
 const TUNING = { differencesBeforeComparison: 5 };
-/** Long enough for suspicion, revival and refutation at the default times. */
-const CALM = 90 * SECOND;
+/** Long enough for suspicion, reviving a dead daemon and refutation at the default times, in ms. */
+const SETTLE_MILLISECONDS = 90 * SECOND;
 
 function settledFleet(): TestFleet {
   const fleet = new TestFleet({ names: NAMES, tuning: TUNING });
@@ -24,7 +24,7 @@
   return from.slice(0, 2) !== to.slice(0, 2);
 }
 
-function notesAbout(fleet: TestFleet, name: string, note: string): string[] {
+function observersOf(fleet: TestFleet, name: string, note: string): string[] {
   return [...fleet.daemons.keys()].filter((observer) =>
     fleet
       .actionsOf(observer, 'note')
@@ -33,23 +33,23 @@
 }
 
 describe(MembershipDecisions.name, () => {
-  it('declares nobody dead when two cut regions meet again', () => {
-    // Symptom: the gates of the whole fleet move twice. Sequence: a cut, each side declares the other dead,
-    // the link returns and each side tells the other that half of it is dead.
-    // Cause: a claim of death is taken over for a daemon that is alive here.
+  it('declares no daemon dead when a network partition heals', () => {
+    // Guards against moving the gates of the whole fleet twice. In a partition each side declares the other
+    // dead; when the link returns, each side receives records that call its own half dead. A daemon that is
+    // alive here must not become dead by such a record.
     const fleet = settledFleet();
     fleet.mayPass = (from, to) => !isCutBetweenRegions(from, to);
     fleet.run(60 * SECOND);
     for (const daemon of fleet.daemons.values()) daemon.actions.length = 0;
     fleet.mayPass = () => true;
-    fleet.run(CALM);
+    fleet.run(SETTLE_MILLISECONDS);
     expect(fleet.agrees).toEqual(true);
-    expect(NAMES.flatMap((name) => notesAbout(fleet, name, 'died'))).toEqual([]);
+    expect(NAMES.flatMap((name) => observersOf(fleet, name, 'died'))).toEqual([]);
   });
 
-  it('steps back after a pause and acts again when peers answer', () => {
-    // Symptom: two daemons fill one runner. Sequence: the holder of a gate freezes, another takes the gate,
-    // the first wakes and goes on. Cause: a process does not notice that it did not run.
+  it('steps back after a pause of the process and resumes when peers answer', () => {
+    // Guards against two daemons that send requests to one runner. The holder of a gate freezes, another daemon
+    // takes the gate, and the first one resumes without detecting that it was paused.
     const fleet = settledFleet();
     fleet.pause('rosario-2', true);
     fleet.run(20 * SECOND);
@@ -65,16 +65,16 @@
     expect(fleet.actionsOf('rosario-2', 'resumed')).toEqual([
       { kind: 'resumed', reason: 'reconnected' },
     ]);
-    // What it saw while it was away is no ground for doubts about others.
-    expect(NAMES.flatMap((name) => notesAbout(fleet, name, 'suspected'))).toEqual(
+    // Probes that failed because of the pause must not make other daemons suspect.
+    expect(NAMES.flatMap((name) => observersOf(fleet, name, 'suspected'))).toEqual(
       NAMES.filter(
         (name) =>
-          name !== 'rosario-2' && notesAbout(fleet, 'rosario-2', 'suspected').includes(name),
+          name !== 'rosario-2' && observersOf(fleet, 'rosario-2', 'suspected').includes(name),
       ),
     );
   });
 
-  it('acts on its own when it wakes and reaches nobody', () => {
+  it('resumes without peers when none can be reached after a pause', () => {
     const fleet = settledFleet();
     fleet.pause('rosario-2', true);
     fleet.run(20 * SECOND);
@@ -86,7 +86,7 @@
     ]);
   });
 
-  it('says where a newer revision is, and again while it is missing', () => {
+  it('reports which daemon has a newer revision, repeatedly while it is missing', () => {
     const fleet = settledFleet();
     const news = {
       configurationRevision: 5,
@@ -97,9 +97,9 @@
     fleet.tell('sofia-1', { kind: 'local_news', news });
     fleet.run(10 * SECOND);
     for (const name of NAMES.filter((other) => other !== 'sofia-1')) {
-      const heard = fleet.actionsOf(name, 'newer_revision');
-      expect(heard.length).toBeGreaterThan(1);
-      expect(heard[0]).toEqual({
+      const reports = fleet.actionsOf(name, 'newer_revision');
+      expect(reports.length).toBeGreaterThan(1);
+      expect(reports[0]).toEqual({
         kind: 'newer_revision',
         document: 'configuration',
         revision: 5,
@@ -109,23 +109,24 @@
     }
   });
 
-  it('takes a newer incarnation of its own name as a reason to raise its own', () => {
-    // Symptom: a restarted daemon is never believed. Sequence: its wall clock went back before the start,
-    // so that the fleet knows a newer incarnation. Cause: the older incarnation loses everywhere.
+  it('raises its incarnation above a newer one of its own name', () => {
+    // Guards against a restarted daemon whose records are ignored for good. Its wall clock was set back before
+    // the start, so the fleet knows a newer incarnation of its name, and the older one loses everywhere.
     const fleet = settledFleet();
     fleet.kill('sofia-1');
     fleet.run(10 * SECOND);
     fleet.start('sofia-1', 0);
-    fleet.run(CALM);
+    fleet.run(SETTLE_MILLISECONDS);
     expect(fleet.agrees).toEqual(true);
     expect(fleet.actionsOf('sofia-1', 'incarnation_raised')).toEqual([
       { kind: 'incarnation_raised', incarnation: 2 },
     ]);
   });
 
-  it('keeps every message within its limits, whatever happens at once', () => {
-    // Symptom: control traffic above its budget in the worst hour. Sequence: a dozen daemons start at once,
-    // regions are cut and meet again. Cause: all changes that wait go into one message.
+  it('keeps every message within its size limits during many simultaneous changes', () => {
+    // Guards against control traffic above its budget when much changes at once: a dozen daemons start
+    // together, then a partition between the regions begins and heals. Queued changes must not all go into one
+    // message.
     const names = ['rosario', 'sofia'].flatMap((region) =>
       ['1', '2', '3', '4', '5', '6'].map((number) => `${region}-${number}`),
     );
@@ -135,21 +136,22 @@
     fleet.mayPass = (from, to) => !isCutBetweenRegions(from, to);
     fleet.run(60 * SECOND);
     fleet.mayPass = () => true;
-    fleet.run(2 * CALM);
+    fleet.run(2 * SETTLE_MILLISECONDS);
     expect(fleet.agrees).toEqual(true);
     const calls = names.flatMap((name) => fleet.actionsOf(name, 'gossip'));
     const answers = names.flatMap((name) => fleet.actionsOf(name, 'answer'));
     const largest = (numbers: number[]) => Math.max(...numbers);
-    // Changes, what the partner is behind in, a comparison, and the partner itself when it is doubted.
+    // Queued changes, newer records for the sender, a comparison, and the receiver's own record if it is
+    // suspect.
     const limit = 2 + 2 + 3 + 1;
     expect(largest(calls.map(({ gossip }) => gossip.members.length))).toBeLessThanOrEqual(limit);
     const news = [...calls, ...answers].map(({ gossip }) => gossip.news.length);
     expect(largest(news)).toEqual(2);
   });
 
-  it('converges from any mix of faults, and incarnations never go back', () => {
-    // Symptom: a live daemon stays dead for good. Sequence: any of losses, cuts, pauses and restarts.
-    // Cause: a claim that nobody can refute any more.
+  it('converges after any mix of faults, and incarnations never decrease', () => {
+    // Guards against a running daemon that stays dead for good because a record about it can't be refuted any
+    // more. The faults are random mixes of losses, partitions, pauses and restarts.
     const fault = fc.record({
       kind: fc.constantFrom('cut', 'isolate', 'pause', 'restart', 'calm'),
       who: fc.constantFrom(...NAMES),
@@ -192,7 +194,7 @@
           fleet.mayPass = () => true;
         }
         fleet.loss = 0;
-        fleet.run(2 * CALM);
+        fleet.run(2 * SETTLE_MILLISECONDS);
         checkOrder();
         expect(fleet.agrees).toEqual(true);
       }),
--- a/src/membership/MembershipDecisions.ts
+++ b/src/membership/MembershipDecisions.ts
@@ -1,9 +1,10 @@
 /**
- * Membership by gossip: who is there, who is gone, and what changes all the time about them.
+ * Membership by gossip: the failure detector of the fleet, and the exchange of load and revisions.
  *
  * Each round probes one daemon of the fleet and exchanges news with one of the data centre. A daemon that
- * neither answers nor can be reached through others becomes suspect, has time to refute, and is dead after
- * it (SWIM). Messages have a fixed largest size, so that bytes a second do not grow with the fleet.
+ * answers neither the direct nor the indirect probes becomes suspect. It may refute the suspicion until the
+ * timeout and is dead afterwards (SWIM). Messages have a fixed maximum size, so that bytes a second do not grow
+ * with the fleet.
  */
 import { match } from 'ts-pattern';
 
@@ -32,9 +33,9 @@
 
 /** Options of {@link MembershipDecisions}. */
 export interface MembershipDecisionsOptions {
-  /** This daemon; its state is `alive`. */
+  /** This daemon's record, with state `alive`. */
   self: MemberRecord;
-  /** Different for each daemon. */
+  /** Seed for choosing peers; different for each daemon, or all would probe in step. */
   seed: number;
   tuning?: Partial<MembershipTuning>;
 }
@@ -48,17 +49,17 @@
   pools: [],
 };
 
-/** The decisions of one daemon. */
+/** The membership decisions of one daemon: turns messages and clock ticks into actions, without I/O. */
 export class MembershipDecisions extends Decisions<MembershipMessage, MembershipAction> {
   private readonly tuning: MembershipTuning;
 
   private readonly table: MemberTable;
 
-  private readonly board = new NewsBoard();
+  private readonly newsCache = new NewsBoard();
 
   private readonly dissemination = new Dissemination();
 
-  private readonly choice: PartnerChoice;
+  private readonly selector: PartnerChoice;
 
   private readonly composer: GossipComposer;
 
@@ -68,59 +69,59 @@
 
   private readonly rounds: RoundCalls;
 
-  private readonly book: MemberBook;
+  private readonly tracker: MemberBook;
 
   private readonly probes = new ProbeBook();
 
-  private readonly selfPart: SelfPart;
+  private readonly selfMembership: SelfPart;
 
-  private local: LocalNews = NO_NEWS;
+  private localNews: LocalNews = NO_NEWS;
 
   private newsVersion = 0;
 
   private nextRoundAt: number | undefined;
 
-  /** Exchanges that showed another picture than ours, since the last comparison. */
-  private differences = 0;
+  /** Exchanges since the last comparison in which the peer's hash of the members differed from ours. */
+  private hashMismatches = 0;
 
   /**
-   * @param options - who this daemon is, its seed and its numbers.
+   * @param options - this daemon's record, its seed and its tuning.
    */
   constructor({ self, seed, tuning = {} }: MembershipDecisionsOptions) {
     super();
     this.tuning = { ...DEFAULT_MEMBERSHIP_TUNING, ...tuning };
     this.table = new MemberTable(self);
-    this.choice = new PartnerChoice({ seed });
-    const { table, board, dissemination, choice, probes } = this;
-    const shared = { table, board, dissemination, tuning: this.tuning };
-    this.composer = new GossipComposer({ ...shared, choice });
+    this.selector = new PartnerChoice({ seed });
+    const { table, newsCache, dissemination, selector, probes } = this;
+    const shared = { table, newsCache, dissemination, tuning: this.tuning };
+    this.composer = new GossipComposer({ ...shared, selector });
     this.calls = new GossipCalls({ table, composer: this.composer, probes, tuning: this.tuning });
-    this.book = new MemberBook(shared);
-    this.rounds = new RoundCalls({ ...shared, choice, book: this.book, calls: this.calls });
-    this.intake = new GossipIntake({ ...shared, book: this.book });
-    this.selfPart = new SelfPart({ tuning: this.tuning });
+    this.tracker = new MemberBook(shared);
+    this.rounds = new RoundCalls({ ...shared, selector, tracker: this.tracker, calls: this.calls });
+    this.intake = new GossipIntake({ ...shared, tracker: this.tracker });
+    this.selfMembership = new SelfPart({ tuning: this.tuning });
   }
 
   override decide(now: number, message: MembershipMessage): readonly MembershipAction[] {
-    const away = this.selfPart.noticeAbsence(now);
+    const away = this.selfMembership.noticeAbsence(now);
     const steppedBack = away === undefined ? [] : this.stepBack(now, away);
     return [...steppedBack, ...this.handle(now, message)];
   }
 
   override nextWake(): number | undefined {
-    const times = [this.nextRoundAt, this.book.nextWake(), this.selfPart.nextWake];
+    const times = [this.nextRoundAt, this.tracker.nextWake(), this.selfMembership.nextWake];
     const known = times.filter((time) => time !== undefined);
     return known.length === 0 ? undefined : Math.min(...known);
   }
 
-  /** @returns All known daemons, for status pages and measurements. */
+  /** @returns The records of all known daemons, for status pages and measurements. */
   members(): readonly MemberRecord[] {
     return this.table.all();
   }
 
-  /** @returns This daemon's own state. */
+  /** @returns This daemon's own state, see selfMembership.chart.json. */
   get selfState(): SelfState {
-    return this.selfPart.state;
+    return this.selfMembership.state;
   }
 
   /**
@@ -128,26 +129,30 @@
    * @returns Ages of the news and summaries held here, in ms.
    */
   newsAges(now: number): { readonly news: number[]; readonly summaries: number[] } {
-    return this.board.ages(now);
+    return this.newsCache.ages(now);
   }
 
   private handle(now: number, message: MembershipMessage): Actions {
     return match<MembershipMessage, Actions>(message)
       .with({ kind: 'start' }, ({ seeds }) => this.start(now, seeds))
       .with({ kind: 'gossip_received' }, ({ exchange, from, gossip }) =>
-        this.answer(now, exchange, from, gossip),
+        this.answerGossip(now, exchange, from, gossip),
       )
       .with({ kind: 'gossip_answered' }, ({ probe, from, gossip }) =>
-        this.takeAnswer(now, probe, from, gossip),
+        this.handleAnswer(now, probe, from, gossip),
+      )
+      .with({ kind: 'gossip_failed' }, ({ probe, refused }) =>
+        this.handleProbeFailure(now, probe, refused),
       )
-      .with({ kind: 'gossip_failed' }, ({ probe, refused }) => this.fail(now, probe, refused))
       .with({ kind: 'probe_for_ended' }, ({ probe, answered }) => {
         const outcome = this.probes.reportIndirect(probe, answered);
-        return outcome.kind === 'waiting' ? [] : this.doubt(now, outcome.daemonId, outcome.refused);
+        return outcome.kind === 'waiting'
+          ? []
+          : this.suspectMember(now, outcome.daemonId, outcome.refused);
       })
-      .with({ kind: 'local_news' }, ({ news }) => this.takeLocalNews(now, news))
+      .with({ kind: 'local_news' }, ({ news }) => this.updateLocalNews(now, news))
       .with({ kind: 'platform_list' }, ({ instances }) => {
-        this.book.takePlatformList(now, instances);
+        this.tracker.takePlatformList(now, instances);
         return [];
       })
       .with({ kind: 'was_away' }, ({ milliseconds }) => this.stepBack(now, milliseconds))
@@ -159,129 +164,134 @@
 
   private start(now: number, seeds: readonly string[]): Actions {
     this.rounds.start(now, seeds);
-    this.selfPart.startJoining(now);
-    // Daemons that start together spread their rounds over the interval.
-    this.nextRoundAt = now + this.choice.integer(this.tuning.gossipIntervalMilliseconds);
-    return [this.selfChanged(), ...this.rounds.seeds(now, this.local)];
+    this.selfMembership.startJoining(now);
+    // A random offset spreads the rounds of daemons that start together over the interval.
+    this.nextRoundAt = now + this.selector.integer(this.tuning.gossipIntervalMilliseconds);
+    return [this.selfChangedAction(), ...this.rounds.seeds(now, this.localNews)];
   }
 
   private tick(now: number): Actions {
     const actions = [
-      ...this.selfPart.giveUpWhenDue(now, this.table.size),
-      ...this.book.passTime(now),
+      ...this.selfMembership.giveUpWhenDue(now, this.table.size),
+      ...this.tracker.passTime(now),
     ];
     if (this.nextRoundAt === undefined || now < this.nextRoundAt) return actions;
     this.nextRoundAt = now + this.tuning.gossipIntervalMilliseconds;
-    this.issueNews(now);
-    if (this.selfPart.state === 'joining') actions.push(...this.rounds.seeds(now, this.local));
-    return [...actions, ...this.rounds.round(now, this.local)];
+    this.refreshOwnNews(now);
+    if (this.selfMembership.state === 'joining')
+      actions.push(...this.rounds.seeds(now, this.localNews));
+    return [...actions, ...this.rounds.round(now, this.localNews)];
   }
 
-  private answer(now: number, exchange: number, from: string, gossip: Gossip): Actions {
-    const { actions, newer } = this.intake.take(now, from, gossip, this.local);
+  private answerGossip(now: number, exchange: number, from: string, gossip: Gossip): Actions {
+    const { actions, newer } = this.intake.take(now, from, gossip, this.localNews);
     const records = [...newer];
     if (gossip.kind === 'full') records.push(...this.composer.wholePicture());
     if (gossip.kind === 'compare') {
       records.push(...this.composer.differences(gossip.bucketHashes, gossip.members));
     }
     const partner = this.table.get(from);
-    // Whoever is not known here is asked for what we lack: itself, and perhaps more.
+    // A comparison with an unknown caller fetches its own record and others that are missing here.
     const compares = gossip.kind === 'compare' || partner === undefined;
     const answer = this.composer.compose(now, {
       kind: compares ? 'compare' : 'delta',
       partner,
       records,
-      local: this.local,
+      local: this.localNews,
     });
     return [...actions, { kind: 'answer', exchange, gossip: answer }];
   }
 
-  private takeAnswer(now: number, probe: number, from: string, gossip: Gossip): Actions {
+  private handleAnswer(now: number, probe: number, from: string, gossip: Gossip): Actions {
     const closed = this.probes.close(probe);
     if (!closed) return [];
-    const { actions, newer } = this.intake.take(now, from, gossip, this.local);
-    actions.push(...this.selfPart.heardFrom(from, this.table.size));
+    const { actions, newer } = this.intake.take(now, from, gossip, this.localNews);
+    actions.push(...this.selfMembership.heardFrom(from, this.table.size));
     const records = [...newer];
     if (gossip.kind === 'compare') {
       records.push(...this.composer.differences(gossip.bucketHashes, gossip.members));
     }
     if (records.length > 0)
-      return [...actions, ...this.calls.member(now, this.local, from, 'comparison', records)];
-    return [...actions, ...this.compareWhenDifferent(now, from, gossip)];
+      return [...actions, ...this.calls.member(now, this.localNews, from, 'comparison', records)];
+    return [...actions, ...this.compareAfterMismatches(now, from, gossip)];
   }
 
   /**
-   * Deltas can be lost for good: too many at once, or a daemon that was cut off while they were told. An
-   * equal picture in between proves nothing: neighbours may lack the same daemon.
+   * Asks for a comparison after a number of exchanges with different hashes (anti-entropy). It is needed
+   * because changes can be lost for good: there were too many at once, or a daemon was cut off while they were
+   * sent. An equal hash in between does not reset the count: a neighbour may lack the same member.
    */
-  private compareWhenDifferent(now: number, from: string, gossip: Gossip): Actions {
+  private compareAfterMismatches(now: number, from: string, gossip: Gossip): Actions {
     if (gossip.pictureHash === this.table.picture.hash()) return [];
-    this.differences += 1;
-    if (this.differences < this.tuning.differencesBeforeComparison) return [];
-    this.differences = 0;
-    return this.calls.member(now, this.local, from, 'comparison');
+    this.hashMismatches += 1;
+    if (this.hashMismatches < this.tuning.differencesBeforeComparison) return [];
+    this.hashMismatches = 0;
+    return this.calls.member(now, this.localNews, from, 'comparison');
   }
 
-  private fail(now: number, probe: number, refused: boolean): Actions {
+  private handleProbeFailure(now: number, probe: number, refused: boolean): Actions {
     const closed = this.probes.close(probe);
     if (!closed || closed.daemonId === '') return [];
     const target = this.table.get(closed.daemonId);
     if (!target || target.state === 'dead' || target.state === 'left') return [];
-    const helpers = this.choice.sample(
+    const helpers = this.selector.sample(
       this.table.others().filter((daemonId) => daemonId !== closed.daemonId),
       this.tuning.indirectProbes,
     );
-    if (helpers.length === 0) return this.doubt(now, closed.daemonId, refused);
+    if (helpers.length === 0) return this.suspectMember(now, closed.daemonId, refused);
     return this.calls.through(helpers, target, refused);
   }
 
-  private doubt(now: number, daemonId: string, refused: boolean): Actions {
-    if (!this.selfPart.maySuspect) return [];
-    return this.book.doubt(now, daemonId, refused);
+  private suspectMember(now: number, daemonId: string, refused: boolean): Actions {
+    if (!this.selfMembership.maySuspect) return [];
+    return this.tracker.doubt(now, daemonId, refused);
   }
 
-  private takeLocalNews(now: number, news: LocalNews): Actions {
-    const before = this.local;
-    this.local = news;
-    this.issueNews(now);
+  private updateLocalNews(now: number, news: LocalNews): Actions {
+    const before = this.localNews;
+    this.localNews = news;
+    this.refreshOwnNews(now);
     const isNewer =
       news.configurationRevision > before.configurationRevision ||
       news.runnersRevision > before.runnersRevision;
-    return [this.selfChanged(), ...(isNewer ? this.rounds.pushRevision(now, this.local) : [])];
+    return [
+      this.selfChangedAction(),
+      ...(isNewer ? this.rounds.pushRevision(now, this.localNews) : []),
+    ];
   }
 
-  private issueNews(now: number): void {
+  private refreshOwnNews(now: number): void {
     this.newsVersion += 1;
     const { daemonId, incarnation } = this.table.self;
     const identity = { daemonId, incarnation, version: this.newsVersion, ageMilliseconds: 0 };
-    this.board.hear(now, { ...identity, ...this.local });
+    this.newsCache.hear(now, { ...identity, ...this.localNews });
   }
 
   private stepBack(now: number, milliseconds: number): Actions {
-    const actions = this.selfPart.stepBack(now, milliseconds);
+    const actions = this.selfMembership.stepBack(now, milliseconds);
     if (actions.length === 0) return [];
     this.probes.clear();
-    this.book.postpone(milliseconds);
-    // Asked at once, so that the step back is short when all is well.
-    return [...actions, ...this.rounds.tellSome(now, this.local)];
+    this.tracker.postpone(milliseconds);
+    // Peers are called at once, so that the daemon resumes soon if they answer.
+    return [...actions, ...this.rounds.tellSome(now, this.localNews)];
   }
 
   private leave(now: number): Actions {
-    return this.selfPart.take('leave') ? this.announce(now, 'leaving') : [];
+    return this.selfMembership.take('leave') ? this.announceState(now, 'leaving') : [];
   }
 
   private finishLeaving(now: number): Actions {
-    return this.selfPart.take('left') ? this.announce(now, 'left') : [];
+    return this.selfMembership.take('left') ? this.announceState(now, 'left') : [];
   }
 
-  private announce(now: number, state: 'leaving' | 'left'): Actions {
+  private announceState(now: number, state: 'leaving' | 'left'): Actions {
     const { self } = this.table;
     this.table.set({ ...self, state, version: self.version + 1 });
     this.dissemination.add(self.daemonId);
-    return [this.selfChanged(), ...this.rounds.tellSome(now, this.local)];
+    return [this.selfChangedAction(), ...this.rounds.tellSome(now, this.localNews)];
   }
 
-  private selfChanged(): MembershipAction {
-    return { kind: 'member_changed', member: this.table.self, news: this.local };
+  private selfChangedAction(): MembershipAction {
+    return { kind: 'member_changed', member: this.table.self, news: this.localNews };
   }
 }
--- a/src/membership/MembershipTask.spec.ts
+++ b/src/membership/MembershipTask.spec.ts
@@ -17,7 +17,9 @@
 
 const SECRET = 'a secret of the whole fleet';
 const settings = peersSettings.parse({ fleetSecrets: [SECRET], stopTimeoutMilliseconds: 50 });
-/** Rounds far shorter than in use, so that the test waits for little; what it waits for are conditions. */
+/**
+ * Much shorter intervals than in production, so that the test is fast; it waits for conditions, not for times.
+ */
 const TUNING = {
   gossipIntervalMilliseconds: 20,
   probeTimeoutMilliseconds: 500,
@@ -96,7 +98,9 @@
   return daemon;
 }
 
-/** Waits until every fleet satisfies the condition; the test's own time limit ends a wait that never succeeds. */
+/**
+ * Waits until every fleet satisfies the condition; the test's own time limit ends a wait that never succeeds.
+ */
 async function until(daemons: readonly RunningDaemon[], condition: (fleet: FleetState) => boolean) {
   await Promise.all(
     daemons.map(
@@ -115,7 +119,7 @@
 }
 
 describe(MembershipTask.name, { timeout: 20_000 }, () => {
-  it('lets daemons find each other, see a death, a restart and a farewell', async () => {
+  it('joins daemons over real connections and shows a death, a restart and a planned stop', async () => {
     const first = await start('a', []);
     const second = await start('b', [first.address]);
     const third = await start('c', [first.address]);
@@ -148,9 +152,9 @@
     expect(statesOf(first.fleet)).toEqual({ a: 'alive', b: 'left', c: 'alive' });
   });
 
-  it('refuses a message in the name of another daemon', async () => {
-    // Symptom: a daemon is declared dead by nobody. Sequence: b sends a message that says "from a".
-    // Cause: the sender's name was read from the message, not from the connection.
+  it('refuses a message that names another daemon as its sender', async () => {
+    // Guards against records that seem to come from another daemon. The sender's name has to be checked against
+    // the identity that the connection authenticated.
     const first = await start('a', []);
     const second = await start('b', [first.address]);
     let code: Code | undefined;
--- a/src/membership/MembershipTask.ts
+++ b/src/membership/MembershipTask.ts
@@ -1,5 +1,6 @@
 /**
- * Carries the membership's messages between daemons, keeps the fleet's state up to date and the log informed.
+ * Runs the membership decisions in a daemon: sends and receives their messages, applies member changes to the
+ * fleet state and writes log events.
  */
 import { create } from '@bufbuild/protobuf';
 import { Code, ConnectError } from '@connectrpc/connect';
@@ -35,17 +36,17 @@
 
 type ActionOf<Kind extends MembershipAction['kind']> = Extract<MembershipAction, { kind: Kind }>;
 
-/** What other features want to hear; none of it may throw. */
+/** Callbacks for other features; none of them may throw. */
 export interface MembershipListener {
-  /** A daemon has something newer in force. */
+  /** Another daemon has a newer configuration or runner list in force. */
   onNewerRevision?: (newer: ActionOf<'newer_revision'>) => void;
-  /** This process did not run for a while: close gates with care, hold no lease. */
+  /** This process was paused: others may own its gates and leases by now, so it must not use them. */
   onSteppedBack?: (awayMilliseconds: number) => void;
-  /** Act again. */
+  /** The daemon may act again after a pause. */
   onResumed?: () => void;
-  /** The fleet is known, or nobody was found. */
+  /** The daemon knows the fleet, or no seed answered in time. */
   onJoined?: (members: number) => void;
-  /** The name of this process' start changed; bindings issued before are void. */
+  /** This process got a greater incarnation; bindings issued under the previous one are void. */
   onIncarnationRaised?: (incarnation: number) => void;
 }
 
@@ -57,21 +58,24 @@
   fleet: FleetState;
   log?: Log;
   listener?: MembershipListener;
-  /** The same as in the decisions' tuning. */
+  /** A longer suspend of the machine counts as a pause; the same value as in the decisions' tuning. */
   awayThresholdMilliseconds: number;
   record?: (step: DecisionStep<MembershipMessage, MembershipAction>) => void;
 }
 
-/** Probes that are made for others at once; more would let one bad hour of a peer become ours. */
+/**
+ * Most indirect probes at once for other daemons, so that a peer with many failed probes can't overload this
+ * one.
+ */
 const MAXIMUM_PROBES_FOR_OTHERS = 64;
 
-/** Longest time that a probe for another may take, whatever it asked. */
+/** Longest timeout of an indirect probe, whatever timeout the peer asks for. */
 const MAXIMUM_PROBE_MILLISECONDS = 5_000;
 
-/** How long a daemon that goes waits for its farewell to arrive. */
-const FAREWELL_MILLISECONDS = 1_000;
+/** How long a stopping daemon waits for its `left` announcement to arrive. */
+const LEFT_ANNOUNCEMENT_MILLISECONDS = 1_000;
 
-/** Owns the membership decisions of one daemon. */
+/** Runs the membership decisions of one daemon and performs their actions. */
 export class MembershipTask extends DecisionTask<MembershipMessage, MembershipAction> {
   private readonly link: PeerLink;
 
@@ -83,7 +87,7 @@
 
   private readonly exchanges = new Map<number, (answer: GossipMessage) => void>();
 
-  private readonly calls = new Set<Promise<void>>();
+  private readonly pendingCalls = new Set<Promise<void>>();
 
   private lastExchange = 0;
 
@@ -92,7 +96,7 @@
   private readonly clockWatch: ClockWatch;
 
   /**
-   * @param options - the decisions, and what they act on.
+   * @param options - the decisions, and the parts that their actions use.
    */
   constructor({
     decisions,
@@ -117,7 +121,7 @@
   }
 
   /**
-   * Joins the fleet; the peer server has to listen by now.
+   * Joins the fleet. The peer server has to listen already.
    *
    * @param seeds - `host:port` of some daemons.
    */
@@ -127,32 +131,36 @@
   }
 
   /**
-   * @param news - load and revisions of this daemon, about once in a round.
+   * Updates the news that gossip carries; called about once a round.
+   *
+   * @param news - load and revisions of this daemon.
    */
   publish(news: LocalNews): void {
     this.send({ kind: 'local_news', news });
   }
 
   /**
-   * @param instances - the platform's list.
+   * Updates the platform's list of instances.
+   *
+   * @param instances - the complete list.
    */
   takePlatformList(instances: readonly ListedInstance[]): void {
     this.send({ kind: 'platform_list', instances });
   }
 
-  /** Announces the planned stop: from now on nobody places a gate or a home here. */
+  /** Announces a planned stop: from now on no daemon places a gate or a home here. */
   leave(): void {
     this.send({ kind: 'leave' });
   }
 
-  /** Says farewell and ends the task. */
+  /** Announces `left`, waits a limited time for pending calls and stops the task. */
   async finish(): Promise<void> {
     this.send({ kind: 'left' });
     let timer: NodeJS.Timeout | undefined;
-    const patience = new Promise<void>((resolve) => {
-      timer = setTimeout(resolve, FAREWELL_MILLISECONDS);
+    const timeLimit = new Promise<void>((resolve) => {
+      timer = setTimeout(resolve, LEFT_ANNOUNCEMENT_MILLISECONDS);
     });
-    await Promise.race([Promise.allSettled([...this.calls]), patience]);
+    await Promise.race([Promise.allSettled([...this.pendingCalls]), timeLimit]);
     clearTimeout(timer);
     this.stop();
   }
@@ -224,8 +232,8 @@
   }
 
   private track(call: Promise<void>): void {
-    this.calls.add(call);
-    void call.finally(() => this.calls.delete(call));
+    this.pendingCalls.add(call);
+    void call.finally(() => this.pendingCalls.delete(call));
   }
 
   private async gossip(call: ActionOf<'gossip'>): Promise<void> {
@@ -258,7 +266,7 @@
   }
 
   private receive(from: string, message: GossipMessage): Promise<GossipMessage> {
-    // The connection proved who it is; a message in another's name is a mistake that must not spread.
+    // The connection authenticated the sender. A message under another name is an error that must not spread.
     if (message.from !== from) throw new ConnectError('', Code.PermissionDenied);
     this.lastExchange += 1;
     const exchange = this.lastExchange;
--- a/src/membership/NewsBoard.ts
+++ b/src/membership/NewsBoard.ts
@@ -1,25 +1,28 @@
 /**
- * The newest news of the daemons of this data centre, and the sums of the others. A message takes the
- * youngest of them up to a fixed number: bytes stay the same as the fleet grows, ages grow slowly.
+ * The latest news (load and revisions) of the daemons of this data centre, and summaries of the other data
+ * centres. A message carries a fixed number of the most recent ones, so its size does not grow with the fleet,
+ * while the age of the news grows slowly.
  */
 import type { LocalNews, MemberNews, MemberRecord, PoolNews, Summary } from './membershipTypes.js';
 
 type RevisionField = 'configurationRevision' | 'runnersRevision';
 
-interface Heard<News> {
+interface Dated<News> {
   readonly news: News;
-  /** Monotonic milliseconds at which it was true. */
-  readonly trueAt: number;
+  /** Monotonic milliseconds at which the sender measured it. */
+  readonly measuredAt: number;
 }
 
-/** A sum of fewer daemons than this share of a data centre would tell the others a wrong load. */
-const NEEDED_SHARE = 0.8;
+/**
+ * A summary needs news of at least this share of a data centre's daemons; with fewer its load would be wrong.
+ */
+const MINIMUM_SHARE = 0.8;
 
-/** A summary replaces a known one when it is younger by this, in ms; clocks tick unevenly on the way. */
+/** A summary replaces a known one only if it is younger by this, in ms; relays add small clock differences. */
 const YOUNGER_BY_MILLISECONDS = 100;
 
-function youngest<News>(entries: Iterable<Heard<News>>, limit: number): Heard<News>[] {
-  return [...entries].sort((a, b) => b.trueAt - a.trueAt).slice(0, limit);
+function youngest<News>(entries: Iterable<Dated<News>>, limit: number): Dated<News>[] {
+  return [...entries].sort((a, b) => b.measuredAt - a.measuredAt).slice(0, limit);
 }
 
 function addPool(sums: Map<string, PoolNews>, pool: PoolNews): void {
@@ -38,50 +41,52 @@
   });
 }
 
-/** Keeps news by daemon and summaries by data centre. */
+/** Keeps the latest news by daemon and the latest summary by data centre. */
 export class NewsBoard {
-  private readonly news = new Map<string, Heard<MemberNews>>();
+  private readonly news = new Map<string, Dated<MemberNews>>();
 
-  /** What daemons of other data centres said of themselves when we talked; their pools are in the sums. */
-  private readonly farRevisions = new Map<string, LocalNews>();
+  /**
+   * Revisions that daemons of other data centres sent in direct exchanges; their loads are in the summaries.
+   */
+  private readonly remoteRevisions = new Map<string, LocalNews>();
 
-  private readonly summaries = new Map<string, Heard<Summary>>();
+  private readonly summaries = new Map<string, Dated<Summary>>();
 
   /**
    * @param daemonId - a daemon's name.
-   * @returns Its newest news, or `undefined`.
+   * @returns Its latest news, or `undefined`.
    */
   newsOf(daemonId: string): LocalNews | undefined {
-    return this.news.get(daemonId)?.news ?? this.farRevisions.get(daemonId);
+    return this.news.get(daemonId)?.news ?? this.remoteRevisions.get(daemonId);
   }
 
   /**
-   * Keeps what a daemon of another data centre said of its revisions.
+   * Stores the revisions of a daemon of another data centre.
    *
-   * @param daemonId - its name.
-   * @param revisions - what it has in force.
-   * @returns Whether that is new.
+   * @param daemonId - the daemon's name.
+   * @param revisions - the revisions that it has in force.
+   * @returns Whether they differ from the known ones.
    */
   hearRevisions(
     daemonId: string,
     { configurationRevision, runnersRevision }: Pick<LocalNews, RevisionField>,
   ): boolean {
-    const known = this.farRevisions.get(daemonId);
+    const known = this.remoteRevisions.get(daemonId);
     const isKnown =
       known?.configurationRevision === configurationRevision &&
       known.runnersRevision === runnersRevision;
     if (isKnown) return false;
     const revisions = { configurationRevision, runnersRevision };
-    this.farRevisions.set(daemonId, { ...revisions, configurationDigest: '', pools: [] });
+    this.remoteRevisions.set(daemonId, { ...revisions, configurationDigest: '', pools: [] });
     return true;
   }
 
   /**
-   * Keeps news if they are newer than what is known.
+   * Stores the news of a daemon if they are newer than the known ones.
    *
    * @param now - monotonic milliseconds.
    * @param news - the news.
-   * @returns Whether they were newer.
+   * @returns Whether they were stored.
    */
   hear(now: number, news: MemberNews): boolean {
     const known = this.news.get(news.daemonId)?.news;
@@ -90,80 +95,82 @@
       (news.incarnation < known.incarnation ||
         (news.incarnation === known.incarnation && news.version <= known.version));
     if (isOlder) return false;
-    this.news.set(news.daemonId, { news, trueAt: now - news.ageMilliseconds });
+    this.news.set(news.daemonId, { news, measuredAt: now - news.ageMilliseconds });
     return true;
   }
 
   /**
-   * Keeps a sum if it is younger than what is known.
+   * Stores the summary of another data centre if it is younger than the known one.
    *
    * @param now - monotonic milliseconds.
-   * @param summary - the sum of another data centre.
-   * @returns Whether it was younger.
+   * @param summary - the summary.
+   * @returns Whether it was stored.
    */
   hearSummary(now: number, summary: Summary): boolean {
-    const trueAt = now - summary.ageMilliseconds;
+    const measuredAt = now - summary.ageMilliseconds;
     const known = this.summaries.get(summary.dataCentre);
-    if (known && trueAt < known.trueAt + YOUNGER_BY_MILLISECONDS) return false;
-    this.summaries.set(summary.dataCentre, { news: summary, trueAt });
+    if (known && measuredAt < known.measuredAt + YOUNGER_BY_MILLISECONDS) return false;
+    this.summaries.set(summary.dataCentre, { news: summary, measuredAt });
     return true;
   }
 
   /**
-   * @param daemonId - a member that is gone.
+   * Removes the news of a daemon that restarted or is no longer a member.
+   *
+   * @param daemonId - the daemon's name.
    */
   forget(daemonId: string): void {
     this.news.delete(daemonId);
-    this.farRevisions.delete(daemonId);
+    this.remoteRevisions.delete(daemonId);
   }
 
   /**
    * @param now - monotonic milliseconds.
-   * @param limit - how many fit.
-   * @param first - the daemon whose news come in any case: the sender, who knows them best.
-   * @returns The youngest news, with their ages now.
+   * @param limit - the largest number of news.
+   * @param first - the daemon whose news are always included: the sender, which has the latest ones.
+   * @returns The most recent news, with their present ages.
    */
   youngestNews(now: number, limit: number, first: string): MemberNews[] {
     const own = this.news.get(first);
     const others = [...this.news.values()].filter(({ news }) => news.daemonId !== first);
     const chosen = youngest(others, limit - 1);
-    return (own ? [own, ...chosen] : chosen).map(({ news, trueAt }) => ({
+    return (own ? [own, ...chosen] : chosen).map(({ news, measuredAt }) => ({
       ...news,
-      ageMilliseconds: Math.round(now - trueAt),
+      ageMilliseconds: Math.round(now - measuredAt),
     }));
   }
 
   /**
    * @param now - monotonic milliseconds.
-   * @param limit - how many fit.
-   * @param except - a data centre that knows its own sum better.
-   * @returns The youngest sums, with their ages now.
+   * @param limit - the largest number of summaries.
+   * @param except - the receiver's data centre, which has a more recent summary of itself.
+   * @returns The most recent summaries, with their present ages.
    */
   youngestSummaries(now: number, limit: number, except: string): Summary[] {
     const others = [...this.summaries.values()].filter(({ news }) => news.dataCentre !== except);
-    return youngest(others, limit).map(({ news, trueAt }) => ({
+    return youngest(others, limit).map(({ news, measuredAt }) => ({
       ...news,
-      ageMilliseconds: Math.round(now - trueAt),
+      ageMilliseconds: Math.round(now - measuredAt),
     }));
   }
 
   /**
-   * Sums up this data centre.
+   * Builds the summary of this data centre.
    *
    * @param dataCentre - its name.
    * @param members - its daemons, this one included.
-   * @returns The sum, or `undefined` while too little is known.
+   * @returns The summary, or `undefined` while news of too many daemons are missing.
    */
   summarize(dataCentre: string, members: readonly MemberRecord[]): Summary | undefined {
-    const heard = members
+    const knownNews = members
       .map(({ daemonId }) => this.news.get(daemonId)?.news)
       .filter((news) => news !== undefined);
-    const [first] = heard;
-    if (!first || heard.length < members.length * NEEDED_SHARE) return undefined;
+    const [first] = knownNews;
+    if (!first || knownNews.length < members.length * MINIMUM_SHARE) return undefined;
     const pools = new Map<string, PoolNews>();
     let lowest = first;
     let lowestRunnersRevision = first.runnersRevision;
-    for (const news of heard) {
+    for (const news of knownNews) {
       for (const pool of news.pools) addPool(pools, pool);
       if (news.configurationRevision < lowest.configurationRevision) lowest = news;
       lowestRunnersRevision = Math.min(lowestRunnersRevision, news.runnersRevision);
@@ -171,7 +178,7 @@
     return {
       dataCentre,
       ageMilliseconds: 0,
-      daemons: heard.length,
+      daemons: knownNews.length,
       lowestConfigurationRevision: lowest.configurationRevision,
       lowestConfigurationDaemon: lowest.daemonId,
       lowestRunnersRevision,
@@ -181,11 +188,11 @@
 
   /**
    * @param now - monotonic milliseconds.
-   * @returns Ages of all news and of all sums, for metrics and measurements, in ms.
+   * @returns The ages of all news and of all summaries in ms, for metrics and measurements.
    */
   ages(now: number): { readonly news: number[]; readonly summaries: number[] } {
-    const agesOf = (entries: Iterable<Heard<unknown>>) =>
-      [...entries].map(({ trueAt }) => now - trueAt);
+    const agesOf = (entries: Iterable<Dated<unknown>>) =>
+      [...entries].map(({ measuredAt }) => now - measuredAt);
     return { news: agesOf(this.news.values()), summaries: agesOf(this.summaries.values()) };
   }
 }
--- a/src/membership/PartnerChoice.ts
+++ b/src/membership/PartnerChoice.ts
@@ -1,6 +1,7 @@
 /**
- * Whom to talk to next. Going through the whole fleet in a new random order each time bounds how long a
- * death stays unseen by one daemon; a random pick each time would not (SWIM, section 4.3).
+ * Seeded random choice of the daemons to call. Probes go through the whole fleet in a random order, which is
+ * shuffled anew for each pass. This bounds the time until each daemon has probed a dead one; an independent
+ * random choice for each probe would not (SWIM, section 4.3).
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -8,15 +9,15 @@
 
 /** Options of a {@link PartnerChoice}. */
 export interface PartnerChoiceOptions {
-  /** Daemons need different seeds, or all of them would probe in step. */
+  /** Different for each daemon, or all of them would probe the same targets in step. */
   seed: number;
 }
 
-/** Draws names, seeded. */
+/** Chooses daemon names from a seeded random generator. */
 export class PartnerChoice {
   private readonly generator: RandomGenerator;
 
-  private round: string[] = [];
+  private remaining: string[] = [];
 
   /**
    * @param options - the seed.
@@ -26,8 +27,8 @@
   }
 
   /**
-   * @param below - upper limit, not included.
-   * @returns An integer from 0.
+   * @param below - upper limit, exclusive.
+   * @returns A random integer from 0.
    */
   integer(below: number): number {
     return uniformInt(this.generator, 0, below - 1);
@@ -35,7 +36,7 @@
 
   /**
    * @param candidates - names.
-   * @returns One of them, or `undefined`.
+   * @returns A random one of them, or `undefined` if there are none.
    */
   pick(candidates: readonly string[]): string | undefined {
     return candidates.length === 0 ? undefined : candidates[this.integer(candidates.length)];
@@ -43,29 +44,30 @@
 
   /**
    * @param candidates - names.
-   * @param count - how many are wanted.
-   * @returns Different names, in random order.
+   * @param count - the largest number of names.
+   * @returns Different names in random order.
    */
   sample(candidates: readonly string[], count: number): string[] {
     return this.shuffled(candidates).slice(0, count);
   }
 
   /**
-   * Gives the next of a round over everybody; members that went are skipped, new ones join the next round.
+   * Chooses the next probe target of the current pass over the fleet. Members that have gone are skipped; new
+   * ones are in the next pass.
    *
-   * @param present - says whether a name is still to be probed.
-   * @param everybody - names for a new round.
-   * @returns The next name, or `undefined` when nobody is there.
+   * @param isPresent - whether a daemon is still to be probed.
+   * @param candidates - gives the names for a new pass.
+   * @returns The next name, or `undefined` if there are no candidates.
    */
   next(
-    present: (daemonId: string) => boolean,
-    everybody: () => readonly string[],
+    isPresent: (daemonId: string) => boolean,
+    candidates: () => readonly string[],
   ): string | undefined {
-    for (let name = this.round.pop(); name !== undefined; name = this.round.pop()) {
-      if (present(name)) return name;
+    for (let name = this.remaining.pop(); name !== undefined; name = this.remaining.pop()) {
+      if (isPresent(name)) return name;
     }
-    this.round = this.shuffled(everybody());
-    return this.round.pop();
+    this.remaining = this.shuffled(candidates());
+    return this.remaining.pop();
   }
 
   private shuffled(names: readonly string[]): string[] {
--- a/src/membership/Picture.ts
+++ b/src/membership/Picture.ts
@@ -1,39 +1,45 @@
 /**
- * Hashes of who is there, kept up to date with each change, so that two daemons see in a few bytes whether
- * they believe the same.
+ * Hashes of the present members for anti-entropy: two daemons compare a few bytes to see whether they know the
+ * same members.
  */
 import murmurhash from 'murmurhash';
 
 import type { MemberRecord } from './membershipTypes.js';
 
-/** Parts of the picture that are compared on their own: with 32, a difference costs a thirty-second of the fleet. */
+/**
+ * Hash buckets that are compared separately: with 32, one difference makes a thirty-second of the fleet's
+ * records be sent.
+ */
 export const BUCKETS = 32;
 
 /**
  * @param daemonId - a daemon's name.
- * @returns The part of the picture that it is in.
+ * @returns The index of the daemon's hash bucket.
  */
 export function bucketOf(daemonId: string): number {
   return murmurhash.v3(daemonId) % BUCKETS;
 }
 
-/** Doubts pass, so they are no difference; the dead and the gone are nobody's picture. */
+/**
+ * Suspect counts as alive, because a suspicion is temporary. Dead and left members are not in the hash, because
+ * daemons remove them at different times.
+ */
 function hashOf({ daemonId, incarnation, state }: MemberRecord): number {
   if (state === 'dead' || state === 'left') return 0;
-  const standing = state === 'leaving' ? 'leaving' : 'alive';
-  return murmurhash.v3(`${daemonId} ${incarnation} ${standing}`);
+  const hashedState = state === 'leaving' ? 'leaving' : 'alive';
+  return murmurhash.v3(`${daemonId} ${incarnation} ${hashedState}`);
 }
 
-/** The exclusive or of the members' hashes: the order of their coming does not matter. */
+/** The exclusive or of the members' hashes, by bucket, so that the order of changes does not matter. */
 export class Picture {
   private readonly buckets = new Array<number>(BUCKETS).fill(0);
 
   /**
-   * Takes a change into the hashes.
+   * Updates the hashes for a changed record.
    *
-   * @param before - the record until now, if there was one.
-   * @param after - the record from now on, if there is one.
-   * @returns Whether the picture changed.
+   * @param before - the previous record, if there was one.
+   * @param after - the new record, if there is one.
+   * @returns Whether a hash changed.
    */
   replace(before: MemberRecord | undefined, after: MemberRecord | undefined): boolean {
     const record = after ?? before;
@@ -45,19 +51,19 @@
     return true;
   }
 
-  /** @returns Hash of the whole picture, 32 bits. */
+  /** @returns The 32-bit hash of all members. */
   hash(): number {
     return this.buckets.reduce((hash, bucket) => (hash ^ bucket) >>> 0, 0);
   }
 
-  /** @returns A hash of each part. */
+  /** @returns The hash of each bucket. */
   bucketHashes(): number[] {
     return [...this.buckets];
   }
 
   /**
-   * @param hashes - a peer's hashes of the parts.
-   * @returns The parts that differ.
+   * @param hashes - a peer's bucket hashes.
+   * @returns The indexes of the buckets that differ; all, if the peer has another number of buckets.
    */
   differingBuckets(hashes: readonly number[]): ReadonlySet<number> {
     if (hashes.length !== BUCKETS) return new Set(this.buckets.keys());
--- a/src/membership/ProbeBook.ts
+++ b/src/membership/ProbeBook.ts
@@ -1,8 +1,8 @@
 /**
- * Probes under way: direct ones, and those that others make for us.
+ * The probes that have no result yet: direct ones, and indirect ones that other daemons make for this one.
  */
 
-/** Why a daemon was called. */
+/** Why a daemon is called. */
 export type ProbeReason = 'round' | 'seed' | 'revive' | 'dispute' | 'comparison' | 'urgent';
 
 interface DirectProbe {
@@ -13,17 +13,18 @@
 interface IndirectProbe {
   readonly daemonId: string;
   readonly refused: boolean;
+  /** Daemons that were asked and have not reported yet. */
   open: number;
 }
 
-/** What the end of an indirect probe means. */
+/** The state of an indirect probe after a report: reports are missing or one was positive, or all failed. */
 export type IndirectOutcome =
   | { readonly kind: 'waiting' }
   | { readonly kind: 'nobody_reached'; readonly daemonId: string; readonly refused: boolean };
 
 const WAITING: IndirectOutcome = { kind: 'waiting' };
 
-/** Numbers probes; an answer to a number that is no longer known is late and means nothing. */
+/** Numbers probes and matches results to them. A result for an unknown number is late and is ignored. */
 export class ProbeBook {
   private readonly direct = new Map<number, DirectProbe>();
 
@@ -32,8 +33,10 @@
   private lastNumber = 0;
 
   /**
-   * @param daemonId - who is called; empty for a seed.
-   * @param reason - why.
+   * Registers a direct probe.
+   *
+   * @param daemonId - the daemon that is called; empty for a seed.
+   * @param reason - why it is called.
    * @returns The probe's number.
    */
   open(daemonId: string, reason: ProbeReason): number {
@@ -43,8 +46,10 @@
   }
 
   /**
-   * @param probe - a number.
-   * @returns The probe, which is over now, or `undefined` when it was given up.
+   * Ends a direct probe.
+   *
+   * @param probe - the probe's number.
+   * @returns The probe, or `undefined` if it was discarded before.
    */
   close(probe: number): DirectProbe | undefined {
     const found = this.direct.get(probe);
@@ -54,7 +59,7 @@
 
   /**
    * @param daemonId - a daemon's name.
-   * @returns Whether a probe of it is under way.
+   * @returns Whether a direct or indirect probe of it is pending.
    */
   isOpen(daemonId: string): boolean {
     const isSame = (probe: { readonly daemonId: string }) => probe.daemonId === daemonId;
@@ -62,9 +67,11 @@
   }
 
   /**
-   * @param daemonId - who is probed.
-   * @param refused - whether the direct probe was refused by the host.
-   * @param asked - how many daemons are asked.
+   * Registers an indirect probe.
+   *
+   * @param daemonId - the daemon that is probed.
+   * @param refused - whether its host refused the connection of the direct probe.
+   * @param asked - the number of daemons that are asked to probe it.
    * @returns The number under which all of them report.
    */
   openIndirect(daemonId: string, refused: boolean, asked: number): number {
@@ -74,11 +81,11 @@
   }
 
   /**
-   * Takes the report of one that was asked. Who could not be asked reports as if it had not reached it.
+   * Records the report of one daemon. A daemon that could not be asked counts as one with a failed probe.
    *
-   * @param probe - the number.
-   * @param answered - whether the daemon answered there.
-   * @returns What is known by now.
+   * @param probe - the number of the indirect probe.
+   * @param answered - whether the probed daemon answered.
+   * @returns The state of the indirect probe.
    */
   reportIndirect(probe: number, answered: boolean): IndirectOutcome {
     const found = this.indirect.get(probe);
@@ -89,7 +96,10 @@
     return { kind: 'nobody_reached', daemonId: found.daemonId, refused: found.refused };
   }
 
-  /** Gives up everything: after an absence no answer and no silence means anything. */
+  /**
+   * Discards all probes: after a pause of this process neither an answer nor a timeout says anything about a
+   * peer.
+   */
   clear(): void {
     this.direct.clear();
     this.indirect.clear();
--- a/src/membership/RevisionWatch.ts
+++ b/src/membership/RevisionWatch.ts
@@ -1,5 +1,5 @@
 /**
- * Notices that a peer has a newer configuration or runner list in force.
+ * Detects that a peer has a newer configuration or runner list in force.
  */
 import type { Gossip, LocalNews, MemberRecord, MembershipAction } from './membershipTypes.js';
 
@@ -12,7 +12,7 @@
   runners: 'runnersRevision',
 } as const;
 
-/** A revision that is still missing is announced again after this, in ms: the pull may have failed. */
+/** A revision that is still missing is reported again after this, in ms, because the pull may have failed. */
 const ANNOUNCE_AGAIN_AFTER_MILLISECONDS = 1_000;
 
 interface Announcement {
@@ -20,16 +20,20 @@
   readonly at: number;
 }
 
-/** Says once for each revision, and again while it stays missing, where it can be pulled. */
+/**
+ * Reports each newer revision with a daemon that has it, and repeats the report while the revision is missing.
+ */
 export class RevisionWatch {
   private readonly announced = new Map<WatchedDocument, Announcement>();
 
   /**
+   * Compares the revisions of a message with this daemon's own.
+   *
    * @param now - monotonic milliseconds.
-   * @param sender - the daemon that a message came from.
+   * @param sender - the daemon that sent the message.
    * @param gossip - the message.
-   * @param local - what is in force here.
-   * @returns Actions.
+   * @param local - this daemon's own news.
+   * @returns A `newer_revision` action for each document to pull.
    */
   compare(now: number, sender: MemberRecord, gossip: Gossip, local: LocalNews): MembershipAction[] {
     return DOCUMENTS.flatMap((document) => {
--- a/src/membership/RoundCalls.ts
+++ b/src/membership/RoundCalls.ts
@@ -1,5 +1,6 @@
 /**
- * Whom a daemon calls of its own accord: in each round, now and then, and when something cannot wait.
+ * The calls that a daemon starts itself: the periodic ones of each round, occasional tries to reach dead
+ * daemons, and urgent announcements.
  */
 import type { GossipCalls } from './GossipCalls.js';
 import type { MembershipTuning } from './membershipOptions.js';
@@ -11,24 +12,24 @@
 /** Options of {@link RoundCalls}. */
 export interface RoundCallsOptions {
   table: MemberTable;
-  book: MemberBook;
+  tracker: MemberBook;
   calls: GossipCalls;
-  choice: PartnerChoice;
+  selector: PartnerChoice;
   tuning: MembershipTuning;
 }
 
-/** Bursts of new revisions are pushed at most this often in a round. */
+/** Most pushes of new revisions in one round; bounds the traffic when many revisions arrive in a burst. */
 const PUSHES_PER_ROUND = 4;
 
-/** Chooses partners; the messages come from the calls. */
+/** Chooses the daemons to call; {@link GossipCalls} builds the messages. */
 export class RoundCalls {
   private readonly table: MemberTable;
 
-  private readonly book: MemberBook;
+  private readonly tracker: MemberBook;
 
   private readonly calls: GossipCalls;
 
-  private readonly choice: PartnerChoice;
+  private readonly selector: PartnerChoice;
 
   private readonly tuning: MembershipTuning;
 
@@ -39,17 +40,19 @@
   private nextPushAt = 0;
 
   /**
-   * @param options - the tables and limits.
+   * @param options - the tables, the peer selection and the intervals.
    */
-  constructor({ table, book, calls, choice, tuning }: RoundCallsOptions) {
+  constructor({ table, tracker, calls, selector, tuning }: RoundCallsOptions) {
     this.table = table;
-    this.book = book;
+    this.tracker = tracker;
     this.calls = calls;
-    this.choice = choice;
+    this.selector = selector;
     this.tuning = tuning;
   }
 
   /**
+   * Stores the seeds and starts the interval of tries to reach dead daemons.
+   *
    * @param now - monotonic milliseconds.
    * @param seeds - addresses of some daemons.
    */
@@ -59,71 +62,77 @@
   }
 
   /**
-   * Probes the next daemon of the fleet, talks to one of the data centre, asks those who are disputed.
+   * Builds the calls of one round: a probe of the next daemon of the fleet, gossip with one of the data centre,
+   * and calls of daemons whose state is disputed.
    *
    * @param now - monotonic milliseconds.
-   * @param local - what is in force here.
+   * @param local - this daemon's own news.
    * @returns Calls.
    */
   round(now: number, local: LocalNews): MembershipAction[] {
     const partners = new Set<string>();
-    const isThere = (daemonId: string) => this.table.isOther(daemonId);
-    const probed = this.choice.next(isThere, () => this.table.others());
+    const isPresent = (daemonId: string) => this.table.isOther(daemonId);
+    const probed = this.selector.next(isPresent, () => this.table.others());
     if (probed !== undefined) partners.add(probed);
-    const neighbour = this.choice.pick(this.table.nearOthers());
+    const neighbour = this.selector.pick(this.table.nearOthers());
     if (neighbour !== undefined) partners.add(neighbour);
     const rounds = [...partners].flatMap((id) => this.calls.member(now, local, id, 'round'));
-    const disputed = this.book.takeDisputed(this.tuning.disputesPerRound);
+    const disputed = this.tracker.takeDisputed(this.tuning.disputesPerRound);
     const disputes = disputed.flatMap((id) => this.calls.member(now, local, id, 'dispute'));
     return [...rounds, ...disputes, ...this.revive(now, local)];
   }
 
   /**
+   * Builds calls that ask some seeds for all members.
+   *
    * @param now - monotonic milliseconds.
-   * @param local - what is in force here.
-   * @returns Calls of some seeds.
+   * @param local - this daemon's own news.
+   * @returns Calls.
    */
   seeds(now: number, local: LocalNews): MembershipAction[] {
-    const chosen = this.choice.sample(this.seedAddresses, this.tuning.indirectProbes);
+    const chosen = this.selector.sample(this.seedAddresses, this.tuning.indirectProbes);
     return chosen.map((peerAddress) =>
       this.calls.address(now, { daemonId: '', peerAddress }, local),
     );
   }
 
   /**
-   * Tells some daemons of this one's own record at once: a leave, a return.
+   * Sends this daemon's own record to some daemons at once, when it announces a stop or was paused.
    *
    * @param now - monotonic milliseconds.
-   * @param local - what is in force here.
+   * @param local - this daemon's own news.
    * @returns Calls.
    */
   tellSome(now: number, local: LocalNews): MembershipAction[] {
-    const some = this.choice.sample(this.table.others(), this.tuning.urgentFanOut);
-    return some.flatMap((id) => this.calls.member(now, local, id, 'urgent', [this.table.self]));
+    const chosen = this.selector.sample(this.table.others(), this.tuning.urgentFanOut);
+    return chosen.flatMap((id) => this.calls.member(now, local, id, 'urgent', [this.table.self]));
   }
 
   /**
-   * A new revision does not wait for the rounds: those who have it tell some neighbours at once.
+   * Sends a new revision to some daemons of the data centre at once, without waiting for the next round.
    *
    * @param now - monotonic milliseconds.
-   * @param local - what is in force here.
+   * @param local - this daemon's own news.
    * @returns Calls.
    */
   pushRevision(now: number, local: LocalNews): MembershipAction[] {
     if (now < this.nextPushAt) return [];
     this.nextPushAt = now + this.tuning.gossipIntervalMilliseconds / PUSHES_PER_ROUND;
-    const near = this.choice.sample(this.table.nearOthers(), this.tuning.revisionFanOut);
+    const near = this.selector.sample(this.table.nearOthers(), this.tuning.revisionFanOut);
     return near.flatMap((daemonId) => this.calls.member(now, local, daemonId, 'urgent'));
   }
 
-  /** Tries somebody who is thought to be gone or is not known: this is how two halves of a cut fleet meet again. */
+  /**
+   * Calls a dead daemon and an unknown instance from time to time; this reconnects the sides of a healed
+   * partition.
+   */
   private revive(now: number, local: LocalNews): MembershipAction[] {
     if (now < this.nextReviveAt) return [];
     this.nextReviveAt = now + this.tuning.reviveIntervalMilliseconds;
     const actions: MembershipAction[] = [];
-    const dead = this.choice.pick(this.table.dead());
+    const dead = this.selector.pick(this.table.dead());
     if (dead !== undefined) actions.push(...this.calls.member(now, local, dead, 'revive'));
-    const [unknown] = this.book.unknownInstances();
+    const [unknown] = this.tracker.unknownInstances();
     if (unknown) actions.push(this.calls.address(now, unknown, local));
     if (this.table.others().length === 0) actions.push(...this.seeds(now, local));
     return actions;
--- a/src/membership/SelfPart.ts
+++ b/src/membership/SelfPart.ts
@@ -1,12 +1,12 @@
 /**
- * This daemon's own part: joining, noticing that it was away, leaving.
+ * This daemon's own membership state: joining, stepping back after a pause of the process, leaving.
  */
 import { ChartInterpreter } from '../charts/ChartInterpreter.js';
 import type { MembershipTuning } from './membershipOptions.js';
 import type { MembershipAction, SelfEvent, SelfState } from './membershipTypes.js';
 import chart from './selfMembership.chart.json' with { type: 'json' };
 
-/** How many peers a daemon that was away has to hear before it trusts its picture again. */
+/** Number of peers that have to answer after a pause before the daemon relies on its member table again. */
 const CONTACTS_AFTER_ABSENCE = 3;
 
 const selfChart = new ChartInterpreter<SelfState, SelfEvent>({ chart });
@@ -16,42 +16,44 @@
   tuning: MembershipTuning;
 }
 
-/** Walks through selfMembership.chart.json. */
+/** Runs the state machine of selfMembership.chart.json. */
 export class SelfPart {
   private readonly tuning: MembershipTuning;
 
   private currentState: SelfState = selfChart.initial();
 
-  private lastSeenAt: number | undefined;
+  private lastDecisionAt: number | undefined;
 
-  /** When a daemon that joins or stepped back goes on without peers. */
+  /** Monotonic milliseconds at which a daemon that joins or stepped back continues without peers. */
   private giveUpAt: number | undefined;
 
-  private readonly contacts = new Set<string>();
+  private readonly answeredPeers = new Set<string>();
 
   /**
-   * @param options - times.
+   * @param options - the tuning.
    */
   constructor({ tuning }: SelfPartOptions) {
     this.tuning = tuning;
   }
 
-  /** @returns The state of selfMembership.chart.json. */
+  /** @returns The current state. */
   get state(): SelfState {
     return this.currentState;
   }
 
-  /** @returns Whether what this daemon sees of others may be told as a doubt about them. */
+  /** @returns Whether failed probes of this daemon may make others suspect. */
   get maySuspect(): boolean {
     return this.currentState === 'active';
   }
 
-  /** @returns When something happens without a message, in monotonic milliseconds. */
+  /** @returns The time of the next timeout in monotonic milliseconds, or `undefined`. */
   get nextWake(): number | undefined {
     return this.giveUpAt;
   }
 
   /**
+   * Starts the time limit for joining.
+   *
    * @param now - monotonic milliseconds.
    */
   startJoining(now: number): void {
@@ -59,55 +61,57 @@
   }
 
   /**
-   * Has to be called before anything else is decided: a paused process (a debugger, a frozen machine, a long
-   * collection of garbage) does not notice the pause. Its peers declared it dead in the meantime and took its
-   * gates; if it went on as if nothing had happened, two daemons would fill the same runners.
+   * Detects a pause of this process from the time since the last call. It has to be called before any other
+   * decision: a process paused by a debugger, a frozen machine or a long garbage collection is not told of the
+   * pause. Its peers may have declared it dead and taken its gates; if it continued as before, two daemons
+   * would send requests to the same runners.
    *
    * @param now - monotonic milliseconds.
-   * @returns How long the process did not run, or `undefined` when it ran.
+   * @returns Length of the pause in ms, or `undefined` if there was none.
    */
   noticeAbsence(now: number): number | undefined {
-    const gap = this.lastSeenAt === undefined ? 0 : now - this.lastSeenAt;
-    this.lastSeenAt = now;
+    const gap = this.lastDecisionAt === undefined ? 0 : now - this.lastDecisionAt;
+    this.lastDecisionAt = now;
     return gap > this.tuning.awayThresholdMilliseconds ? gap : undefined;
   }
 
   /**
-   * Steps back after an absence.
+   * Steps back after a pause: the daemon stops acting until peers have answered.
    *
    * @param now - monotonic milliseconds.
-   * @param awayMilliseconds - how long it was.
+   * @param awayMilliseconds - length of the pause.
    * @returns Actions.
    */
   stepBack(now: number, awayMilliseconds: number): MembershipAction[] {
     if (!this.take('woke')) return [];
-    this.contacts.clear();
+    this.answeredPeers.clear();
     this.giveUpAt = now + this.tuning.giveUpAfterMilliseconds;
     return [{ kind: 'stepped_back', awayMilliseconds: Math.round(awayMilliseconds) }];
   }
 
   /**
-   * Counts a daemon that answered.
+   * Counts an answer of a peer. It completes joining; after a pause several peers have to answer.
    *
-   * @param daemonId - its name.
-   * @param members - size of the fleet as known now.
+   * @param daemonId - the peer's name.
+   * @param members - number of present daemons, this one included.
    * @returns Actions.
    */
   heardFrom(daemonId: string, members: number): MembershipAction[] {
     if (this.currentState === 'joining') return this.join(members);
     if (this.currentState !== 'stepped_back') return [];
-    this.contacts.add(daemonId);
-    if (this.contacts.size < Math.min(CONTACTS_AFTER_ABSENCE, members - 1)) return [];
+    this.answeredPeers.add(daemonId);
+    if (this.answeredPeers.size < Math.min(CONTACTS_AFTER_ABSENCE, members - 1)) return [];
     this.giveUpAt = undefined;
     this.take('reconnected');
     return [{ kind: 'resumed', reason: 'reconnected' }];
   }
 
   /**
-   * Goes on alone when nobody answered in time: a lone daemon, or one cut off, still serves its callers.
+   * Continues without peers if none answered in time, because a single or isolated daemon still serves its
+   * callers.
    *
    * @param now - monotonic milliseconds.
-   * @param members - size of the fleet as known now.
+   * @param members - number of present daemons, this one included.
    * @returns Actions.
    */
   giveUpWhenDue(now: number, members: number): MembershipAction[] {
@@ -120,8 +124,10 @@
   }
 
   /**
-   * @param event - `leave` or `left`.
-   * @returns Whether it changed anything.
+   * Applies an event to the state machine.
+   *
+   * @param event - the event.
+   * @returns Whether the current state accepts it.
    */
   take(event: SelfEvent): boolean {
     const step = selfChart.next(this.currentState, event);
--- a/src/membership/membershipCodec.ts
+++ b/src/membership/membershipCodec.ts
@@ -1,5 +1,5 @@
 /**
- * Between the messages of the schema and the JSON data of the decisions.
+ * Converts between the protobuf messages of the peer schema and the JSON data of the membership decisions.
  */
 import { create } from '@bufbuild/protobuf';
 import type { MessageInitShape } from '@bufbuild/protobuf';
@@ -39,7 +39,7 @@
   return KINDS.includes(text);
 }
 
-/** Loads are estimates: whole tokens are enough, and whole numbers compress well. */
+/** Rounds loads to whole tokens: they are estimates, and whole numbers take fewer bytes. */
 function poolMessages(pools: readonly PoolNews[]): MessageInitShape<typeof PoolDigestSchema>[] {
   return pools.map((pool) => ({
     ...pool,
@@ -96,8 +96,8 @@
 }
 
 /**
- * @param summary - a sum of the decisions.
- * @returns The schema's message.
+ * @param summary - a data centre summary of the decisions.
+ * @returns The protobuf message.
  */
 export function toSummaryMessage(summary: Summary): DataCentreSummary {
   return create(DataCentreSummarySchema, {
@@ -109,9 +109,9 @@
 }
 
 /**
- * @param record - who.
- * @param news - what is known to change about it, if anything is known.
- * @returns The schema's message with both.
+ * @param record - the daemon's record.
+ * @param news - the daemon's news, if they are known.
+ * @returns The protobuf message with both.
  */
 export function toMemberMessage(record: MemberRecord, news?: LocalNews): Member {
   return create(MemberSchema, {
@@ -128,7 +128,7 @@
 /**
  * @param from - the sender's name.
  * @param gossip - a message of the decisions.
- * @returns The schema's message.
+ * @returns The protobuf message.
  */
 export function toGossipMessage(from: string, gossip: Gossip): GossipMessage {
   return create(GossipMessageSchema, {
@@ -152,10 +152,10 @@
 }
 
 /**
- * Reads a peer's message. Records of a kind that this version does not know are left out: during an upgrade
- * newer daemons may say more.
+ * Reads a peer's message. Records with an unknown state or without a name or address are left out, because
+ * newer daemons may use further states during an upgrade.
  *
- * @param message - the schema's message.
+ * @param message - the protobuf message.
  * @returns The message of the decisions.
  */
 export function fromGossipMessage(message: GossipMessage): Gossip {
--- a/src/membership/membershipOptions.ts
+++ b/src/membership/membershipOptions.ts
@@ -1,42 +1,44 @@
 /**
- * The numbers that membership works with, and where they come from.
+ * The tuning of membership: intervals, timeouts and size limits, with their defaults.
  */
 
-/** Times in ms; counts are for one message unless said otherwise. */
+/** Times are in ms; counts are for one message unless stated otherwise. */
 export interface MembershipTuning {
-  /** Time between two rounds; each round probes one daemon of the fleet and talks to one of the data centre. */
+  /** Time between two rounds; each probes one daemon of the fleet and gossips with one of the data centre. */
   gossipIntervalMilliseconds: number;
-  /** Three round trips between regions: connection, handshake, call. */
+  /** Timeout of a probe: covers three round trips between regions, for connection, handshake and call. */
   probeTimeoutMilliseconds: number;
-  /** Daemons that are asked to probe one that did not answer. */
+  /** Daemons that are asked to make an indirect probe of one that did not answer. */
   indirectProbes: number;
   /** Suspicion timeout in rounds for a fleet of up to ten; grows with the decimal logarithm of its size. */
   suspicionRounds: number;
-  /** Suspicion timeout when the host says that nobody listens, or the platform has it as leaving. */
+  /** Suspicion timeout if the host refuses connections, or the platform lists the instance as leaving. */
   shortSuspicionMilliseconds: number;
-  /** Time between two tries to reach a dead daemon, or a seed when alone. */
+  /** Time between two calls that try to reach a dead daemon, or seeds if no other daemon is present. */
   reviveIntervalMilliseconds: number;
-  /** How long the dead are kept: longer than regions lose each other. */
+  /** How long dead daemons are kept: longer than a network partition between regions lasts. */
   forgetDeadAfterMilliseconds: number;
-  /** A longer gap between two messages means that this process did not run. */
+  /** A longer gap between two messages or clock ticks means that this process was paused. */
   awayThresholdMilliseconds: number;
-  /** After this without peers a daemon that stepped back, or that joins, acts on its own. */
+  /** A daemon that joins or stepped back acts without peers after this time. */
   giveUpAfterMilliseconds: number;
   recordsPerMessage: number;
   recordsPerComparison: number;
   newsPerMessage: number;
   summariesPerMessage: number;
-  /** Exchanges with another picture before the parts are compared: deltas need some time. */
+  /** Exchanges with different hashes before records are compared: changes need some time to spread. */
   differencesBeforeComparison: number;
-  /** Neighbours that hear of a new revision at once. */
+  /** Daemons of the data centre that are called at once about a new revision. */
   revisionFanOut: number;
-  /** Daemons that are asked in one round because some believe them dead and others alive. */
+  /** Daemons that are called in one round because some daemons see them as dead and others as alive. */
   disputesPerRound: number;
-  /** Daemons that hear of a leave or a refutation at once. */
+  /** Daemons that are called at once when this daemon leaves or was paused. */
   urgentFanOut: number;
 }
 
-/** Values that `npm run measure -- control` was run with; docs/design/membership.md has the figures. */
+/**
+ * The defaults; docs/design/membership.md has the results of `npm run measure -- control` with these values.
+ */
 export const DEFAULT_MEMBERSHIP_TUNING: MembershipTuning = {
   gossipIntervalMilliseconds: 1_000,
   probeTimeoutMilliseconds: 1_000,
--- a/src/membership/membershipTypes.ts
+++ b/src/membership/membershipTypes.ts
@@ -1,28 +1,31 @@
 /**
- * What goes into and comes out of the membership decisions; all of it is JSON data.
+ * The messages and actions of the membership decisions. All of them are JSON data, so that sessions can be
+ * recorded and replayed.
  */
 import type { EventOf, StateOf } from '../charts/chartTypes.js';
 import type membershipChart from './membership.chart.json';
 import type selfChart from './selfMembership.chart.json';
 
-/** A daemon as seen here; see membership.chart.json. */
+/** The state of a daemon as seen by another one; see membership.chart.json. */
 export type MemberState = StateOf<typeof membershipChart>;
 
 /** Events of membership.chart.json. */
 export type MemberEvent = EventOf<typeof membershipChart>;
 
-/** This daemon itself; see selfMembership.chart.json. */
+/** This daemon's own state; see selfMembership.chart.json. */
 export type SelfState = StateOf<typeof selfChart>;
 
 /** Events of selfMembership.chart.json. */
 export type SelfEvent = EventOf<typeof selfChart>;
 
-/** Who is there: changes rarely and goes to everyone. */
+/** Identity, addresses and state of a daemon. Records change rarely and are sent to all daemons. */
 export interface MemberRecord {
   readonly daemonId: string;
-  /** Wall-clock milliseconds of the process start. */
+  /**
+   * Wall-clock milliseconds at the start of the process; raised if the fleet knows a newer one of this name.
+   */
   readonly incarnation: number;
-  /** Raised by the daemon itself only; a claim about it is refuted by a greater one. */
+  /** Raised only by the daemon itself; a greater version refutes other daemons' records of it. */
   readonly version: number;
   readonly state: MemberState;
   readonly peerAddress: string;
@@ -32,17 +35,17 @@
   readonly firm: string;
 }
 
-/** Load of one pool on the gates of one daemon or of one data centre. */
+/** Load of one service's runners behind the gates of one daemon or of one data centre. */
 export interface PoolNews {
   readonly service: string;
   readonly runners: number;
-  /** Tokens of work. */
+  /** Sum of the runners' loads, in tokens of work. */
   readonly load: number;
   readonly lightestRunner: string;
   readonly lightestLoad: number;
 }
 
-/** What a daemon says of itself all the time. */
+/** The news of a daemon: its load and revisions, which change all the time. */
 export interface LocalNews {
   readonly configurationRevision: number;
   readonly configurationDigest: string;
@@ -60,48 +63,55 @@
   readonly ageMilliseconds: number;
 }
 
-/** Sum of one data centre, sent to the others. */
+/** The summary of one data centre's news, sent to the other data centres. */
 export interface Summary {
   readonly dataCentre: string;
   /** Age when it was sent. */
   readonly ageMilliseconds: number;
   readonly daemons: number;
   readonly lowestConfigurationRevision: number;
-  /** The daemon that has it. */
+  /** The daemon with the lowest configuration revision. */
   readonly lowestConfigurationDaemon: string;
   readonly lowestRunnersRevision: number;
   readonly pools: readonly PoolNews[];
 }
 
-/** `compare`: the hashes of parts say what to send; `full`: a joining daemon asks for everything. */
+/**
+ * `delta`: recent changes; `compare`: carries bucket hashes, and the receiver sends the records that differ;
+ * `full`: asks for all members.
+ */
 export type GossipKind = 'delta' | 'compare' | 'full';
 
-/** What two daemons exchange, in both directions. */
+/** A gossip message; calls and answers have the same form. */
 export interface Gossip {
   readonly kind: GossipKind;
   readonly members: readonly MemberRecord[];
+  /** Hash of the members that the sender has as present. */
   readonly pictureHash: number;
-  /** Only with `compare` and its answer. */
+  /** Hashes of the parts of that set; empty unless the kind is `compare`. */
   readonly bucketHashes: readonly number[];
   readonly news: readonly MemberNews[];
   readonly summaries: readonly Summary[];
-  /** What the sender has in force itself, so that it can be pulled there. */
+  /** Revisions that the sender itself has in force, and that can be pulled from it. */
   readonly configurationRevision: number;
   readonly runnersRevision: number;
 }
 
-/** An entry of the platform's list of instances; it lags, so it is only a witness. */
+/**
+ * An entry of the platform's list of instances. The list lags, so it proves neither that a daemon is alive nor
+ * dead.
+ */
 export interface ListedInstance {
   readonly daemonId: string;
   readonly peerAddress: string;
   readonly state: 'live' | 'leaving';
 }
 
-/** What happens to the membership. */
+/** Inputs of the membership decisions. */
 export type MembershipMessage =
-  /** The daemon serves peers from now on. */
+  /** The daemon starts; its peer server listens already. */
   | { readonly kind: 'start'; readonly seeds: readonly string[] }
-  /** A peer called; it is answered under the same number. */
+  /** A peer called; the `answer` action has the same exchange number. */
   | {
       readonly kind: 'gossip_received';
       readonly exchange: number;
@@ -114,28 +124,28 @@
       readonly from: string;
       readonly gossip: Gossip;
     }
-  /** `refused`: the host answered that nobody listens, so the process is gone or starting. */
+  /** `refused`: the host refused the connection, so the process has ended or is still starting. */
   | { readonly kind: 'gossip_failed'; readonly probe: number; readonly refused: boolean }
   | { readonly kind: 'probe_for_ended'; readonly probe: number; readonly answered: boolean }
   | { readonly kind: 'local_news'; readonly news: LocalNews }
   | { readonly kind: 'platform_list'; readonly instances: readonly ListedInstance[] }
-  /** The clocks show that the machine did not run for a while. */
+  /** The clocks show that the machine was suspended. */
   | { readonly kind: 'was_away'; readonly milliseconds: number }
   | { readonly kind: 'leave' }
   | { readonly kind: 'left' }
   | { readonly kind: 'tick' };
 
-/** What the log tells of other daemons. */
+/** State changes of other daemons that are logged. */
 export type MemberNote =
   'joined' | 'restarted' | 'suspected' | 'returned' | 'died' | 'leaving' | 'left';
 
-/** Why a note was made. */
+/** Why a state change happened. */
 export type NoteReason =
   'own_probe' | 'told_by_peer' | 'suspicion_timeout' | 'answered' | 'announced';
 
-/** What the membership wants done. */
+/** Outputs of the membership decisions. */
 export type MembershipAction =
-  /** Call a daemon; the end is reported as `gossip_answered` or `gossip_failed`. An empty name is a seed. */
+  /** Call a daemon; the result comes as `gossip_answered` or `gossip_failed`. The name is empty for a seed. */
   | {
       readonly kind: 'gossip';
       readonly probe: number;
@@ -145,7 +155,7 @@
       readonly timeoutMilliseconds: number;
     }
   | { readonly kind: 'answer'; readonly exchange: number; readonly gossip: Gossip }
-  /** Ask a daemon to probe another; the end is reported as `probe_for_ended`. */
+  /** Ask the daemon `through` to probe another one; the result comes as `probe_for_ended`. */
   | {
       readonly kind: 'probe_for';
       readonly probe: number;
@@ -155,7 +165,7 @@
       readonly peerAddress: string;
       readonly timeoutMilliseconds: number;
     }
-  /** The belief about a daemon changed, this one included. */
+  /** The record or the news of a daemon changed; it may be this daemon. */
   | {
       readonly kind: 'member_changed';
       readonly member: MemberRecord;
@@ -163,7 +173,7 @@
     }
   | { readonly kind: 'member_forgotten'; readonly daemonId: string }
   | { readonly kind: 'summary_changed'; readonly summary: Summary }
-  /** A daemon has something newer in force: pull it there. */
+  /** Pull a newer document from the daemon that has it in force. */
   | {
       readonly kind: 'newer_revision';
       readonly document: 'configuration' | 'runners';
@@ -172,12 +182,14 @@
       readonly peerAddress: string;
     }
   | { readonly kind: 'joined'; readonly members: number }
-  /** Nothing that this daemon remembers holds any more: leases, gates, counts. */
+  /** After a pause this daemon must not rely on its leases, gates and counts any more. */
   | { readonly kind: 'stepped_back'; readonly awayMilliseconds: number }
   | { readonly kind: 'resumed'; readonly reason: 'reconnected' | 'gave_up' }
-  /** Others doubted this daemon, and it answered. */
+  /** This daemon raised its version because a peer had it in another state. */
   | { readonly kind: 'refuted'; readonly claim: MemberState; readonly version: number }
-  /** A record of this daemon's name has a newer incarnation: two share a name, or the wall clock went back. */
+  /**
+   * A peer has a newer incarnation of this daemon: two daemons share the name, or the wall clock was set back.
+   */
   | { readonly kind: 'incarnation_raised'; readonly incarnation: number }
   | {
       readonly kind: 'note';
--- a/src/membership/recordMerge.spec.ts
+++ b/src/membership/recordMerge.spec.ts
@@ -18,10 +18,10 @@
   return { ...testRecord('sofia-1', incarnation), state, version };
 }
 
-/** What came of it: the state that is believed then, or why nothing was taken over. */
+/** The expected result: the state after the merge, or why the received record was not accepted. */
 type Outcome = MemberState | Exclude<MergeOutcome['kind'], 'accepted'>;
 
-/** What is known, what is heard, what comes of it: an outcome, or the state that is believed then. */
+/** The known record, the received record and the expected outcome. */
 const CASES: readonly (readonly [Claim | undefined, Claim, Outcome])[] = [
   [undefined, ['alive', 1, 1], 'alive'],
   [undefined, ['suspect', 1, 1], 'suspect'],
@@ -56,14 +56,14 @@
 ];
 
 describe(mergeRecord.name, () => {
-  for (const [known, heard, expected] of CASES) {
-    it(`knows ${known?.join(' ') ?? 'nothing'}, hears ${heard.join(' ')}: ${expected}`, () => {
-      const outcome = mergeRecord(interpreter, known && recordOf(known), recordOf(heard));
+  for (const [known, received, expected] of CASES) {
+    it(`known ${known?.join(' ') ?? 'nothing'}, received ${received.join(' ')}: ${expected}`, () => {
+      const outcome = mergeRecord(interpreter, known && recordOf(known), recordOf(received));
       const isAccepted = outcome.kind === 'accepted';
       expect(isAccepted ? outcome.record.state : outcome.kind).toEqual(expected);
       if (!isAccepted) return;
-      expect(outcome.record.incarnation).toEqual(heard[1]);
-      expect(outcome.record.version).toEqual(heard[2]);
+      expect(outcome.record.incarnation).toEqual(received[1]);
+      expect(outcome.record.version).toEqual(received[2]);
     });
   }
 });
--- a/src/membership/recordMerge.ts
+++ b/src/membership/recordMerge.ts
@@ -1,18 +1,18 @@
 /**
- * What to believe when a peer's record of a daemon differs from ours.
+ * Merges a peer's record of a daemon with the one known here.
  */
 import type { ChartInterpreter } from '../charts/ChartInterpreter.js';
 import type { MemberEvent, MemberRecord, MemberState } from './membershipTypes.js';
 
-/** The chart of a member. */
+/** The state machine of membership.chart.json. */
 export type MemberChart = ChartInterpreter<MemberState, MemberEvent>;
 
-/** What comes of a heard record. */
+/** The result of merging a received record. */
 export type MergeOutcome =
   | { readonly kind: 'nothing_new' }
-  /** The peer's record is older: it should hear ours. */
+  /** The peer's record is older: ours should be sent to it. */
   | { readonly kind: 'ours_is_newer' }
-  /** One of us believes it dead and the other alive: only the daemon itself can tell. */
+  /** One side has the daemon as dead and the other as alive: only the daemon itself can settle that. */
   | { readonly kind: 'disputed' }
   | { readonly kind: 'accepted'; readonly record: MemberRecord };
 
@@ -20,8 +20,8 @@
 const OURS_IS_NEWER: MergeOutcome = { kind: 'ours_is_newer' };
 const DISPUTED: MergeOutcome = { kind: 'disputed' };
 
-/** At equal versions the later of the chart's states wins. */
-const STRENGTH: Readonly<Record<MemberState, number>> = {
+/** At equal versions the record whose state has the greater rank wins. */
+const RANK: Readonly<Record<MemberState, number>> = {
   alive: 0,
   suspect: 1,
   leaving: 2,
@@ -38,52 +38,56 @@
 };
 
 /**
- * When two halves of a cut fleet meet again, each believes that the other is dead. If the claims were taken
- * over, everybody would be dead for somebody until it has refuted, and the gates of the whole fleet would
- * move twice. So between dead and alive no claim counts: the daemon is asked.
+ * After a network partition each side has the other side's daemons as dead. If such records were accepted,
+ * every daemon would be dead for some others until it has refuted that, and the gates of the whole fleet would
+ * move twice. So neither of the states dead and alive replaces the other; the daemon itself is called instead.
  */
-function isDisputed(known: MemberRecord, heard: MemberRecord): boolean {
-  if (heard.state === 'dead') return known.state === 'alive';
-  return known.state === 'dead' && heard.state === 'alive' && heard.version === known.version;
+function isDisputed(known: MemberRecord, received: MemberRecord): boolean {
+  if (received.state === 'dead') return known.state === 'alive';
+  return known.state === 'dead' && received.state === 'alive' && received.version === known.version;
 }
 
-function acceptNewer(chart: MemberChart, known: MemberRecord, heard: MemberRecord): MergeOutcome {
-  // Otherwise a second witness of a death would bring the dead back as a suspect.
-  if (heard.state === known.state) return { kind: 'accepted', record: heard };
+function acceptNewer(
+  chart: MemberChart,
+  known: MemberRecord,
+  received: MemberRecord,
+): MergeOutcome {
+  // Without this, a second record that has the daemon as dead would make it suspect again.
+  if (received.state === known.state) return { kind: 'accepted', record: received };
   let { state } = known;
-  // A greater version was written by the daemon itself after the doubt that we hold.
-  if (heard.version > known.version) state = chart.next(state, 'refuted').state;
-  state = chart.next(state, EVENTS[heard.state]).state;
-  return { kind: 'accepted', record: { ...heard, state } };
+  // The daemon itself raised the version after the suspicion known here, so that suspicion is refuted.
+  if (received.version > known.version) state = chart.next(state, 'refuted').state;
+  state = chart.next(state, EVENTS[received.state]).state;
+  return { kind: 'accepted', record: { ...received, state } };
 }
 
 /**
- * Merges a record of another daemon, never of this one.
+ * Merges a record of another daemon; never called for this daemon's own record.
  *
- * @param chart - the chart of a member.
- * @param known - our record, if there is one.
- * @param heard - the peer's record.
- * @returns What to do.
+ * @param chart - the state machine of a member.
+ * @param known - the record known here, if there is one.
+ * @param received - the peer's record.
+ * @returns Whether the peer's record is accepted, and the merged record if so.
  */
 export function mergeRecord(
   chart: MemberChart,
   known: MemberRecord | undefined,
-  heard: MemberRecord,
+  received: MemberRecord,
 ): MergeOutcome {
   if (!known) {
-    const isGone = heard.state === 'dead' || heard.state === 'left';
-    return isGone ? NOTHING_NEW : { kind: 'accepted', record: heard };
+    const isGone = received.state === 'dead' || received.state === 'left';
+    return isGone ? NOTHING_NEW : { kind: 'accepted', record: received };
   }
-  if (heard.incarnation < known.incarnation) return OURS_IS_NEWER;
-  if (heard.incarnation > known.incarnation) return { kind: 'accepted', record: heard };
-  if (known.state === 'left') return heard.state === 'left' ? NOTHING_NEW : OURS_IS_NEWER;
-  if (heard.state === 'left') return acceptNewer(chart, known, heard);
-  if (heard.version < known.version) {
-    return heard.state === known.state ? NOTHING_NEW : OURS_IS_NEWER;
+  if (received.incarnation < known.incarnation) return OURS_IS_NEWER;
+  if (received.incarnation > known.incarnation) return { kind: 'accepted', record: received };
+  if (known.state === 'left') return received.state === 'left' ? NOTHING_NEW : OURS_IS_NEWER;
+  if (received.state === 'left') return acceptNewer(chart, known, received);
+  if (received.version < known.version) {
+    return received.state === known.state ? NOTHING_NEW : OURS_IS_NEWER;
   }
-  if (isDisputed(known, heard)) return DISPUTED;
-  if (heard.version > known.version) return acceptNewer(chart, known, heard);
-  if (heard.state === known.state) return NOTHING_NEW;
-  if (STRENGTH[heard.state] < STRENGTH[known.state]) return OURS_IS_NEWER;
-  return acceptNewer(chart, known, heard);
+  if (isDisputed(known, received)) return DISPUTED;
+  if (received.version > known.version) return acceptNewer(chart, known, received);
+  if (received.state === known.state) return NOTHING_NEW;
+  if (RANK[received.state] < RANK[known.state]) return OURS_IS_NEWER;
+  return acceptNewer(chart, known, received);
 }
--- a/src/membership/replayedMembership.ts
+++ b/src/membership/replayedMembership.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the membership decisions of one daemon from the options of a recorded session.
+ * Creates the membership decisions for replaying a recorded session.
  */
 import { z } from 'zod';
 
@@ -25,8 +25,8 @@
 });
 
 /**
- * @param options - of the session's header: `self`, `seed` and `tuning`, as in the `membership` section of
- *   a settings file.
+ * @param options - `self`, `seed` and `tuning` from the session's header; `tuning` has the form of the
+ *   `membership` section of a settings file.
  * @returns New decisions.
  */
 export function replayedMembership(
--- a/src/membership/testFleet.ts
+++ b/src/membership/testFleet.ts
@@ -1,6 +1,6 @@
 /**
- * A few memberships in virtual time for specs: messages are delivered step by step, and links, losses and
- * pauses are the spec's to choose.
+ * A small fleet of membership decisions in virtual time, for specs. The spec controls time, links, message
+ * losses and pauses.
  */
 import type { DecisionStep } from '../decisions/DecisionTask.js';
 import { MembershipDecisions } from './MembershipDecisions.js';
@@ -13,12 +13,13 @@
   MemberState,
 } from './membershipTypes.js';
 
-/** Messages that a spec may look at or stop. */
+/** Whether a message may pass from one daemon to another. */
 export type LinkRule = (from: string, to: string) => boolean;
 
+/** Step of the virtual time, and delay of each message. */
 const STEP_MILLISECONDS = 50;
 
-/** What a gossip with nothing in it looks like: a probe for somebody else. */
+/** The empty message of an indirect probe. */
 const EMPTY_GOSSIP: Gossip = {
   kind: 'delta',
   members: [],
@@ -34,7 +35,7 @@
   decisions: MembershipDecisions;
   record: MemberRecord;
   paused: boolean;
-  /** Messages that came while it was paused; a kernel keeps them, too. */
+  /** Messages that arrived during a pause; they are delivered afterwards, as from a kernel's socket buffers. */
   inbox: MembershipMessage[];
   actions: MembershipAction[];
   steps: DecisionStep<MembershipMessage, MembershipAction>[];
@@ -42,18 +43,18 @@
 
 /** Options of a {@link TestFleet}. */
 export interface TestFleetOptions {
-  /** Names; the part before the dash is the region, each has a data centre of its own. */
+  /** Names of the daemons; the part before the dash is the region, and each region has one data centre. */
   names: readonly string[];
   tuning?: Partial<MembershipTuning>;
-  /** From 0 up to 1, for losses. */
+  /** Random numbers from 0 up to 1 that decide which messages are lost. */
   random?: () => number;
   loss?: number;
 }
 
 /**
  * @param name - for example `rosario-1`.
- * @param incarnation - of its process.
- * @returns The record with which it starts.
+ * @param incarnation - the incarnation of its process.
+ * @returns The daemon's record at its start.
  */
 export function testRecord(name: string, incarnation = 1): MemberRecord {
   const [region = ''] = name.split('-');
@@ -70,11 +71,11 @@
   };
 }
 
-/** Time moves by {@link TestFleet.run} only. */
+/** Runs the daemons; time passes only in {@link TestFleet.run}. */
 export class TestFleet {
   now = 0;
 
-  /** Whether a message may pass from one daemon to another. */
+  /** The current state of the links. */
   mayPass: LinkRule = () => true;
 
   readonly daemons = new Map<string, TestDaemon>();
@@ -86,14 +87,14 @@
   /** Share of messages that are lost. */
   loss: number;
 
-  private flights: { readonly at: number; readonly run: () => void }[] = [];
+  private deliveries: { readonly at: number; readonly run: () => void }[] = [];
 
   private exchanges = new Map<string, (gossip: Gossip) => void>();
 
   private lastExchange = 0;
 
   /**
-   * @param options - who, with which numbers and losses.
+   * @param options - the daemons, their tuning and the losses.
    */
   constructor({ names, tuning = {}, random = () => 1, loss = 0 }: TestFleetOptions) {
     this.tuning = tuning;
@@ -103,10 +104,10 @@
   }
 
   /**
-   * Starts a daemon, or starts it again with a newer incarnation.
+   * Starts a daemon, or restarts it with a newer incarnation.
    *
-   * @param name - its name.
-   * @param incarnation - of its process.
+   * @param name - the daemon's name.
+   * @param incarnation - the incarnation of its process.
    */
   start(name: string, incarnation = 1): void {
     const record = testRecord(name, incarnation);
@@ -119,15 +120,19 @@
   }
 
   /**
-   * @param name - a daemon whose process ends without a word.
+   * Ends a daemon without an announcement.
+   *
+   * @param name - the daemon's name.
    */
   kill(name: string): void {
     this.daemons.delete(name);
   }
 
   /**
-   * @param name - a daemon that stops running, or runs again and gets what came meanwhile.
-   * @param paused - which of both.
+   * Pauses a daemon, or resumes it and delivers the messages that arrived in the meantime.
+   *
+   * @param name - the daemon's name.
+   * @param paused - whether it is paused from now on.
    */
   pause(name: string, paused: boolean): void {
     const daemon = this.daemons.get(name)!;
@@ -136,14 +141,16 @@
   }
 
   /**
-   * @param milliseconds - how far time moves.
+   * Advances the virtual time and delivers messages and clock ticks.
+   *
+   * @param milliseconds - by how much.
    */
   run(milliseconds: number): void {
     const end = this.now + milliseconds;
     while (this.now < end) {
       this.now += STEP_MILLISECONDS;
-      const due = this.flights.filter(({ at }) => at <= this.now);
-      this.flights = this.flights.filter(({ at }) => at > this.now);
+      const due = this.deliveries.filter(({ at }) => at <= this.now);
+      this.deliveries = this.deliveries.filter(({ at }) => at > this.now);
       for (const { run } of due) run();
       for (const [name, { decisions, paused }] of this.daemons) {
         const wake = decisions.nextWake();
@@ -153,8 +160,10 @@
   }
 
   /**
-   * @param name - who hears it.
-   * @param message - what.
+   * Delivers a message to the decisions of a daemon and performs the resulting actions.
+   *
+   * @param name - the daemon's name.
+   * @param message - the message.
    */
   tell(name: string, message: MembershipMessage): void {
     const daemon = this.daemons.get(name);
@@ -170,15 +179,15 @@
   }
 
   /**
-   * @param name - whose view.
-   * @returns The states that it believes in, by name.
+   * @param name - the daemon's name.
+   * @returns The states that it has of all daemons it knows, by daemon name.
    */
   view(name: string): Record<string, MemberState> {
     const members = this.daemons.get(name)!.decisions.members();
     return Object.fromEntries(members.map(({ daemonId, state }) => [daemonId, state]));
   }
 
-  /** @returns Whether every running daemon sees exactly the running ones as alive. */
+  /** @returns Whether every running daemon has exactly the running ones as alive. */
   get agrees(): boolean {
     const running = [...this.daemons.keys()].sort().join();
     return [...this.daemons.keys()].every((name) => {
@@ -193,9 +202,9 @@
   }
 
   /**
-   * @param name - whose.
-   * @param kind - of the actions.
-   * @returns The actions of this kind so far.
+   * @param name - the daemon's name.
+   * @param kind - the kind of the actions.
+   * @returns The actions of this kind that the daemon has returned so far.
    */
   actionsOf<Kind extends MembershipAction['kind']>(
     name: string,
@@ -232,16 +241,16 @@
       if (open) this.tell(from, { kind: 'probe_for_ended', probe, answered });
       open = false;
     };
-    this.after(2 * timeoutMilliseconds, () => report(false));
-    this.pass(from, through, () => {
+    this.schedule(2 * timeoutMilliseconds, () => report(false));
+    this.transmit(from, through, () => {
       if (!this.isRunning(through)) return;
       this.call(through, peerAddress, EMPTY_GOSSIP, timeoutMilliseconds, (end) => {
-        this.pass(through, from, () => report(typeof end !== 'boolean'));
+        this.transmit(through, from, () => report(typeof end !== 'boolean'));
       });
     });
   }
 
-  /** Ends with an answer, or with whether the host refused. */
+  /** Calls `finish` with the answer, or with whether the host refused the connection. */
   private call(
     from: string,
     peerAddress: string,
@@ -255,8 +264,8 @@
       if (open) finish(result);
       open = false;
     };
-    this.after(timeoutMilliseconds, () => end(false));
-    this.pass(from, to, () => {
+    this.schedule(timeoutMilliseconds, () => end(false));
+    this.transmit(from, to, () => {
       if (!this.daemons.has(to)) {
         end(true);
         return;
@@ -264,19 +273,19 @@
       this.lastExchange += 1;
       const exchange = this.lastExchange;
       this.exchanges.set(`${to} ${exchange}`, (answer) => {
-        this.pass(to, from, () => end({ from: to, gossip: answer }));
+        this.transmit(to, from, () => end({ from: to, gossip: answer }));
       });
       this.tell(to, { kind: 'gossip_received', exchange, from, gossip });
     });
   }
 
-  private pass(from: string, to: string, arrive: () => void): void {
+  private transmit(from: string, to: string, arrive: () => void): void {
     if (!this.mayPass(from, to) || this.random() < this.loss) return;
-    this.after(STEP_MILLISECONDS, arrive);
+    this.schedule(STEP_MILLISECONDS, arrive);
   }
 
-  private after(milliseconds: number, run: () => void): void {
-    this.flights.push({ at: this.now + milliseconds, run });
+  private schedule(milliseconds: number, run: () => void): void {
+    this.deliveries.push({ at: this.now + milliseconds, run });
   }
 
   private isRunning(name: string): boolean {
