--- a/src/homes/ChatHomeDecisions.ts
+++ b/src/homes/ChatHomeDecisions.ts
@@ -1,6 +1,7 @@
 /**
- * The home of chats: remembers for each chat the few runners where its prefix is cached. Nothing depends on
- * it but cache reuse, so it forgets the chat that nobody asked or told about for longest when it is full.
+ * The directory of a chat home: each chat has one daemon as its home, which stores the few runners that have
+ * the chat's prefix cached. A lost entry costs only cache reuse, so a full directory removes the chat that was
+ * least recently looked up or updated.
  */
 import { match } from 'ts-pattern';
 
@@ -9,26 +10,29 @@
 
 /** Options of {@link ChatHomeDecisions}. */
 export interface ChatHomeDecisionsOptions {
-  /** Chats that are remembered. */
+  /** Most chats that are stored. */
   maximumChats?: number;
-  /** Runners that are remembered for a chat. */
+  /** Most runners that are stored for a chat. */
   maximumRunners?: number;
-  /** Age after which a place is forgotten, in ms: engines have evicted it by then. */
+  /** Age after which an entry is no longer returned, in ms: engines have evicted the prefix by then. */
   forgetAfterMilliseconds?: number;
 }
 
 interface WarmEntry {
   readonly runnerId: string;
   cachedTokens: number;
-  toldAt: number;
+  reportedAt: number;
 }
 
-/** Twice a daemon's share of 7.1 million chats over 390 daemons, so that the loss of some costs nothing. */
+/**
+ * Twice a daemon's share of 7.1 million chats over 390 daemons, so that the loss of some daemons costs no
+ * entries.
+ */
 const DEFAULT_MAXIMUM_CHATS = 36_000;
 const DEFAULT_MAXIMUM_RUNNERS = 8;
 const DEFAULT_FORGET_AFTER_MILLISECONDS = 6 * 60 * 60 * 1_000;
 
-/** The directory of one daemon. */
+/** The decisions of one daemon's directory: answers lookups and stores updates, without I/O. */
 export class ChatHomeDecisions extends Decisions<HomeMessage, HomeAction> {
   private readonly maximumChats: number;
 
@@ -36,14 +40,14 @@
 
   private readonly forgetAfterMilliseconds: number;
 
-  /** The chat asked or told about last comes last; a Map keeps insertion order. */
+  /** In order of the last lookup or update, most recent last; a Map keeps insertion order. */
   private readonly chats = new Map<string, readonly WarmEntry[]>();
 
-  /** Interned names: a name comes from each message as a string of its own. */
+  /** Interned names, to save memory: each message creates its own string for a name. */
   private readonly runnerNames = new Map<string, string>();
 
   /**
-   * @param options - limits.
+   * @param options - the limits.
    */
   constructor({
     maximumChats = DEFAULT_MAXIMUM_CHATS,
@@ -59,10 +63,10 @@
   override decide(now: number, message: HomeMessage): readonly HomeAction[] {
     return match<HomeMessage, readonly HomeAction[]>(message)
       .with({ kind: 'ask' }, ({ question, service, chat }) => [
-        { kind: 'answer', question, warm: this.ask(now, service, chat) },
+        { kind: 'answer', question, warm: this.lookUp(now, service, chat) },
       ])
       .with({ kind: 'tell' }, ({ service, chat, runnerId, cachedTokens }) => {
-        this.tell(now, service, chat, runnerId, cachedTokens);
+        this.store(now, service, chat, runnerId, cachedTokens);
         return [];
       })
       .with({ kind: 'runner_cleared' }, ({ runnerId }) => {
@@ -77,35 +81,35 @@
     return undefined;
   }
 
-  /** @returns Chats that are remembered. */
+  /** @returns The number of stored chats. */
   get size(): number {
     return this.chats.size;
   }
 
-  private ask(now: number, service: string, chat: string): WarmPlace[] {
+  private lookUp(now: number, service: string, chat: string): WarmPlace[] {
     const key = ChatHomeDecisions.keyOf(service, chat);
     const entries = this.chats.get(key) ?? [];
-    this.keepLonger(key, entries);
+    this.markUsed(key, entries);
     return entries
-      .filter(({ toldAt }) => now - toldAt < this.forgetAfterMilliseconds)
-      .sort((a, b) => b.cachedTokens - a.cachedTokens || b.toldAt - a.toldAt)
-      .map(({ runnerId, cachedTokens, toldAt }) => ({
+      .filter(({ reportedAt }) => now - reportedAt < this.forgetAfterMilliseconds)
+      .sort((a, b) => b.cachedTokens - a.cachedTokens || b.reportedAt - a.reportedAt)
+      .map(({ runnerId, cachedTokens, reportedAt }) => ({
         runnerId,
         cachedTokens,
-        ageMilliseconds: Math.round(now - toldAt),
+        ageMilliseconds: Math.round(now - reportedAt),
       }));
   }
 
   /**
-   * Gates tell only what is news, so a chat in use may be without news for long. Without this it would be
-   * forgotten before one that nobody has asked for since.
+   * Marks a chat as most recently used. Gates send only significant changes, so a chat in use may get no update
+   * for long. Without this it would be removed before a chat that was not looked up since its last update.
    */
-  private keepLonger(key: string, entries: readonly WarmEntry[]): void {
+  private markUsed(key: string, entries: readonly WarmEntry[]): void {
     if (!this.chats.delete(key)) return;
     this.chats.set(key, entries);
   }
 
-  private tell(
+  private store(
     now: number,
     service: string,
     chat: string,
@@ -115,18 +119,18 @@
     const key = ChatHomeDecisions.keyOf(service, chat);
     const others = (this.chats.get(key) ?? []).filter((entry) => entry.runnerId !== runnerId);
     if (cachedTokens > 0) {
-      if (others.length >= this.maximumRunners) others.splice(this.oldest(others), 1);
-      others.push({ runnerId: this.intern(runnerId), cachedTokens, toldAt: now });
+      if (others.length >= this.maximumRunners) others.splice(this.indexOfOldest(others), 1);
+      others.push({ runnerId: this.intern(runnerId), cachedTokens, reportedAt: now });
     }
     this.chats.delete(key);
     if (others.length > 0) this.chats.set(key, others);
     if (this.chats.size > this.maximumChats) this.forgetOldest();
   }
 
-  private oldest(entries: readonly WarmEntry[]): number {
+  private indexOfOldest(entries: readonly WarmEntry[]): number {
     let oldest = 0;
-    entries.forEach(({ toldAt }, index) => {
-      if (toldAt < entries[oldest]!.toldAt) oldest = index;
+    entries.forEach(({ reportedAt }, index) => {
+      if (reportedAt < entries[oldest]!.reportedAt) oldest = index;
     });
     return oldest;
   }
@@ -136,7 +140,9 @@
     if (!oldest.done) this.chats.delete(oldest.value);
   }
 
-  /** A restarted runner has an empty cache; without this, its chats would land there cold for hours. */
+  /**
+   * Removes a runner from all chats. A restarted runner's cache is empty; its chats would miss it for hours.
+   */
   private clear(runnerId: string): void {
     if (!this.runnerNames.has(runnerId)) return;
     this.runnerNames.delete(runnerId);
@@ -155,7 +161,7 @@
     return runnerId;
   }
 
-  /** Two services may have a chat of the same name. A name holds no line end, so keys cannot collide. */
+  /** Two services may have a chat of the same name. Names contain no line feed, so keys can not collide. */
   private static keyOf(service: string, chat: string): string {
     return `${service}\n${chat}`;
   }
--- a/src/homes/HomePort.ts
+++ b/src/homes/HomePort.ts
@@ -1,23 +1,26 @@
 /**
- * How a daemon asks and tells the home of a chat where the chat's prefix is cached.
+ * The interface through which a daemon looks up, and reports to a chat's home, where the chat's prefix is
+ * cached.
  */
 import type { HomeChange, WarmRunner } from '../generated/baobabdock/v1/peers_pb.js';
 
-/** The homes of all chats, this daemon's own included. */
+/** Access to the homes of all chats, whether the home is this daemon or another one. */
 export abstract class HomePort {
   /**
-   * Asks a chat's home. A home that is gone or slow costs cache reuse, never an answer: the result is then empty.
+   * Looks up the runners that have a chat's prefix cached. If the home is unavailable or slow, the result lacks
+   * its entries; that costs cache reuse, but the request goes on.
    *
    * @param chat - the chat's name.
-   * @param service - the service it talks to.
-   * @returns Runners where the chat is warm, the most cached first; empty after a short timeout.
+   * @param service - the service that the chat uses.
+   * @returns The runners, those with the most cached tokens first.
    */
   abstract ask(chat: string, service: string): Promise<readonly WarmRunner[]>;
 
   /**
-   * Tells homes what changed; sent in batches, lost without harm.
+   * Reports changes to the homes of their chats. Changes are sent in batches and may be lost, which costs only
+   * cache reuse.
    *
-   * @param changes - one for each chat and runner.
+   * @param changes - the changes, each for one chat on one runner.
    */
   abstract tell(changes: readonly HomeChange[]): void;
 }
--- a/src/homes/HomeTask.spec.ts
+++ b/src/homes/HomeTask.spec.ts
@@ -24,7 +24,7 @@
 
 type HomeCalls = Pick<Client<typeof PeerService>, 'askHome' | 'tellHome'>;
 
-/** Remembers calls; fails those to daemons that are down. */
+/** Records calls and fails those to daemons that are down. */
 class FakeLink extends PeerLink {
   readonly asked: string[] = [];
 
@@ -55,7 +55,7 @@
   }
 }
 
-/** One gate here, which knows every chat warm. */
+/** One local gate whose runner has every chat cached. */
 class OneGate extends LocalWarmth {
   constructor(private readonly place: LocalWarmPlace) {
     super();
@@ -82,13 +82,13 @@
   const clock = new ManualClock();
   const link = new FakeLink();
   const directory = new HomeTaskDirectory({ decisions: new ChatHomeDecisions(), clock });
-  // Flushed by hand: the interval never passes in a spec.
+  // The specs flush by hand; the interval is too long to pass.
   const parsed = homesSettings.parse({ tellIntervalMilliseconds: 3_600_000, ...settings });
   const task = new HomeTask({ directory, fleet, link, clock, settings: parsed });
   tasks.push(task);
   const chats = Array.from({ length: 40 }, (_, index) => `chat-${index}`);
   const homeIs = (home: string) => chats.filter((chat) => fleet.homeOf(chat)?.daemonId === home);
-  return { task, link, clock, fleet, near: homeIs('here'), far: homeIs('there') };
+  return { task, link, clock, fleet, ownChats: homeIs('here'), remoteChats: homeIs('there') };
 }
 
 function change(chat: string, cachedTokens = 5): HomeChange {
@@ -96,33 +96,36 @@
 }
 
 describe(HomeTask.name, () => {
-  it('answers from its own directory without a call, and asks another home', async () => {
-    const { task, link, near, far } = setUp();
-    task.tell([change(near[0]!, 77)]);
-    expect((await task.ask(near[0]!, 's'))[0]?.cachedTokens).toEqual(77);
+  it('looks up its own directory without a call, and calls another home', async () => {
+    const { task, link, ownChats, remoteChats } = setUp();
+    task.tell([change(ownChats[0]!, 77)]);
+    expect((await task.ask(ownChats[0]!, 's'))[0]?.cachedTokens).toEqual(77);
     expect(link.asked).toEqual([]);
-    expect((await task.ask(far[0]!, 's'))[0]?.cachedTokens).toEqual(9);
+    expect((await task.ask(remoteChats[0]!, 's'))[0]?.cachedTokens).toEqual(9);
     task.clearRunner('r');
-    expect(await task.ask(near[0]!, 's')).toEqual([]);
+    expect(await task.ask(ownChats[0]!, 's')).toEqual([]);
   });
 
-  it('goes on without a home that is late, and stops asking it for a while', async () => {
-    // Symptom: every request of some chats starts 40 ms late. Sequence: their home hangs; each request
-    // waits for it. Cause: nobody remembers that it did not answer the last times.
-    const { task, link, clock, far } = setUp();
+  it('continues without a home that times out, and pauses calls to it', async () => {
+    // Guards against requests of some chats that all start 40 ms late, because their home hangs and each of
+    // them waits for the timeout.
+    const { task, link, clock, remoteChats } = setUp();
     link.down.add('there');
-    for (let ask = 0; ask < 5; ask += 1) expect(await task.ask(far[0]!, 's')).toEqual([]);
+    for (let ask = 0; ask < 5; ask += 1) expect(await task.ask(remoteChats[0]!, 's')).toEqual([]);
     expect(link.asked.length).toEqual(3);
     link.down.clear();
     clock.advance(2_000);
-    expect((await task.ask(far[0]!, 's')).length).toEqual(1);
+    expect((await task.ask(remoteChats[0]!, 's')).length).toEqual(1);
   });
 
-  it('tells in batches by home, the newest change of a chat only, and drops the oldest', async () => {
-    // Symptom: memory grows while a home is away. Sequence: a storm of cache events for its chats.
-    // Cause: changes wait without a limit.
-    const { task, link, far } = setUp({ maximumQueuedChanges: 3, maximumChangesPerInterval: 2 });
-    const [a, b, c, d] = far as [string, string, string, string];
+  it('batches changes by home, sends only the newest of a chat, and drops the oldest', async () => {
+    // Guards against a queue that grows without limit while a home is unavailable and its chats have many cache
+    // events.
+    const { task, link, remoteChats } = setUp({
+      maximumQueuedChanges: 3,
+      maximumChangesPerInterval: 2,
+    });
+    const [a, b, c, d] = remoteChats as [string, string, string, string];
     task.tell([change(a, 1), change(b, 2), change(b, 3), change(c, 4), change(d, 5)]);
     expect(task.droppedChanges).toEqual(1);
     await task.flush();
@@ -137,11 +140,11 @@
     ]);
   });
 
-  it('keeps what peers tell, but no name that is too long', async () => {
-    const { task, near } = setUp();
+  it('stores the changes that peers send, except those with a name that is too long', async () => {
+    const { task, ownChats } = setUp();
     const handlers = task.handlers();
     const context = {} as HandlerContext;
-    const changes = [change(near[0]!, 6), change('x'.repeat(600), 6)];
+    const changes = [change(ownChats[0]!, 6), change('x'.repeat(600), 6)];
     await handlers.tellHome!({ changes, $typeName: 'baobabdock.v1.TellHomeRequest' }, context);
     const ask = async (chat: string) =>
       (
@@ -150,25 +153,25 @@
           context,
         )
       ).warm?.length;
-    expect(await ask(near[0]!)).toEqual(1);
+    expect(await ask(ownChats[0]!)).toEqual(1);
     expect(await ask('x'.repeat(600))).toEqual(0);
   });
 
-  it('moves a waiting change when the home of its chat moves here', async () => {
-    const { task, link, fleet, far } = setUp();
-    task.tell([change(far[0]!, 8)]);
+  it('stores a queued change here if this daemon becomes the home of its chat', async () => {
+    const { task, link, fleet, remoteChats } = setUp();
+    task.tell([change(remoteChats[0]!, 8)]);
     fleet.removeMember('there');
     await task.flush();
     expect(link.told).toEqual([]);
-    expect((await task.ask(far[0]!, 's'))[0]?.cachedTokens).toEqual(8);
+    expect((await task.ask(remoteChats[0]!, 's'))[0]?.cachedTokens).toEqual(8);
   });
 
-  it('asks no home while an own gate is warm and has room, else adds what the home knows', async () => {
-    // Symptom: control traffic grows with the requests. Sequence: locate names the gate of the chat, whose
-    // daemon asks the chat's home for what its gate knows. Cause: the entry does not look at its own gates.
-    const { task, link, far } = setUp();
+  it('calls no home if a local warm runner has room, else adds the entries of the home', async () => {
+    // Guards against control traffic that grows with the number of requests: locate sends a chat to the daemon
+    // with its gate, and that daemon would ask the chat's home for what its own gate knows already.
+    const { task, link, remoteChats } = setUp();
     const own = { runnerId: 'own', cachedTokens: 5 };
-    const ask = async () => (await task.ask(far[0]!, 's')).map(({ runnerId }) => runnerId);
+    const ask = async () => (await task.ask(remoteChats[0]!, 's')).map(({ runnerId }) => runnerId);
     task.useLocalWarmth(new OneGate({ ...own, hasRoom: true }));
     expect([await ask(), link.asked.length]).toEqual([['own'], 0]);
     task.useLocalWarmth(new OneGate({ ...own, hasRoom: false }));
@@ -177,12 +180,12 @@
     expect(await ask()).toEqual(['own']);
   });
 
-  it('tells a home only what is news to it', async () => {
-    // Symptom: a message for each answer. Cause: each answer makes its chat a little longer.
-    const { task, link, far } = setUp();
+  it('sends a home only significant changes', async () => {
+    // Guards against a message for each answer, because each answer makes its chat's prefix a little longer.
+    const { task, link, remoteChats } = setUp();
     const tellOf = async (cachedTokens: number) => {
       const before = link.told.length;
-      task.tell([change(far[0]!, cachedTokens)]);
+      task.tell([change(remoteChats[0]!, cachedTokens)]);
       await task.flush();
       await task.flushPatient();
       return link.told.length > before;
@@ -194,35 +197,35 @@
     expect(told).toEqual([true, false, false, true, false, false, true, true, true]);
   });
 
-  const forgetful = [
+  const cases = [
     { name: 'a home that restarted', incarnation: 2n, wait: 0, down: false },
     { name: 'a home whose message was lost', incarnation: 0n, wait: 0, down: true },
-    { name: 'a home that was told long ago', incarnation: 0n, wait: 3 * 3_600_000, down: false },
+    { name: 'a home whose entry is old', incarnation: 0n, wait: 3 * 3_600_000, down: false },
   ];
-  for (const { name, incarnation, wait, down } of forgetful) {
-    it(`tells again ${name}`, async () => {
-      // Symptom: a chat lands cold turn after turn although a runner holds it. Sequence: its home lost what
-      // it was told; the chat goes on. Cause: the gate's daemon believes that the home still knows.
-      const { task, link, clock, fleet, far } = setUp();
+  for (const { name, incarnation, wait, down } of cases) {
+    it(`sends a change again to ${name}`, async () => {
+      // Guards against a chat that misses the cache at every turn although a runner has its prefix: the home
+      // lost the entry, and the gate's daemon still counts it as known there.
+      const { task, link, clock, fleet, remoteChats } = setUp();
       if (down) link.down.add('there');
-      task.tell([change(far[0]!, 100)]);
+      task.tell([change(remoteChats[0]!, 100)]);
       await task.flush();
       link.down.clear();
       clock.advance(wait);
       fleet.applyMember({ ...fleet.members()[1]!, incarnation });
-      task.tell([change(far[0]!, 101)]);
+      task.tell([change(remoteChats[0]!, 101)]);
       await task.flush();
       expect(link.told.length).toEqual(2);
     });
   }
 
-  it('lets evictions and growth go along with a message to the same home, and alone in the end', async () => {
-    const { task, link, far } = setUp();
-    const [a, b, c] = far as [string, string, string];
+  it('sends evictions and growth with the next message to the same home, or alone after a delay', async () => {
+    const { task, link, remoteChats } = setUp();
+    const [a, b, c] = remoteChats as [string, string, string];
     task.tell([change(a, 0), change(b, 0)]);
     await task.flush();
     expect(link.told).toEqual([]);
-    // Back before anyone heard of its eviction: only the newest counts.
+    // The prefix is cached again before its eviction was sent: only the newest change is sent.
     task.tell([change(b, 7)]);
     await task.flush();
     task.tell([change(c, 0), change(b, 70)]);
@@ -235,25 +238,25 @@
     ]);
   });
 
-  it('tells a new place at once, but collects the changes of a storm', () => {
-    // Symptom: a chat that returns right after its answer lands cold. Sequence: its gate learns that it is
-    // warm; the chat asks again within 250 ms. Cause: every change waits for the end of the interval.
+  it('sends a new warm runner at once, but batches many changes', () => {
+    // Guards against a chat that misses the cache because it returns within 250 ms of its answer, while the
+    // change with its warm runner waits for the end of the interval.
     mock.timers.enable({ apis: ['setTimeout'] });
     const interval = 250;
     const settings = { tellIntervalMilliseconds: interval, maximumPromptMessages: 2 };
-    const { task, link, clock, far } = setUp(settings);
+    const { task, link, clock, remoteChats } = setUp(settings);
     const tellOf = (names: readonly string[]) => {
       task.tell(names.map((name) => change(name)));
       mock.timers.tick(1);
       clock.advance(1);
       return link.told.length;
     };
-    expect(tellOf(far.slice(0, 1))).toEqual(1);
-    expect(tellOf(far.slice(1, 2))).toEqual(2);
-    expect(tellOf(far.slice(2, 5))).toEqual(2);
+    expect(tellOf(remoteChats.slice(0, 1))).toEqual(1);
+    expect(tellOf(remoteChats.slice(1, 2))).toEqual(2);
+    expect(tellOf(remoteChats.slice(2, 5))).toEqual(2);
     mock.timers.tick(interval);
     clock.advance(interval);
     expect(link.told.at(-1)?.changes.length).toEqual(3);
-    expect(tellOf(far.slice(5, 6))).toEqual(4);
+    expect(tellOf(remoteChats.slice(5, 6))).toEqual(4);
   });
 });
--- a/src/homes/HomeTask.ts
+++ b/src/homes/HomeTask.ts
@@ -1,6 +1,7 @@
 /**
- * The homes of all chats as this daemon reaches them: its own directory, and other daemons by call. A call is
- * some 600 bytes of headers on the wire, so it asks what no gate here knows, and tells what is news.
+ * Access to the homes of all chats: this daemon's own directory, and other daemons by calls. A call has some
+ * 600 bytes of headers on the wire, so homes are asked only for what no local gate knows, and are sent only
+ * significant changes.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type { HomeChange, Member, WarmRunner } from '../generated/baobabdock/v1/peers_pb.js';
@@ -40,19 +41,19 @@
   clock: Clock;
   settings: HomeTaskSettings;
   log?: Log;
-  /** What homes were told; measurements pass one that withholds nothing. */
+  /** The filter of changes; measurements pass one that lets all changes through. */
   told?: ToldPlaces;
 }
 
-/** Longest name of a chat or runner that is stored; a peer's mistake must not fill the directory. */
+/** Longest name of a chat, service or runner that is stored, so that a faulty peer can't fill the directory. */
 const MAXIMUM_NAME_CHARACTERS = 512;
 
-/** Names a start of a daemon: one that restarted has forgotten what it was told. */
-function startOf({ daemonId, incarnation }: Member): string {
+/** Identifies one incarnation of a daemon, because a restarted one has lost its directory. */
+function incarnationKeyOf({ daemonId, incarnation }: Member): string {
   return `${daemonId}@${incarnation}`;
 }
 
-/** Asks within a short time, tells news; both are lost without harm. */
+/** Looks up and reports cached prefixes. Failed calls cost only cache reuse. */
 export class HomeTask extends HomePort {
   private readonly directory: HomeTaskDirectory;
 
@@ -76,17 +77,17 @@
 
   private timer: NodeJS.Timeout | undefined;
 
-  private patientTimer: NodeJS.Timeout | undefined;
+  private deferredTimer: NodeJS.Timeout | undefined;
 
-  /** Messages of the current interval that went without waiting, and when it began. */
-  private prompt = { messages: 0, since: Number.NEGATIVE_INFINITY };
+  /** Messages that were sent in the current interval, and its start in monotonic milliseconds. */
+  private currentInterval = { messages: 0, since: Number.NEGATIVE_INFINITY };
 
   private dropped = 0;
 
   private stopped = false;
 
   /**
-   * @param options - the directory of this daemon, the fleet, the link and the limits.
+   * @param options - this daemon's directory, the fleet, the link to peers and the limits.
    */
   constructor({
     directory,
@@ -113,33 +114,36 @@
   }
 
   /**
-   * @param warmth - what this daemon's gates know; they are built after the homes, which they tell.
+   * Sets the source of local warm runners. It can't be an option, because the gates need this task at their
+   * construction.
+   *
+   * @param warmth - the warm runners behind this daemon's gates.
    */
   useLocalWarmth(warmth: LocalWarmth): void {
     this.warmth = warmth;
   }
 
   /**
-   * Locate sends a chat to the gate of a runner where it is warm, so the entry's own gate usually knows the
-   * answer. Its home is asked when it does not, or when the runner has no room and others are worth knowing.
+   * Looks up local gates first: locate sends a chat to the daemon with the gate of a warm runner, so that gate
+   * usually has the answer. The chat's home is asked if no local runner is warm, or none of them has room.
    */
   override async ask(chat: string, service: string): Promise<readonly WarmRunner[]> {
     const local = this.warmth.placesOf(service, chat);
-    const isEnough = local.some(({ hasRoom }) => hasRoom);
-    return mergeWarm(local, isEnough ? [] : await this.askHome(chat, service));
+    const hasLocalRoom = local.some(({ hasRoom }) => hasRoom);
+    return mergeWarm(local, hasLocalRoom ? [] : await this.askHome(chat, service));
   }
 
   override tell(changes: readonly HomeChange[]): void {
     for (const change of changes) {
       const home = this.fleet.homeOf(change.chat);
-      if (home && this.isSelf(home)) this.keep(change);
+      if (home && this.isSelf(home)) this.storeHere(change);
       else if (home) this.enqueue(home, change);
     }
-    this.arm();
+    this.startTimers();
   }
 
   /**
-   * Forgets a runner in this daemon's directory: it restarted or lost its cache.
+   * Removes a runner that restarted or lost its cache from this daemon's directory.
    *
    * @param runnerId - the runner's name.
    */
@@ -155,33 +159,33 @@
       }),
       tellHome: ({ changes }) => {
         for (const change of changes.slice(0, this.settings.maximumQueuedChanges)) {
-          this.keep(change);
+          this.storeHere(change);
         }
         return {};
       },
     };
   }
 
-  /** @returns Changes dropped because too many waited, since the start. */
+  /** @returns The number of changes dropped from the full queue since the start. */
   get droppedChanges(): number {
     return this.dropped;
   }
 
-  /** Stops the timers; changes that wait are lost. */
+  /** Stops the timers and the directory; queued changes are lost. */
   stop(): void {
     this.stopped = true;
     clearTimeout(this.timer);
-    clearTimeout(this.patientTimer);
+    clearTimeout(this.deferredTimer);
     this.queue.clear();
     this.directory.stop();
   }
 
-  /** Sends what is urgent, within the limit of one interval, and what waits for the same homes. */
+  /** Sends urgent changes, up to the limit of one interval, with the deferred changes for the same homes. */
   async flush(): Promise<void> {
     await this.send(this.queue.takeUrgent(this.settings.maximumChangesPerInterval));
   }
 
-  /** Sends what found no message to go along with. */
+  /** Sends deferred changes that no urgent change to the same home has taken along. */
   flushPatient(): Promise<void> {
     return this.send(this.queue.takePatient(this.settings.maximumChangesPerInterval));
   }
@@ -197,7 +201,7 @@
       this.health.succeeded(home.daemonId);
       return warm;
     } catch {
-      // Too late or not there: the request goes on in hash order, which costs cache reuse and nothing else.
+      // Timeout or unavailable: the request goes on in hash order, which costs only cache reuse.
       this.countFailure(home);
       return [];
     }
@@ -206,19 +210,19 @@
   private async send(changes: readonly HomeChange[]): Promise<void> {
     const batches = new Map<string, { home: Member; changes: HomeChange[] }>();
     for (const change of changes) {
-      // Asked again, because the members may have changed while the change waited.
+      // Computed again, because the members may have changed while the change was queued.
       const home = this.fleet.homeOf(change.chat);
       if (!home || this.health.isPaused(this.now(), home.daemonId)) {
         this.told.lost(change);
       } else if (this.isSelf(home)) {
-        this.keep(change);
+        this.storeHere(change);
       } else {
         const batch = batches.get(home.daemonId) ?? { home, changes: [] };
         batch.changes.push(change);
         batches.set(home.daemonId, batch);
       }
     }
-    this.prompt.messages += batches.size;
+    this.currentInterval.messages += batches.size;
     await Promise.all([...batches.values()].map((batch) => this.sendBatch(batch)));
   }
 
@@ -233,7 +237,7 @@
     }
   }
 
-  private keep({ chat, service, runnerId, cachedTokens }: HomeChange): void {
+  private storeHere({ chat, service, runnerId, cachedTokens }: HomeChange): void {
     const longest = Math.max(chat.length, service.length, runnerId.length);
     if (longest > MAXIMUM_NAME_CHARACTERS) return;
     this.directory.send({ kind: 'tell', chat, service, runnerId, cachedTokens });
@@ -241,30 +245,31 @@
 
   private enqueue(home: Member, change: HomeChange): void {
     if (this.stopped) return;
-    const news = this.told.take(this.now(), startOf(home), change);
+    const news = this.told.take(this.now(), incarnationKeyOf(home), change);
     if (news !== 'known') this.queue.add(home.daemonId, change, news === 'new');
   }
 
   /**
-   * A chat may return within moments of its answer, and would miss its warm runner while the change waits. So
-   * the first messages of an interval go at once; a storm of changes is collected until the interval ends.
+   * Starts the timers for queued changes. A chat may return right after its answer, and would miss its warm
+   * runner while the change is queued. So the first messages of an interval are sent at once; further changes
+   * are batched until the end of the interval.
    */
-  private arm(): void {
+  private startTimers(): void {
     if (this.stopped || this.queue.size === 0) return;
     const { patientTellMilliseconds } = this.settings;
-    this.patientTimer ??= setTimeout(() => {
-      this.patientTimer = undefined;
+    this.deferredTimer ??= setTimeout(() => {
+      this.deferredTimer = undefined;
       void this.flushPatient();
-      this.arm();
+      this.startTimers();
     }, patientTellMilliseconds);
-    if (this.queue.urgent > 0) this.timer ??= setTimeout(() => this.onInterval(), this.waitFor());
+    if (this.queue.urgent > 0) this.timer ??= setTimeout(() => this.onInterval(), this.sendDelay());
   }
 
-  private waitFor(): number {
+  private sendDelay(): number {
     const { tellIntervalMilliseconds, maximumPromptMessages } = this.settings;
-    const age = this.now() - this.prompt.since;
-    if (age >= tellIntervalMilliseconds) this.prompt = { messages: 0, since: this.now() };
-    const isQuiet = this.prompt.messages + this.queue.urgent <= maximumPromptMessages;
+    const age = this.now() - this.currentInterval.since;
+    if (age >= tellIntervalMilliseconds) this.currentInterval = { messages: 0, since: this.now() };
+    const isQuiet = this.currentInterval.messages + this.queue.urgent <= maximumPromptMessages;
     return isQuiet ? 0 : tellIntervalMilliseconds;
   }
 
@@ -274,7 +279,7 @@
       this.log.write(homesLogEvents.changesDropped, { dropped: this.dropped });
     }
     void this.flush();
-    this.arm();
+    this.startTimers();
   }
 
   private onDropped(change: HomeChange): void {
--- a/src/homes/HomeTaskDirectory.ts
+++ b/src/homes/HomeTaskDirectory.ts
@@ -1,5 +1,6 @@
 /**
- * The chats whose home is this daemon: runs the decisions and turns their answers into return values.
+ * The directory of the chats whose home is this daemon: runs the decisions and returns their answers to
+ * callers.
  */
 import type { DecisionStep } from '../decisions/DecisionTask.js';
 import { DecisionTask } from '../decisions/DecisionTask.js';
@@ -14,7 +15,7 @@
   record?: (step: DecisionStep<HomeMessage, HomeAction>) => void;
 }
 
-/** Answers within the call: the decisions never wait for anything. */
+/** Answers lookups synchronously, because the decisions never wait. */
 export class HomeTaskDirectory extends DecisionTask<HomeMessage, HomeAction> {
   private readonly answers = new Map<string, readonly WarmPlace[]>();
 
@@ -28,9 +29,11 @@
   }
 
   /**
-   * @param service - the service the chat talks to.
+   * Looks up a chat.
+   *
+   * @param service - the service that the chat uses.
    * @param chat - the chat's name.
-   * @returns Runners where it is warm, the most cached first.
+   * @returns The runners with its prefix cached, those with the most cached tokens first.
    */
   ask(service: string, chat: string): readonly WarmPlace[] {
     this.questions += 1;
--- a/src/homes/HomeTaskHealth.ts
+++ b/src/homes/HomeTaskHealth.ts
@@ -1,5 +1,5 @@
 /**
- * Which homes are not asked for a while, because they did not answer several times in a row.
+ * Pauses calls to homes that failed several times in a row (a circuit breaker for each home).
  */
 
 /** Options of a {@link HomeTaskHealth}. */
@@ -12,23 +12,25 @@
   pausedUntil: number;
 }
 
+/** Failed calls in a row after which a home is not called for a while. */
 const FAILURES_BEFORE_PAUSE = 3;
 
-/** Failures of the daemons that were called. */
+/** Counts consecutive failures of each home and says which homes are paused. */
 export class HomeTaskHealth {
   private readonly pauseMilliseconds: number;
 
   private readonly homes = new Map<string, Health>();
 
   /**
-   * @param options - how long a pause is.
+   * @param options - the length of a pause.
    */
   constructor({ pauseAfterFailuresMilliseconds }: HomeTaskHealthOptions) {
     this.pauseMilliseconds = pauseAfterFailuresMilliseconds;
   }
 
   /**
-   * Without the pause every request of a dead home's chats would wait for the whole timeout.
+   * Says whether calls to a home are paused. Without the pause every request of the chats of a dead home would
+   * wait for the whole timeout.
    *
    * @param now - monotonic milliseconds.
    * @param daemonId - a home.
@@ -39,15 +41,19 @@
   }
 
   /**
-   * @param daemonId - a home that answered.
+   * Records a successful call, which resets the count of failures.
+   *
+   * @param daemonId - the home's name.
    */
   succeeded(daemonId: string): void {
     this.homes.delete(daemonId);
   }
 
   /**
+   * Records a failed call.
+   *
    * @param now - monotonic milliseconds.
-   * @param daemonId - a home that did not answer.
+   * @param daemonId - the home's name.
    * @returns Whether a pause begins with this failure.
    */
   failed(now: number, daemonId: string): boolean {
--- a/src/homes/HomeTaskQueue.ts
+++ b/src/homes/HomeTaskQueue.ts
@@ -1,22 +1,23 @@
 /**
- * Changes that wait to be told, the newest for each chat and runner only.
+ * The queue of changes to be sent to homes; keeps only the newest for each chat and runner.
  *
- * What a home has to know at once and what can wait are kept apart. A new warm place is worth something when
- * the chat returns, which may be in a moment. A home that has not heard yet how much a chat has grown sends it
- * to the same place; one that has not heard of an eviction sends it to where it is cold, and it would be cold
- * elsewhere, too. So these wait for a message to the same home: alone, each would cost hundreds of bytes.
+ * It separates urgent changes from deferred ones. A new warm runner is urgent, because the chat may return at
+ * any moment. Growth and evictions are deferred: without the growth of a prefix the home names the same runner
+ * anyway; without an eviction it names a runner that misses, but the chat would miss on another runner, too.
+ * Deferred changes are sent with an urgent message to the same home, as each would cost hundreds of bytes
+ * alone.
  */
 import type { HomeChange } from '../generated/baobabdock/v1/peers_pb.js';
 
 /** Options of a {@link HomeTaskQueue}. */
 export interface HomeTaskQueueOptions {
-  /** Changes that wait; beyond this the oldest are dropped. */
+  /** Most queued changes; beyond this the oldest are dropped. */
   maximumChanges: number;
-  /** Told of each dropped one. */
+  /** Called with each dropped change. */
   onDropped: (change: HomeChange) => void;
 }
 
-/** A change with the home that it was for when it came. */
+/** A deferred change with the home of its chat at the time it was queued. */
 interface WaitingChange {
   readonly home: string;
   readonly change: HomeChange;
@@ -26,48 +27,52 @@
   return `${service}\n${chat}\n${runnerId}`;
 }
 
-/** Oldest first. */
+/** Holds urgent and deferred changes in the order of their arrival. */
 export class HomeTaskQueue {
   private readonly options: HomeTaskQueueOptions;
 
   private readonly urgentChanges = new Map<string, HomeChange>();
 
-  private readonly patientChanges = new Map<string, WaitingChange>();
+  private readonly deferredChanges = new Map<string, WaitingChange>();
 
   /**
-   * @param options - the limit.
+   * @param options - the limit and the callback for dropped changes.
    */
   constructor(options: HomeTaskQueueOptions) {
     this.options = options;
   }
 
-  /** @returns Changes that wait. */
+  /** @returns The number of queued changes, urgent and deferred. */
   get size(): number {
-    return this.urgentChanges.size + this.patientChanges.size;
+    return this.urgentChanges.size + this.deferredChanges.size;
   }
 
-  /** @returns Changes that wait and should go soon. */
+  /** @returns The number of urgent changes. */
   get urgent(): number {
     return this.urgentChanges.size;
   }
 
   /**
+   * Queues a change. It stays urgent if it replaces an urgent one, unless it is an eviction.
+   *
    * @param home - the name of the chat's home.
-   * @param change - to be told; replaces an older one of the same chat and runner.
-   * @param isUrgent - whether the home lacks the place.
+   * @param change - the change; replaces a queued one of the same chat and runner.
+   * @param isUrgent - whether the home does not know yet that the runner has the prefix.
    */
   add(home: string, change: HomeChange, isUrgent: boolean): void {
     const key = keyOf(change);
     const wasUrgent = this.urgentChanges.delete(key);
-    this.patientChanges.delete(key);
+    this.deferredChanges.delete(key);
     if (isUrgent || (wasUrgent && change.cachedTokens > 0)) this.urgentChanges.set(key, change);
-    else this.patientChanges.set(key, { home, change });
+    else this.deferredChanges.set(key, { home, change });
     if (this.size > this.options.maximumChanges) this.dropOldest();
   }
 
   /**
-   * @param limit - how many at most.
-   * @returns Urgent changes, taken out.
+   * Removes the oldest urgent changes.
+   *
+   * @param limit - the largest number.
+   * @returns The removed changes.
    */
   takeUrgent(limit: number): HomeChange[] {
     const taken = [...this.urgentChanges].slice(0, limit);
@@ -76,48 +81,52 @@
   }
 
   /**
-   * @param limit - how many at most.
-   * @returns Changes that could wait, taken out.
+   * Removes the oldest deferred changes.
+   *
+   * @param limit - the largest number.
+   * @returns The removed changes.
    */
   takePatient(limit: number): HomeChange[] {
-    return this.takePatientWhere(() => true, limit);
+    return this.takeDeferredWhere(() => true, limit);
   }
 
   /**
-   * @param home - the name of a home that gets a message now.
-   * @returns Changes that go along, taken out.
+   * Removes the deferred changes for one home.
+   *
+   * @param home - the name of a home that is sent a message now.
+   * @returns The removed changes.
    */
   takePatientOf(home: string): HomeChange[] {
-    return this.takePatientWhere((waiting) => waiting.home === home);
+    return this.takeDeferredWhere((waiting) => waiting.home === home);
   }
 
-  /** Forgets all. */
+  /** Removes all changes. */
   clear(): void {
     this.urgentChanges.clear();
-    this.patientChanges.clear();
+    this.deferredChanges.clear();
   }
 
-  private takePatientWhere(
-    wanted: (waiting: WaitingChange) => boolean,
+  private takeDeferredWhere(
+    isWanted: (waiting: WaitingChange) => boolean,
     limit = Number.POSITIVE_INFINITY,
   ): HomeChange[] {
     const taken: HomeChange[] = [];
-    for (const [key, waiting] of this.patientChanges) {
+    for (const [key, waiting] of this.deferredChanges) {
       if (taken.length >= limit) break;
-      if (!wanted(waiting)) continue;
-      this.patientChanges.delete(key);
+      if (!isWanted(waiting)) continue;
+      this.deferredChanges.delete(key);
       taken.push(waiting.change);
     }
     return taken;
   }
 
-  /** What can wait goes first: it costs less to lack it. */
+  /** Drops a deferred change if there is one, because its loss costs less; else an urgent one. */
   private dropOldest(): void {
-    const [patient] = this.patientChanges;
+    const [deferred] = this.deferredChanges;
     const [urgent] = this.urgentChanges;
-    if (patient) this.patientChanges.delete(patient[0]);
+    if (deferred) this.deferredChanges.delete(deferred[0]);
     else if (urgent) this.urgentChanges.delete(urgent[0]);
-    const dropped = patient?.[1].change ?? urgent?.[1];
+    const dropped = deferred?.[1].change ?? urgent?.[1];
     if (dropped) this.options.onDropped(dropped);
   }
 }
--- a/src/homes/LocalWarmth.ts
+++ b/src/homes/LocalWarmth.ts
@@ -1,26 +1,28 @@
 /**
- * What the gates of this daemon know themselves of where a chat is cached, without asking the chat's home.
+ * The warm runners that this daemon's own gates know, without a call to a chat's home.
  */
 
-/** A runner behind a gate of this daemon that holds a chat's prefix. */
+/** A runner behind a gate of this daemon that has a chat's prefix cached. */
 export interface LocalWarmPlace {
   readonly runnerId: string;
   readonly cachedTokens: number;
-  /** Whether a request would start there at once; otherwise other warm runners are worth a question. */
+  /** Whether a request would start there at once; if not, the chat's home is asked for other warm runners. */
   readonly hasRoom: boolean;
 }
 
-/** The warm runners behind this daemon's own gates. */
+/** Looks up warm runners behind this daemon's own gates. */
 export abstract class LocalWarmth {
   /**
-   * @param service - the service that the chat talks to.
+   * Looks up a chat without a call.
+   *
+   * @param service - the service that the chat uses.
    * @param chat - the chat's name.
-   * @returns Runners whose gates are held here and that hold the chat's prefix; costs no call.
+   * @returns The runners with a gate on this daemon that have the chat's prefix cached.
    */
   abstract placesOf(service: string, chat: string): readonly LocalWarmPlace[];
 }
 
-/** Knows of none: for daemons without gates. */
+/** Finds no runners; used until the gates are built. */
 export class NoLocalWarmth extends LocalWarmth {
   override placesOf(): readonly LocalWarmPlace[] {
     return [];
--- a/src/homes/ToldPlaces.ts
+++ b/src/homes/ToldPlaces.ts
@@ -1,6 +1,7 @@
 /**
- * What this daemon has told to which home, so that homes are told news only: each answer lengthens its chat a
- * little, and a call for each of them costs more than the gossip of the whole fleet.
+ * Filters out changes that a home knows well enough already. Each answer makes its chat's prefix a little
+ * longer, and a call for each of them would cost more than the gossip of the whole fleet. So this daemon
+ * remembers what it sent to which home.
  */
 import murmurhash from 'murmurhash';
 
@@ -8,54 +9,58 @@
 
 /** Options of {@link ToldPlaces}. */
 export interface ToldPlacesOptions {
-  /** Chats and runners that are remembered; a forgotten one is told once more. */
+  /** Most pairs of chat and runner that are remembered; the change of a removed one is sent once more. */
   maximumPlaces?: number;
-  /** Age after which a place is told again although nothing changed, in ms; below the age at which homes forget. */
+  /** Age after which an unchanged entry is sent again, in ms; shorter than the age at which homes remove it. */
   repeatAfterMilliseconds?: number;
 }
 
-/** Whether a home knows a change already, lacks the place, or knows it by a number that is out of date. */
+/**
+ * `known`: the home needs no message; `new`: it lacks the entry; `changed`: its number of cached tokens is out
+ * of date.
+ */
 export type News = 'known' | 'new' | 'changed';
 
-interface ToldPlace {
+interface SentChange {
   readonly home: string;
   readonly cachedTokens: number;
-  readonly toldAt: number;
+  readonly sentAt: number;
 }
 
-/** Twice the chats that are warm behind one daemon's gates at 7.1 million chats and 390 daemons. */
+/** Twice the number of chats that are cached behind one daemon's gates at 7.1 million chats and 390 daemons. */
 const DEFAULT_MAXIMUM_PLACES = 36_000;
 const DEFAULT_REPEAT_AFTER_MILLISECONDS = 2 * 60 * 60 * 1_000;
 
 /**
- * A prefix has to grow or shrink by these factors to be news. The choice weighs the cached share of a prompt;
- * at half as much again it is off by a third at most, while a chat of 30 equal turns is told 8 times.
+ * A change is sent if the prefix has grown or shrunk by these factors. The choice of a runner weighs the cached
+ * share of the prompt. With a growth factor of one and a half that share is off by a third at most, and a chat
+ * of 30 equal turns is sent 8 times.
  */
-const GROWTH_THAT_IS_NEWS = 1.5;
-const SHRINKING_THAT_IS_NEWS = 0.75;
+const SIGNIFICANT_GROWTH = 1.5;
+const SIGNIFICANT_SHRINKING = 0.75;
 
 const SECOND_SEED = 0x9e37;
 const HALF_RANGE = 2 ** 21;
 
 /**
- * Names are kept as 53 bits of hash, a tenth of their size. Should two ever collide, one is told later or
- * not at all, which costs reuse of one chat.
+ * Hashes the names to 53 bits, which take a tenth of the memory of the names. If two collide, a change is sent
+ * late or not at all, which costs cache reuse for one chat.
  */
 function keyOf({ chat, service, runnerId }: HomeChange): number {
   const text = `${service}\n${chat}\n${runnerId}`;
   return murmurhash.v3(text) * HALF_RANGE + (murmurhash.v3(text, SECOND_SEED) % HALF_RANGE);
 }
 
-/** Remembers the newest; the one told longest ago goes first. */
+/** Remembers the changes sent to homes and classifies new ones; removes the one sent longest ago when full. */
 export class ToldPlaces {
   private readonly maximumPlaces: number;
 
   private readonly repeatAfterMilliseconds: number;
 
-  private readonly places = new Map<number, ToldPlace>();
+  private readonly sentChanges = new Map<number, SentChange>();
 
   /**
-   * @param options - size and age.
+   * @param options - the size and the age of repeats.
    */
   constructor({
     maximumPlaces = DEFAULT_MAXIMUM_PLACES,
@@ -65,50 +70,51 @@
     this.repeatAfterMilliseconds = repeatAfterMilliseconds;
   }
 
-  /** @returns Places that are remembered. */
+  /** @returns The number of remembered pairs of chat and runner. */
   get size(): number {
-    return this.places.size;
+    return this.sentChanges.size;
   }
 
   /**
-   * Says whether a home has to be told, and takes it as told if so.
+   * Classifies a change, and remembers it as sent unless the home knows it.
    *
    * @param now - monotonic milliseconds.
-   * @param home - the home's name with its incarnation: one that restarted, or another one, knows nothing.
-   * @param change - what a gate learned.
-   * @returns What it is to the home.
+   * @param home - the home's name with its incarnation, because a restarted or another home has no entries.
+   * @param change - the change that a gate reports.
+   * @returns Whether the home knows the change, lacks the entry, or has an outdated one.
    */
   take(now: number, home: string, change: HomeChange): News {
     const key = keyOf(change);
     const { cachedTokens } = change;
-    const news = this.newsOf(now, home, cachedTokens, this.places.get(key));
+    const news = this.noveltyOf(now, home, cachedTokens, this.sentChanges.get(key));
     if (news === 'known') return news;
-    this.places.delete(key);
-    if (cachedTokens > 0) this.places.set(key, { home, cachedTokens, toldAt: now });
-    if (this.places.size > this.maximumPlaces) this.forgetOldest();
+    this.sentChanges.delete(key);
+    if (cachedTokens > 0) this.sentChanges.set(key, { home, cachedTokens, sentAt: now });
+    if (this.sentChanges.size > this.maximumPlaces) this.forgetOldest();
     return news;
   }
 
   /**
-   * The message was lost. Without this the home would stay without the chat until it has grown by half.
+   * Forgets a change whose message was lost. Without this the home would lack the entry until the chat has
+   * grown by half.
    *
-   * @param change - what was to be told.
+   * @param change - the change that was not delivered.
    */
   lost(change: HomeChange): void {
-    this.places.delete(keyOf(change));
+    this.sentChanges.delete(keyOf(change));
   }
 
-  private newsOf(now: number, home: string, cachedTokens: number, known?: ToldPlace): News {
+  private noveltyOf(now: number, home: string, cachedTokens: number, previous?: SentChange): News {
     if (cachedTokens === 0) return 'changed';
-    if (known?.home !== home) return 'new';
-    if (now - known.toldAt >= this.repeatAfterMilliseconds) return 'new';
-    const growth = cachedTokens / known.cachedTokens;
-    const isNews = growth >= GROWTH_THAT_IS_NEWS || growth <= SHRINKING_THAT_IS_NEWS;
-    return isNews ? 'changed' : 'known';
+    if (previous?.home !== home) return 'new';
+    if (now - previous.sentAt >= this.repeatAfterMilliseconds) return 'new';
+    const growth = cachedTokens / previous.cachedTokens;
+    const isSignificant = growth >= SIGNIFICANT_GROWTH || growth <= SIGNIFICANT_SHRINKING;
+    return isSignificant ? 'changed' : 'known';
   }
 
   private forgetOldest(): void {
-    const oldest = this.places.keys().next();
-    if (!oldest.done) this.places.delete(oldest.value);
+    const oldest = this.sentChanges.keys().next();
+    if (!oldest.done) this.sentChanges.delete(oldest.value);
   }
 }
--- a/src/homes/homeTypes.ts
+++ b/src/homes/homeTypes.ts
@@ -1,20 +1,20 @@
 /**
- * What goes into and comes out of the home of chats.
+ * The messages and actions of the directory of a chat home.
  */
 
-/** A runner where a chat's prefix is cached, as far as its home knows. */
+/** A runner that has a chat's prefix cached, as last reported to the chat's home. */
 export interface WarmPlace {
   readonly runnerId: string;
   readonly cachedTokens: number;
-  /** Age of the knowledge. */
+  /** Time since the report. */
   readonly ageMilliseconds: number;
 }
 
-/** What happens to a home. */
+/** Inputs of the directory: a lookup, an update, a cleared runner or a clock tick. */
 export type HomeMessage =
   | {
       readonly kind: 'ask';
-      /** Ties the answer to whoever asked. */
+      /** Identifies the answer of this lookup. */
       readonly question: string;
       readonly service: string;
       readonly chat: string;
@@ -24,17 +24,17 @@
       readonly service: string;
       readonly chat: string;
       readonly runnerId: string;
-      /** 0 means that the runner no longer holds the prefix. */
+      /** 0 means that the runner has evicted the prefix. */
       readonly cachedTokens: number;
     }
   /** A runner restarted or lost its whole cache. */
   | { readonly kind: 'runner_cleared'; readonly runnerId: string }
   | { readonly kind: 'tick' };
 
-/** What a home wants done. */
+/** Output of the directory: the answer of a lookup. */
 export interface HomeAction {
   readonly kind: 'answer';
   readonly question: string;
-  /** The most cached first. */
+  /** Those with the most cached tokens first. */
   readonly warm: readonly WarmPlace[];
 }
--- a/src/homes/homesFeature.ts
+++ b/src/homes/homesFeature.ts
@@ -1,5 +1,5 @@
 /**
- * The homes of chats: their settings and log events, numbers 2300 to 2399.
+ * The settings and log events of chat homes; their log events have the numbers 2300 to 2399.
  */
 import { z } from 'zod';
 
@@ -16,34 +16,37 @@
 
 /** Settings of the homes of chats. */
 export const homesSettings = z.strictObject({
-  maximumChats: count(36_000, 'Chats that this daemon remembers as their home'),
-  maximumRunnersPerChat: count(8, 'Runners that are remembered for one chat'),
-  forgetAfterMilliseconds: milliseconds(6 * HOUR, 'Age after which a warm runner is forgotten'),
+  maximumChats: count(36_000, 'Most chats that this daemon stores as their home'),
+  maximumRunnersPerChat: count(8, 'Most runners that are stored for one chat'),
+  forgetAfterMilliseconds: milliseconds(
+    6 * HOUR,
+    'Age after which the entry of a warm runner is no longer returned',
+  ),
   askTimeoutMilliseconds: milliseconds(
     40,
-    'How long an entry waits for the home of a chat before it goes on without',
+    'How long a request waits for the home of its chat before it goes on without it',
   ),
   pauseAfterFailuresMilliseconds: milliseconds(
     2_000,
-    'How long a home that did not answer three times in a row is not asked',
+    'How long a home is not called after three failed calls in a row',
   ),
   tellIntervalMilliseconds: milliseconds(
     250,
-    'How long changes are collected before homes are told, when many come',
+    'How long changes are batched before they are sent to homes, if there are many',
   ),
   patientTellMilliseconds: milliseconds(
     60_000,
-    'How long news that is not urgent waits at most for a message to the same home',
+    'How long a change that is not urgent waits at most for a message to the same home',
   ),
   maximumPromptMessages: count(
     16,
-    'Messages of one interval that are sent without waiting for its end',
+    'Most messages of one interval that are sent without waiting for its end',
   ),
   maximumChangesPerInterval: count(
     256,
-    'Changes that are sent in one interval; further ones wait for the next',
+    'Most changes that are sent in one interval; further ones wait for the next',
   ),
-  maximumQueuedChanges: count(8_192, 'Changes that wait; beyond this the oldest are dropped'),
+  maximumQueuedChanges: count(8_192, 'Most queued changes; beyond this the oldest are dropped'),
 });
 
 /** Settings of the homes of chats, with defaults filled in. */
@@ -55,16 +58,17 @@
     number: 2300,
     name: 'homes.paused',
     level: 'info',
-    text: 'A home did not answer several times in a row and is not asked for a while; its chats lose cache reuse.',
-    operatorAction: 'None when the daemon is being replaced; else look at its load and its link.',
+    text: 'Several calls to a home failed in a row, so it is not called for a while; its chats lose cache reuse.',
+    operatorAction:
+      'None if the daemon is being replaced; else check its load and its network link.',
   }),
   changesDropped: defineLogEvent({
     number: 2301,
     name: 'homes.changes_dropped',
     level: 'warn',
-    text: 'More changes came than may wait; the oldest were dropped, which costs cache reuse only.',
+    text: 'The queue of changes is full; the oldest were dropped, which costs only cache reuse.',
     operatorAction:
-      'Look for a storm of cache events; raise homes.maximumChangesPerInterval if it is normal load.',
+      'Look for the cause of many cache events; raise homes.maximumChangesPerInterval if the load is normal.',
   }),
 };
 
--- a/src/homes/warmRunners.ts
+++ b/src/homes/warmRunners.ts
@@ -1,5 +1,5 @@
 /**
- * Warm runners as the schema carries them.
+ * Converts warm runners to messages of the peer schema and merges lists of them.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -9,27 +9,28 @@
 import type { LocalWarmPlace } from './LocalWarmth.js';
 
 /**
- * @param place - as a home knows it.
- * @returns The same in the schema's form.
+ * @param place - an entry of a home's directory.
+ * @returns The protobuf message.
  */
 export function warmRunnerOf({ runnerId, cachedTokens, ageMilliseconds }: WarmPlace): WarmRunner {
   return create(WarmRunnerSchema, { runnerId, cachedTokens, ageMilliseconds });
 }
 
 /**
- * A runner may be known to its gate here and to the home; the gate is nearer to it.
+ * Merges the warm runners of local gates and of the chat's home. For a runner in both lists the gate's entry
+ * counts, because it is more recent.
  *
- * @param local - what gates here know.
- * @param told - what the home said.
- * @returns Each runner once, the most cached first.
+ * @param local - the runners known to local gates.
+ * @param remote - the runners that the home returned.
+ * @returns Each runner once, those with the most cached tokens first.
  */
 export function mergeWarm(
   local: readonly LocalWarmPlace[],
-  told: readonly WarmRunner[],
+  remote: readonly WarmRunner[],
 ): WarmRunner[] {
   const own = local.map(({ runnerId, cachedTokens }) =>
     warmRunnerOf({ runnerId, cachedTokens, ageMilliseconds: 0 }),
   );
-  const others = told.filter(({ runnerId }) => !own.some((one) => one.runnerId === runnerId));
+  const others = remote.filter(({ runnerId }) => !own.some((one) => one.runnerId === runnerId));
   return [...own, ...others].sort((a, b) => b.cachedTokens - a.cachedTokens);
 }
