--- a/measure/cacheMoves/measureLeave.ts
+++ b/measure/cacheMoves/measureLeave.ts
@@ -7,7 +7,7 @@
   CacheMoveMessage,
   MovableCache,
 } from '../../src/gates/CacheMoveDecisions.js';
-import { MAXIMUM_CHATS_OF_A_RUNNER } from '../../src/gates/CacheMoveTask.js';
+import { MAXIMUM_CHATS_PER_RUNNER } from '../../src/gates/CacheMoveTask.js';
 import { SeededRandom } from '../routing/SeededRandom.js';
 import { VirtualTime } from '../routing/VirtualTime.js';
 import { drawChats } from './drawChats.js';
@@ -121,7 +121,7 @@
     for (const { chat, returnsIn } of chats) this.returns.set(chat, returnsIn);
     const places = { service: 'chats', from: 'runner-1', to: 'runner-2' };
     const rate = reportedTokensPerSecond ?? prefillTokensPerSecond;
-    const considered = policy === 'all' ? chats.length : MAXIMUM_CHATS_OF_A_RUNNER;
+    const considered = policy === 'all' ? chats.length : MAXIMUM_CHATS_PER_RUNNER;
     const caches = chats.slice(0, considered).map(({ chat, cachedTokens }) => ({
       chat,
       cachedTokens,
--- a/measure/control/HomesDaemon.ts
+++ b/measure/control/HomesDaemon.ts
@@ -5,17 +5,17 @@
 import { create } from '@bufbuild/protobuf';
 
 import { FleetState } from '../../src/fleet/FleetState.js';
-import { GateTaskCacheKnowledge } from '../../src/gates/GateTaskCacheKnowledge.js';
-import type { CacheChange } from '../../src/gates/GateTaskCacheKnowledge.js';
+import { GateTaskPrefixCacheIndex } from '../../src/gates/GateTaskPrefixCacheIndex.js';
+import type { CacheChange } from '../../src/gates/GateTaskPrefixCacheIndex.js';
 import type { Member } from '../../src/generated/baobabdock/v1/peers_pb.js';
 import { HomeChangeSchema } from '../../src/generated/baobabdock/v1/peers_pb.js';
 import { ChatHomeDecisions } from '../../src/homes/ChatHomeDecisions.js';
 import { homesSettings } from '../../src/homes/homesFeature.js';
 import { HomeTask } from '../../src/homes/HomeTask.js';
 import { HomeTaskDirectory } from '../../src/homes/HomeTaskDirectory.js';
-import type { LocalWarmPlace } from '../../src/homes/LocalWarmth.js';
-import { LocalWarmth } from '../../src/homes/LocalWarmth.js';
-import { ToldPlaces } from '../../src/homes/ToldPlaces.js';
+import type { LocalWarmRunner } from '../../src/homes/LocalWarmRunners.js';
+import { LocalWarmRunners } from '../../src/homes/LocalWarmRunners.js';
+import { HomeChangeFilter } from '../../src/homes/HomeChangeFilter.js';
 import type { ManualClock } from '../../src/time/ManualClock.js';
 import type { CountedLink } from './CountedLink.js';
 
@@ -34,19 +34,19 @@
 }
 
 /** Tells everything, as homes were told before. */
-class EverythingIsNews extends ToldPlaces {
-  override take(): 'new' {
+class EverythingIsNews extends HomeChangeFilter {
+  override classify(): 'new' {
     return 'new';
   }
 }
 
 /** The one gate here. */
-class GateWarmth extends LocalWarmth {
+class GateWarmth extends LocalWarmRunners {
   constructor(private readonly daemon: HomesDaemon) {
     super();
   }
 
-  override placesOf(_service: string, chat: string): readonly LocalWarmPlace[] {
+  override runnersFor(_service: string, chat: string): readonly LocalWarmRunner[] {
     const cachedTokens = this.daemon.knowledge.tokensOf(chat);
     if (cachedTokens === 0) return [];
     return [{ runnerId: this.daemon.id, cachedTokens, hasRoom: this.daemon.hasRoom() }];
@@ -57,7 +57,7 @@
 export class HomesDaemon {
   readonly id: string;
 
-  knowledge = new GateTaskCacheKnowledge();
+  knowledge = new GateTaskPrefixCacheIndex();
 
   homes: HomeTask;
 
@@ -93,13 +93,13 @@
   restart(): void {
     this.homes.stop();
     this.homes = this.startHomes();
-    this.knowledge = new GateTaskCacheKnowledge();
+    this.knowledge = new GateTaskPrefixCacheIndex();
   }
 
   /** The engine restarts with an empty cache. */
   restartEngine(): void {
     this.cache.clear();
-    this.tell(this.knowledge.restarted());
+    this.tell(this.knowledge.reset());
   }
 
   /**
@@ -119,20 +119,20 @@
   async answer(chat: string, tokens: number): Promise<void> {
     this.cache.delete(chat);
     this.cache.add(chat);
-    const changes = this.knowledge.used(chat, tokens);
+    const changes = this.knowledge.recordUse(chat, tokens);
     const [oldest] = this.cache;
     if (this.cache.size > this.options.cachedChats && oldest !== undefined) {
       this.cache.delete(oldest);
-      changes.push(...this.knowledge.used(oldest, 0));
+      changes.push(...this.knowledge.recordUse(oldest, 0));
     }
     this.tell(changes);
     await this.homes.flush();
-    if (!this.options.sparing) await this.homes.flushPatient();
+    if (!this.options.sparing) await this.homes.flushDeferred();
   }
 
   private tell(changes: readonly CacheChange[]): void {
     const runnerId = this.id;
-    this.homes.tell(
+    this.homes.reportChanges(
       changes.map((change) => create(HomeChangeSchema, { ...change, runnerId, service: 'chat' })),
     );
   }
@@ -141,9 +141,9 @@
     const { link, clock, sparing } = this.options;
     const directory = new HomeTaskDirectory({ decisions: new ChatHomeDecisions(), clock });
     const settings = homesSettings.parse({});
-    const told = sparing ? new ToldPlaces() : new EverythingIsNews();
+    const told = sparing ? new HomeChangeFilter() : new EverythingIsNews();
     const homes = new HomeTask({ directory, fleet: this.fleet, link, clock, settings, told });
-    if (sparing) homes.useLocalWarmth(new GateWarmth(this));
+    if (sparing) homes.setLocalWarmRunners(new GateWarmth(this));
     link.handlers.set(this.id, homes.handlers());
     return homes;
   }
--- a/measure/control/measureHomes.ts
+++ b/measure/control/measureHomes.ts
@@ -169,7 +169,7 @@
   }
 
   private async sendPatient(): Promise<void> {
-    for (const { homes } of this.daemons) await homes.flushPatient();
+    for (const { homes } of this.daemons) await homes.flushDeferred();
   }
 
   private openChat(): VirtualChat {
@@ -204,7 +204,7 @@
     entry: HomesDaemon,
     { id }: VirtualChat,
   ): Promise<HomesDaemon | undefined> {
-    const warm = await entry.homes.ask(id, 'chat');
+    const warm = await entry.homes.findWarmRunners(id, 'chat');
     const runners = warm.map(({ runnerId }) => this.daemons.find((one) => one.id === runnerId)!);
     return runners.find((runner) => runner.hasRoom());
   }
--- a/measure/routing/HomeTraffic.ts
+++ b/measure/routing/HomeTraffic.ts
@@ -1,7 +1,7 @@
 /**
  * Questions to the homes of chats, and what they are told.
  */
-import type { WarmPlace } from '../../src/homes/homeTypes.js';
+import type { WarmRunnerEntry } from '../../src/homes/homeTypes.js';
 import type { RoutingTally } from './RoutingTally.js';
 import type { SeededRandom } from './SeededRandom.js';
 import type { SimulatedDaemon } from './SimulatedDaemon.js';
@@ -45,7 +45,11 @@
    * @param chat - the chat.
    * @param onAnswer - called when the answer or the timeout has come.
    */
-  ask(entry: SimulatedDaemon, chat: string, onAnswer: (warm: readonly WarmPlace[]) => void): void {
+  ask(
+    entry: SimulatedDaemon,
+    chat: string,
+    onAnswer: (warm: readonly WarmRunnerEntry[]) => void,
+  ): void {
     const { run, time, fleet, tally } = this.options;
     let delay = 0;
     for (const { id } of entry.homesOf(chat, run.homes)) {
--- a/measure/routing/SimulatedDaemon.ts
+++ b/measure/routing/SimulatedDaemon.ts
@@ -5,7 +5,7 @@
 import { GateDecisions } from '../../src/gates/GateDecisions.js';
 import type { GateAction, GateMessage, HeldWork } from '../../src/gates/gateTypes.js';
 import { ChatHomeDecisions } from '../../src/homes/ChatHomeDecisions.js';
-import type { HomeMessage, WarmPlace } from '../../src/homes/homeTypes.js';
+import type { HomeMessage, WarmRunnerEntry } from '../../src/homes/homeTypes.js';
 import type { PlacementCandidate } from '../../src/routing/placementTypes.js';
 import { rendezvousPick } from '../../src/routing/rendezvous.js';
 import { weightedOrder } from '../../src/routing/weightedOrder.js';
@@ -187,7 +187,7 @@
    * @param chat - a chat.
    * @returns Where it is warm.
    */
-  askHome(now: number, chat: string): readonly WarmPlace[] {
+  askHome(now: number, chat: string): readonly WarmRunnerEntry[] {
     const question = { kind: 'ask', question: '', service: 'chat', chat } as const;
     const [answer] = this.stopwatch.time(() => this.home.decide(now, question));
     return answer?.warm ?? [];
--- a/measure/routing/entryPolicies.ts
+++ b/measure/routing/entryPolicies.ts
@@ -1,7 +1,7 @@
 /**
  * Ways to choose a runner, as an entry does it: the design, and the baselines that it is held against.
  */
-import type { WarmPlace } from '../../src/homes/homeTypes.js';
+import type { WarmRunnerEntry } from '../../src/homes/homeTypes.js';
 import { PlacementDecisions } from '../../src/routing/PlacementDecisions.js';
 import type { PlacementCandidate, PlacementRefusal } from '../../src/routing/placementTypes.js';
 import { rendezvousOrder, rendezvousPick } from '../../src/routing/rendezvous.js';
@@ -15,7 +15,7 @@
 export interface EntryQuestion {
   readonly entry: SimulatedDaemon;
   readonly turn: Turn;
-  readonly warm: readonly WarmPlace[];
+  readonly warm: readonly WarmRunnerEntry[];
   readonly heard: HeardLoads;
   readonly deadlineMilliseconds: number;
   readonly refusals: readonly PlacementRefusal[];
--- a/measure/routing/routingFlow.ts
+++ b/measure/routing/routingFlow.ts
@@ -2,7 +2,7 @@
  * A request on its way through a run.
  */
 import type { GateRequest } from '../../src/gates/gateTypes.js';
-import type { WarmPlace } from '../../src/homes/homeTypes.js';
+import type { WarmRunnerEntry } from '../../src/homes/homeTypes.js';
 import type { PlacementRefusal } from '../../src/routing/placementTypes.js';
 import type { EntryChoice } from './entryPolicies.js';
 import type { SimulatedDaemon } from './SimulatedDaemon.js';
@@ -14,7 +14,7 @@
   readonly entry: SimulatedDaemon;
   readonly arrivedAt: number;
   readonly refusals: PlacementRefusal[];
-  readonly warm: readonly WarmPlace[];
+  readonly warm: readonly WarmRunnerEntry[];
   queued: boolean;
 }
 
--- a/src/callers/LocateRoute.ts
+++ b/src/callers/LocateRoute.ts
@@ -41,7 +41,7 @@
   chat: string,
 ): Promise<LocateMessage['gate']> {
   const { region, dataCentre } = fleet.self();
-  const warm = (await homes?.ask(chat, service)) ?? [];
+  const warm = (await homes?.findWarmRunners(chat, service)) ?? [];
   const first = firstRunner({
     chat,
     region,
--- a/src/daemon/Daemon.ts
+++ b/src/daemon/Daemon.ts
@@ -163,7 +163,7 @@
     this.reviewPlanned = true;
     setImmediate(() => {
       this.reviewPlanned = false;
-      this.parts.gates.review();
+      this.parts.gates.reconcile();
     });
   }
 
--- a/src/daemon/createParts.ts
+++ b/src/daemon/createParts.ts
@@ -158,7 +158,7 @@
     upstreamsSettings: settings.upstreams,
     metrics: registry,
   });
-  homes.useLocalWarmth(new GateHostWarmth({ host: gates, fleet }));
+  homes.setLocalWarmRunners(new GateHostWarmth({ host: gates, fleet }));
   const local = new LocalGatePort({ host: gates });
   const requests = new RequestOwner({
     gates: new RoutingGatePort({ fleet, peers: link, local }),
--- a/src/gates/AccountUse.ts
+++ b/src/gates/AccountLimiter.ts
@@ -31,7 +31,7 @@
  * Limits the client accounts at one gate: requests are counted exactly, tokens a minute by a token bucket for
  * each account.
  */
-export class AccountUse {
+export class AccountLimiter {
   private readonly usageByAccount = new Map<string, Usage>();
 
   private idleAccounts = 0;
@@ -51,14 +51,14 @@
     poolRunners: number,
     serviceMilliseconds: number,
   ): AccountRefusal | undefined {
-    const share = AccountUse.shareOf(request, poolRunners);
+    const share = AccountLimiter.shareOf(request, poolRunners);
     const use = this.usageByAccount.get(request.clientAccount);
     if (!use) return undefined;
     if (use.requests >= share.concurrent)
       return { retryAfterMilliseconds: serviceMilliseconds / use.requests };
     const rate = share.tokensPerMinute / MILLISECONDS_PER_MINUTE;
     if (rate === Infinity) return undefined;
-    const tokens = AccountUse.tokensAfterRefill(use, now, share.tokensPerMinute);
+    const tokens = AccountLimiter.tokensAfterRefill(use, now, share.tokensPerMinute);
     return tokens > 0 ? undefined : { retryAfterMilliseconds: (1 - tokens) / rate };
   }
 
@@ -69,8 +69,8 @@
    * @param request - the request.
    * @param poolRunners - number of runners in the pool.
    */
-  enter(now: number, request: GateRequest, poolRunners: number): void {
-    const { tokensPerMinute } = AccountUse.shareOf(request, poolRunners);
+  charge(now: number, request: GateRequest, poolRunners: number): void {
+    const { tokensPerMinute } = AccountLimiter.shareOf(request, poolRunners);
     const limited = tokensPerMinute !== Infinity;
     const known = this.usageByAccount.get(request.clientAccount);
     const use = known ?? {
@@ -81,7 +81,7 @@
     if (known && known.requests === 0) this.idleAccounts -= 1;
     if (limited) {
       const charge = request.promptTokens + request.maximumTokens;
-      use.tokens = AccountUse.tokensAfterRefill(use, now, tokensPerMinute) - charge;
+      use.tokens = AccountLimiter.tokensAfterRefill(use, now, tokensPerMinute) - charge;
       use.refilledAt = now;
     }
     use.requests += 1;
@@ -94,7 +94,7 @@
    * @param clientAccount - the account of the request.
    * @param unusedTokens - tokens that were charged but not used; they are returned to the bucket.
    */
-  leave(clientAccount: string, unusedTokens: number): void {
+  release(clientAccount: string, unusedTokens: number): void {
     const use = this.usageByAccount.get(clientAccount);
     if (!use) return;
     use.requests -= 1;
@@ -111,8 +111,8 @@
    *
    * @param request - the request.
    */
-  takeBack({ clientAccount, promptTokens, maximumTokens }: GateRequest): void {
-    this.leave(clientAccount, promptTokens + maximumTokens);
+  refund({ clientAccount, promptTokens, maximumTokens }: GateRequest): void {
+    this.release(clientAccount, promptTokens + maximumTokens);
   }
 
   /** @returns Number of accounts in memory; bounded by the requests at the gate and the idle accounts kept. */
--- a/src/gates/CacheMoveDecisions.ts
+++ b/src/gates/CacheMoveDecisions.ts
@@ -40,7 +40,7 @@
   | { readonly kind: 'needless'; readonly chat: string; readonly from: string };
 
 /** Why a cache is not moved. */
-export type CacheStayReason =
+export type NoMoveReason =
   'rebuild_is_cheaper' | 'too_many_waiting' | 'not_hot' | 'moved_lately' | 'moves_fail';
 
 /** What the task has to do. */
@@ -51,7 +51,7 @@
       readonly moveMilliseconds: number;
       readonly rebuildMilliseconds: number;
     }
-  | { readonly kind: 'stay'; readonly chat: string; readonly reason: CacheStayReason };
+  | { readonly kind: 'stay'; readonly chat: string; readonly reason: NoMoveReason };
 
 /** Options of {@link CacheMoveDecisions}. */
 export interface CacheMoveDecisionsOptions extends CacheMoveEstimateOptions {
@@ -219,7 +219,7 @@
   }
 
   private enqueueIfWorthMoving(now: number, cache: MovableCache): CacheMoveAction[] {
-    const stay = (reason: CacheStayReason): CacheMoveAction[] => [
+    const stay = (reason: NoMoveReason): CacheMoveAction[] => [
       { kind: 'stay', chat: cache.chat, reason },
     ];
     const movedAt = this.movedAt.get(cache.chat);
@@ -251,8 +251,8 @@
     this.failures.delete(from);
     if (!cache || bytes === 0) return [];
     const measured = { tokens: cache.cachedTokens, bytes, milliseconds };
-    if (isTrial) this.estimate.replace(measured);
-    else this.estimate.learn(measured);
+    if (isTrial) this.estimate.resetToMeasurement(measured);
+    else this.estimate.addMeasurement(measured);
     return [];
   }
 
--- a/src/gates/CacheMoveEstimate.ts
+++ b/src/gates/CacheMoveEstimate.ts
@@ -92,7 +92,7 @@
    *
    * @param move - the measured move.
    */
-  learn(move: MeasuredMove): void {
+  addMeasurement(move: MeasuredMove): void {
     this.applyMeasurement(move, MEASUREMENT_WEIGHT);
   }
 
@@ -101,7 +101,7 @@
    *
    * @param move - the measured move.
    */
-  replace(move: MeasuredMove): void {
+  resetToMeasurement(move: MeasuredMove): void {
     this.applyMeasurement(move, 1);
   }
 
--- a/src/gates/CacheMoveTask.spec.ts
+++ b/src/gates/CacheMoveTask.spec.ts
@@ -12,14 +12,14 @@
 import type { RoutingPolicy } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { HomeChange, WarmRunner } from '../generated/baobabdock/v1/peers_pb.js';
 import { HomePort } from '../homes/HomePort.js';
-import { warmRunnerOf } from '../homes/warmRunners.js';
+import { toWarmRunner } from '../homes/warmRunners.js';
 import { SilentLog } from '../logging/Log.js';
 import { FixedFleetView } from '../operators/FixedFleetView.js';
 import { ManualClock } from '../time/ManualClock.js';
 import type { CacheMoveMessage } from './CacheMoveDecisions.js';
 import { CacheMoveTask } from './CacheMoveTask.js';
 import { gatesFeature } from './gatesFeature.js';
-import { GateTaskCacheKnowledge } from './GateTaskCacheKnowledge.js';
+import { GateTaskPrefixCacheIndex } from './GateTaskPrefixCacheIndex.js';
 import { TestUpstream } from './GateTaskTestUpstream.js';
 
 const GUARD_MILLISECONDS = 30_000;
@@ -30,11 +30,11 @@
 
   readonly told: HomeChange[] = [];
 
-  override async ask(chat: string): Promise<readonly WarmRunner[]> {
+  override async findWarmRunners(chat: string): Promise<readonly WarmRunner[]> {
     return this.warm.get(chat) ?? [];
   }
 
-  override tell(changes: readonly HomeChange[]): void {
+  override reportChanges(changes: readonly HomeChange[]): void {
     this.told.push(...changes);
   }
 }
@@ -50,7 +50,7 @@
 }
 
 function warmAt(runnerId: string, cachedTokens: number): WarmRunner {
-  return warmRunnerOf({ runnerId, cachedTokens, ageMilliseconds: 0 });
+  return toWarmRunner({ runnerId, cachedTokens, ageMilliseconds: 0 });
 }
 
 /** Creates a cache move task with fake homes and upstreams, and records how its moves ended. */
@@ -80,7 +80,7 @@
       if ('chat' in message) ended.push(`${message.kind} ${message.chat}`);
     },
   });
-  const cache = new GateTaskCacheKnowledge();
+  const cache = new GateTaskPrefixCacheIndex();
   const until = async (count: number): Promise<void> => {
     while (ended.length < count) await nextTurn();
   };
@@ -97,8 +97,8 @@
     homes.warm.set('shorter elsewhere', [warmAt('new', TOKENS - 1)]);
     homes.warm.set('at a leaver', [warmAt('gone', TOKENS)]);
     const chats = ['returned', 'shorter elsewhere', 'at a leaver', 'only here'];
-    for (const chat of chats) watch.cache.used(chat, TOKENS);
-    task.learnRunner(fleet.runner('old')!, watch);
+    for (const chat of chats) watch.cache.recordUse(chat, TOKENS);
+    task.updateRunner(fleet.runner('old')!, watch);
     await until(chats.length);
     task.stop();
     const moved = chats.slice(1).map((chat) => `moved ${chat}`);
@@ -112,8 +112,8 @@
     homes.warm.set('elsewhere', [warmAt('old', TOKENS), warmAt('third', TOKENS)]);
     for (const chat of ['at the target', 'elsewhere']) {
       const change = { chat, cachedTokens: TOKENS };
-      task.warmRefused(fleet.runner('old')!, change, watch);
-      task.warmRefused(fleet.runner('old')!, change, watch);
+      task.onWarmRefused(fleet.runner('old')!, change, watch);
+      task.onWarmRefused(fleet.runner('old')!, change, watch);
     }
     await until(2);
     task.stop();
--- a/src/gates/CacheMoveTask.ts
+++ b/src/gates/CacheMoveTask.ts
@@ -19,7 +19,7 @@
 import type { CacheMoveAction, CacheMoveMessage, MovableCache } from './CacheMoveDecisions.js';
 import { gatesLogEvents } from './gatesFeature.js';
 import type { GatesSettings } from './gatesFeature.js';
-import type { CacheChange } from './GateTaskCacheKnowledge.js';
+import type { CacheChange } from './GateTaskPrefixCacheIndex.js';
 import type { GateTaskRunnerWatch } from './GateTaskRunnerWatch.js';
 
 /** Options of a {@link CacheMoveTask}. */
@@ -35,10 +35,10 @@
 }
 
 /** What the gate of a runner knows about the runner's cache and speed. */
-export type RunnerKnowledge = Pick<GateTaskRunnerWatch, 'cache' | 'tokensPerSecond'>;
+export type RunnerCacheInfo = Pick<GateTaskRunnerWatch, 'cache' | 'tokensPerSecond'>;
 
 /** Most recently used chats of a leaving runner that are considered for a move. */
-export const MAXIMUM_CHATS_OF_A_RUNNER = 5_000;
+export const MAXIMUM_CHATS_PER_RUNNER = 5_000;
 
 /** Leaving runners kept in memory. The number is bounded because no message says when a runner has gone. */
 const MAXIMUM_REMEMBERED_LEAVING_RUNNERS = 1_000;
@@ -60,7 +60,7 @@
   runner: FleetRunner,
   to: string,
   change: CacheChange,
-  { tokensPerSecond: prefillTokensPerSecond }: RunnerKnowledge,
+  { tokensPerSecond: prefillTokensPerSecond }: RunnerCacheInfo,
 ): MovableCache {
   return { ...change, service: runner.record.service, from: runner.id, to, prefillTokensPerSecond };
 }
@@ -94,7 +94,7 @@
    * @param runner - the runner as the fleet lists it now.
    * @param watch - what the runner's gate knows about it.
    */
-  learnRunner(runner: FleetRunner, watch: RunnerKnowledge): void {
+  updateRunner(runner: FleetRunner, watch: RunnerCacheInfo): void {
     const { id, state, record } = runner;
     const key = `${id} ${record.incarnation}`;
     if (state !== 'leaving') {
@@ -104,7 +104,7 @@
     if (this.leaving.has(key) || !this.isMovingEnabled(runner)) return;
     this.rememberConsidered(key);
     const others = this.others(runner);
-    const chats = watch.cache.recentChats().slice(0, MAXIMUM_CHATS_OF_A_RUNNER);
+    const chats = watch.cache.recentChats().slice(0, MAXIMUM_CHATS_PER_RUNNER);
     const caches = chats.flatMap((change) => {
       const to = rendezvousPick(change.chat, others);
       return to ? [movableCacheOf(runner, to.id, change, watch)] : [];
@@ -119,7 +119,7 @@
    * @param change - the chat and the number of its cached tokens.
    * @param watch - what the runner's gate knows about it.
    */
-  warmRefused(runner: FleetRunner, change: CacheChange, watch: RunnerKnowledge): void {
+  onWarmRefused(runner: FleetRunner, change: CacheChange, watch: RunnerCacheInfo): void {
     if (!this.isMovingEnabled(runner)) return;
     const others = this.others(runner);
     const { lightest } = this.options.fleet.poolLoad(runner.record.service);
@@ -156,7 +156,9 @@
       }
       const cachedTokens = await this.copy(cache, counted);
       const milliseconds = clock.monotonicMilliseconds() - startedAt;
-      homes.tell([create(HomeChangeSchema, { chat, service, runnerId: to, cachedTokens })]);
+      homes.reportChanges([
+        create(HomeChangeSchema, { chat, service, runnerId: to, cachedTokens }),
+      ]);
       const { bytes } = counted;
       log.write(gatesLogEvents.cacheMoved, { chat, service, from, to, cachedTokens, bytes });
       this.send({ kind: 'moved', chat, from, bytes, milliseconds });
@@ -182,7 +184,7 @@
     cachedTokens,
   }: MovableCache): Promise<boolean> {
     const { homes, fleet } = this.options;
-    const places = await homes.ask(chat, service);
+    const places = await homes.findWarmRunners(chat, service);
     const leaves = fleet.runner(from)?.state !== 'live';
     return places.some(({ runnerId, cachedTokens: standing }) => {
       if (runnerId === from || standing < cachedTokens) return false;
--- a/src/gates/FairQueue.spec.ts
+++ b/src/gates/FairQueue.spec.ts
@@ -121,8 +121,8 @@
       work: 500,
       queuedAt: 0,
     };
-    expect(queue.displacedBy(newcomer)?.attemptId).toEqual('surge9');
-    expect(queue.displacedBy({ ...newcomer, clientAccount: 'surge' })).toEqual(undefined);
+    expect(queue.requestToDisplace(newcomer)?.attemptId).toEqual('surge9');
+    expect(queue.requestToDisplace({ ...newcomer, clientAccount: 'surge' })).toEqual(undefined);
   });
 
   it('does not count a surge of others as ahead of a request beyond its share', () => {
@@ -130,7 +130,7 @@
     fill(queue, [{ clientAccount: 'surge', count: 100 }]);
     const [item] = queue.items();
     const quiet = { ...item!, attemptId: 'q', clientAccount: 'quiet' };
-    expect(queue.ahead(quiet)).toEqual({ work: 500, requests: 1 });
-    expect(queue.ahead({ ...item!, attemptId: 's' })).toEqual({ work: 50_000, requests: 100 });
+    expect(queue.workAhead(quiet)).toEqual({ work: 500, requests: 1 });
+    expect(queue.workAhead({ ...item!, attemptId: 's' })).toEqual({ work: 50_000, requests: 100 });
   });
 });
--- a/src/gates/FairQueue.ts
+++ b/src/gates/FairQueue.ts
@@ -27,7 +27,7 @@
 }
 
 /** Tokens of work and number of requests that leave the queue before a given request. */
-export interface QueueAhead {
+export interface WorkAhead {
   readonly work: number;
   readonly requests: number;
 }
@@ -195,7 +195,7 @@
    * @param item - a request that is in the queue, or that could be added to it.
    * @returns Tokens of work and number of requests.
    */
-  ahead(item: FairQueueItem): QueueAhead {
+  workAhead(item: FairQueueItem): WorkAhead {
     const own = this.classes[item.priority].get(item.clientAccount)?.items ?? [];
     const place = own.findIndex(({ attemptId }) => attemptId === item.attemptId);
     const before = place < 0 ? own : own.slice(0, place);
@@ -225,7 +225,7 @@
    * @param item - the new request.
    * @returns The request to refuse, or `undefined` if the new request itself has to be refused.
    */
-  displacedBy(item: FairQueueItem): Item | undefined {
+  requestToDisplace(item: FairQueueItem): Item | undefined {
     const own = this.classes[item.priority].get(item.clientAccount);
     const ownShare = ((own?.items.length ?? 0) + 1) / Math.max(1, item.accountWeight);
     for (const priority of [...PRIORITIES].reverse()) {
--- a/src/gates/ForeignLoad.ts
+++ b/src/gates/ForeignLoad.ts
@@ -9,7 +9,7 @@
   /** Share that is added to the foreign work of a delayed report. */
   margin?: number;
   /** Time without a handover or report after which the estimate has decayed to 0, in milliseconds. */
-  fadingMilliseconds?: number;
+  decayMilliseconds?: number;
 }
 
 /** The other holder may have started more since the report; a quarter is the room that the usual bound leaves. */
@@ -25,7 +25,7 @@
 export class ForeignLoad {
   private readonly margin: number;
 
-  private readonly fadingMilliseconds: number;
+  private readonly decayMilliseconds: number;
 
   private work = 0;
 
@@ -38,10 +38,10 @@
    */
   constructor({
     margin = DEFAULT_MARGIN,
-    fadingMilliseconds = DEFAULT_DECAY_MILLISECONDS,
+    decayMilliseconds = DEFAULT_DECAY_MILLISECONDS,
   }: ForeignLoadOptions = {}) {
     this.margin = margin;
-    this.fadingMilliseconds = fadingMilliseconds;
+    this.decayMilliseconds = decayMilliseconds;
   }
 
   /** @returns Whether a handover or report has arrived since the last {@link ForeignLoad.forget}. */
@@ -61,7 +61,7 @@
    * @param now - monotonic milliseconds.
    * @param work - tokens of work that the old holder has on the runner.
    */
-  handOver(now: number, work: number): void {
+  applyHandOver(now: number, work: number): void {
     this.known = true;
     this.work = work;
     this.updatedAt = now;
@@ -74,7 +74,7 @@
    * @param reported - tokens of work that the runner reported.
    * @param own - tokens of work that this gate had sent by the time of the report.
    */
-  report(now: number, reported: number, own: number): void {
+  applyReport(now: number, reported: number, own: number): void {
     const difference = Math.max(0, reported - own);
     const estimate = difference <= own * NOISE_SHARE ? 0 : difference * (1 + this.margin);
     this.work = estimate;
@@ -86,8 +86,8 @@
    * @param now - monotonic milliseconds.
    * @returns Tokens of foreign work that are expected to be left on the runner.
    */
-  at(now: number): number {
-    const left = 1 - (now - this.updatedAt) / this.fadingMilliseconds;
+  workAt(now: number): number {
+    const left = 1 - (now - this.updatedAt) / this.decayMilliseconds;
     return this.work * Math.max(0, left);
   }
 }
--- a/src/gates/GateBound.ts
+++ b/src/gates/GateBound.ts
@@ -3,7 +3,7 @@
  * extra rules for small pools, low load and large requests.
  */
 
-import { MeanTrend } from './MeanTrend.js';
+import { PoolMeanEstimate } from './PoolMeanEstimate.js';
 
 /** Options of a {@link GateBound}. */
 export interface GateBoundOptions {
@@ -12,7 +12,7 @@
 }
 
 /** A request and the load of its runner, to be compared with the bound. */
-export interface BoundQuestion {
+export interface BoundInput {
   /** Tokens of work of the request. */
   readonly work: number;
   /** Highest load of a runner as a multiple of the pool's mean, 1 or more. */
@@ -26,19 +26,19 @@
 }
 
 /** Input for the wait of a request. */
-export interface WaitQuestion extends BoundQuestion {
+export interface WaitInput extends BoundInput {
   /** Tokens of waiting work that leave the queue before the request. */
   readonly aheadWork: number;
 }
 
 /** Input for whether a request may start now. */
-export interface StartQuestion extends BoundQuestion {
+export interface StartInput extends BoundInput {
   /** Number of requests on the runner that this gate sent. */
   readonly ownRequests: number;
   /** Share of the capacity that the gate may use while it opens, 0 to 1. */
   readonly opened: number;
   /** Whether `foreignWork` is known from a report or a handover. */
-  readonly foreignKnown: boolean;
+  readonly isForeignWorkKnown: boolean;
 }
 
 /**
@@ -68,7 +68,7 @@
 export class GateBound {
   private readonly floorRequests: number;
 
-  private readonly trend = new MeanTrend();
+  private readonly trend = new PoolMeanEstimate();
 
   private runners: number | undefined;
 
@@ -98,8 +98,8 @@
    * @param mean - mean load of the pool's runners, in tokens of work.
    * @param runners - number of runners in the pool; 0 if no load has been received yet.
    */
-  learn(now: number, mean: number, runners: number): void {
-    this.trend.hear(now, Math.max(0, mean));
+  updatePool(now: number, mean: number, runners: number): void {
+    this.trend.observe(now, Math.max(0, mean));
     // With 0 runners no load has been received yet. Treated as a pool of one, the bound would accept everything.
     this.runners = runners > 0 ? runners : undefined;
   }
@@ -109,7 +109,7 @@
    *
    * @param work - tokens of work of a new request.
    */
-  see(work: number): void {
+  observeRequest(work: number): void {
     if (this.averageWork === 0) this.averageWork = work;
     else this.averageWork += (work - this.averageWork) / AVERAGE_WINDOW_REQUESTS;
   }
@@ -118,9 +118,9 @@
    * @param question - the request and the load of the runner.
    * @returns Whether the request may start now.
    */
-  fits(question: StartQuestion): boolean {
-    const { ownRequests, foreignWork, foreignKnown, ownWork, opened } = question;
-    const hasNoForeignWork = foreignWork === 0 || !foreignKnown;
+  fits(question: StartInput): boolean {
+    const { ownRequests, foreignWork, isForeignWorkKnown, ownWork, opened } = question;
+    const hasNoForeignWork = foreignWork === 0 || !isForeignWorkKnown;
     const capacity = this.capacity(question);
     const isBelowFloor = capacity < this.floorRequests * this.averageWork;
     if (hasNoForeignWork && ownRequests < (isBelowFloor ? this.floorRequests : 1)) return true;
@@ -133,7 +133,7 @@
    * @param question - the request, the work that leaves before it, and the load of the runner.
    * @returns Tokens of work that must leave before the request can start; 0 or less if it can start now.
    */
-  surplus(question: WaitQuestion): number {
+  excessWork(question: WaitInput): number {
     const { work, ownWork, foreignWork, aheadWork } = question;
     const capacity = this.capacity(question);
     const counted = Math.min(work, capacity * MAXIMUM_COUNTED_SHARE);
@@ -141,7 +141,7 @@
   }
 
   /** Highest load in tokens. The mean includes the request itself, or a pool of one could never accept one. */
-  private capacity({ bound, work, ownWork, queuedWork }: BoundQuestion): number {
+  private capacity({ bound, work, ownWork, queuedWork }: BoundInput): number {
     if (this.runners === undefined) return 0;
     const targetBound = 1 + Math.max(0, bound - 1) * (1 - HEADROOM_SHARE);
     const local = (ownWork + queuedWork) / this.runners;
--- a/src/gates/GateCapacity.ts
+++ b/src/gates/GateCapacity.ts
@@ -52,9 +52,9 @@
       ownRequests: load.count,
       ownWork: load.work,
       foreignWork: opening.foreignWork(now),
-      foreignKnown: opening.foreignKnown,
+      isForeignWorkKnown: opening.isForeignWorkKnown,
       queuedWork: queue.work,
-      opened: opening.share(now),
+      opened: opening.openShare(now),
     });
   }
 
@@ -65,8 +65,8 @@
    */
   expectedWait(now: number, request: QueuedRequest): number {
     const { maximumConcurrent, load, queue, bound, opening, throughput } = this.parts;
-    const ahead = queue.ahead(request);
-    const surplus = bound.surplus({
+    const ahead = queue.workAhead(request);
+    const surplus = bound.excessWork({
       work: request.work,
       bound: request.bound,
       ownWork: load.work,
@@ -75,6 +75,6 @@
       aheadWork: ahead.work,
     });
     const places = maximumConcurrent - load.count;
-    return throughput.waitFor(surplus, ahead.requests + 1 - places);
+    return throughput.expectedWait(surplus, ahead.requests + 1 - places);
   }
 }
--- a/src/gates/GateDecisions.spec.ts
+++ b/src/gates/GateDecisions.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 
 import { GateDecisions } from './GateDecisions.js';
-import { brief, gateRequest } from './gateTestRequests.js';
+import { summarizeActions, gateRequest } from './gateTestRequests.js';
 import type { GateAction, GateMessage, LoadReport, RefusalReason } from './gateTypes.js';
 
 /** Opens a gate with an empty handover, so that it knows all work, in a pool of ten with a mean of 1,000 tokens. */
@@ -37,20 +37,24 @@
     const idle = new GateDecisions();
     idle.decide(0, { kind: 'open', handedOver: [] });
     idle.decide(0, { kind: 'pool_mean', mean: 0, runners: 13 });
-    const started = ['a', 'b', 'c', 'd', 'e'].map((name) => brief(ask(idle, 0, name))[0]);
+    const started = ['a', 'b', 'c', 'd', 'e'].map(
+      (name) => summarizeActions(ask(idle, 0, name))[0],
+    );
     expect(started).toEqual(['start a', 'start b', 'start c', 'start d', 'refuse e above_bound']);
-    expect(brief(ask(openGate(), 0, 'large', { promptTokens: 90_000 }))).toEqual(['start large']);
+    expect(summarizeActions(ask(openGate(), 0, 'large', { promptTokens: 90_000 }))).toEqual([
+      'start large',
+    ]);
   });
 
   it('fills a runner up to the bound minus the headroom, and counts progress', () => {
     // Capacity: 1 + 0.25 × 0.75 = 1.1875 times 1,000 tokens (and a tenth of the request itself).
     const gate = openGate();
     const names = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
-    const kinds = names.map((name) => brief(ask(gate, 0, name))[0]);
+    const kinds = names.map((name) => summarizeActions(ask(gate, 0, name))[0]);
     expect(kinds.slice(-2)).toEqual(['start f', 'refuse g above_bound']);
     gate.decide(10, { kind: 'progress', attemptId: 'a', generatedTokens: 90 });
     expect(gate.snapshot(10).runningWork).toEqual(6 * 200 - 190);
-    expect(brief(ask(gate, 10, 'h'))).toEqual(['start h']);
+    expect(summarizeActions(ask(gate, 10, 'h'))).toEqual(['start h']);
   });
 
   it('corrects the count when the prefix was not cached after all', () => {
@@ -99,7 +103,7 @@
     ask(gate, 0, 'running', { maximumTokens: 5_000 });
     gate.decide(0, { kind: 'load_report', report: { ...report(0), tokensPerSecond: 100_000 } });
     const deadline = 20_000;
-    expect(brief(ask(gate, 0, 'waiting', { deadline, lastChoice: true }))).toEqual([
+    expect(summarizeActions(ask(gate, 0, 'waiting', { deadline, lastChoice: true }))).toEqual([
       'queued waiting',
     ]);
     let refusedAt: number | undefined;
@@ -132,8 +136,12 @@
     const gate = openGate({ maximumConcurrent: 1 });
     ask(gate, 0, 'running');
     ask(gate, 0, 'waiting', { lastChoice: true });
-    expect(brief(gate.decide(1, { kind: 'close' }))).toEqual(['refuse waiting gate_not_here']);
-    expect(brief(ask(gate, 2, 'new', { lastChoice: true }))).toEqual(['refuse new gate_not_here']);
+    expect(summarizeActions(gate.decide(1, { kind: 'close' }))).toEqual([
+      'refuse waiting gate_not_here',
+    ]);
+    expect(summarizeActions(ask(gate, 2, 'new', { lastChoice: true }))).toEqual([
+      'refuse new gate_not_here',
+    ]);
     expect(gate.heldWork()).toEqual([
       { attemptId: 'running', clientAccount: 'showroom', work: 200 },
     ]);
@@ -148,7 +156,7 @@
     gate.decide(0, { kind: 'pool_mean', mean: 10_000, runners: 10 });
     gate.decide(0, { kind: 'open' });
     gate.decide(100, { kind: 'load_report', report: report(9_000) });
-    const early = [1, 2, 3, 4, 5, 6].map((name) => brief(ask(gate, 200, `e${name}`))[0]);
+    const early = [1, 2, 3, 4, 5, 6].map((name) => summarizeActions(ask(gate, 200, `e${name}`))[0]);
     expect(early.filter((text) => text?.startsWith('start')).length < 4).toEqual(true);
     expect(early.at(-1)).toEqual('refuse e6 gate_opening');
     gate.decide(9_000, { kind: 'load_report', report: report(0) });
@@ -195,13 +203,13 @@
     ask(gate, 0, 'waiting', { lastChoice: true });
     const state = (name: 'live' | 'leaving', incarnation: number): readonly GateAction[] =>
       gate.decide(1, { kind: 'runner_state', state: name, incarnation });
-    expect(brief(state('leaving', 2))).toEqual(['refuse waiting runner_leaving']);
+    expect(summarizeActions(state('leaving', 2))).toEqual(['refuse waiting runner_leaving']);
     state('live', 1);
     state('live', 2);
     expect(refusalOf(ask(gate, 2, 'a')).reason).toEqual('runner_leaving');
     state('live', 3);
     gate.decide(3, { kind: 'ended', attemptId: 'running', end: 'completed' });
-    expect(brief(ask(gate, 4, 'b'))).toEqual(['start b']);
+    expect(summarizeActions(ask(gate, 4, 'b'))).toEqual(['start b']);
   });
 
   it('limits an account to its share without limiting other accounts', () => {
@@ -209,22 +217,26 @@
     const gate = openGate();
     gate.decide(0, { kind: 'pool_mean', mean: 100_000, runners: 10 });
     const limited = { accountMaximumConcurrent: 8 };
-    const kinds = ['a', 'b', 'c', 'd', 'e'].map((name) => brief(ask(gate, 0, name, limited))[0]);
+    const kinds = ['a', 'b', 'c', 'd', 'e'].map(
+      (name) => summarizeActions(ask(gate, 0, name, limited))[0],
+    );
     expect(kinds.at(-1)).toEqual('refuse e account_limit');
-    expect(brief(ask(gate, 0, 'other', { clientAccount: 'counter' }))).toEqual(['start other']);
+    expect(summarizeActions(ask(gate, 0, 'other', { clientAccount: 'counter' }))).toEqual([
+      'start other',
+    ]);
     gate.decide(1, { kind: 'ended', attemptId: 'a', end: 'completed' });
-    expect(brief(ask(gate, 2, 'f', limited))).toEqual(['start f']);
+    expect(summarizeActions(ask(gate, 2, 'f', limited))).toEqual(['start f']);
   });
 
   it('charges tokens by the minute and gives back what was not used', () => {
     const gate = openGate();
     gate.decide(0, { kind: 'pool_mean', mean: 1_000_000, runners: 1 });
     const limited = { accountMaximumTokensPerMinute: 6_000, maximumTokens: 1_900 };
-    expect(brief(ask(gate, 0, 'a', limited))).toEqual(['start a']);
+    expect(summarizeActions(ask(gate, 0, 'a', limited))).toEqual(['start a']);
     const refusal = refusalOf(ask(gate, 0, 'b', limited));
     expect(refusal.reason).toEqual('account_limit');
     gate.decide(100, { kind: 'progress', attemptId: 'a', generatedTokens: 10 });
     gate.decide(100, { kind: 'ended', attemptId: 'a', end: 'completed' });
-    expect(brief(ask(gate, 200, 'c', limited))).toEqual(['start c']);
+    expect(summarizeActions(ask(gate, 200, 'c', limited))).toEqual(['start c']);
   });
 });
--- a/src/gates/GateDecisions.ts
+++ b/src/gates/GateDecisions.ts
@@ -5,15 +5,15 @@
 import { match } from 'ts-pattern';
 
 import { Decisions } from '../decisions/Decisions.js';
-import { AccountUse } from './AccountUse.js';
+import { AccountLimiter } from './AccountLimiter.js';
 import { FairQueue } from './FairQueue.js';
 import { GateBound } from './GateBound.js';
 import { GateCapacity } from './GateCapacity.js';
 import type { QueuedRequest } from './GateCapacity.js';
-import { GateLoad, loadOf, workOf } from './GateLoad.js';
+import { GateLoad, advertisedLoad, workOf } from './GateLoad.js';
 import { GateOpening } from './GateOpening.js';
 import { GateThroughput } from './GateThroughput.js';
-import { RunnerStanding } from './RunnerStanding.js';
+import { RunnerAvailability } from './RunnerAvailability.js';
 import type { GateDecisionsOptions, GateSnapshot } from './gateDecisionsTypes.js';
 import type { GateAction, GateMessage, GateRequest, HeldWork, RefusalReason } from './gateTypes.js';
 
@@ -39,7 +39,7 @@
 
   private readonly queue: FairQueue<QueuedRequest>;
 
-  private readonly accounts = new AccountUse();
+  private readonly accounts = new AccountLimiter();
 
   private readonly throughput = new GateThroughput();
 
@@ -49,7 +49,7 @@
 
   private readonly capacity: GateCapacity;
 
-  private readonly runner = new RunnerStanding();
+  private readonly runner = new RunnerAvailability();
 
   private lastNow = 0;
 
@@ -87,7 +87,7 @@
       this.refuseUnreachable(now);
       this.startQueued(now);
     }
-    if (this.opening.state === 'closing' && this.load.count === 0) this.opening.empty();
+    if (this.opening.state === 'closing' && this.load.count === 0) this.opening.markEmpty();
     return this.actions;
   }
 
@@ -108,7 +108,7 @@
       queued: this.queue.size,
       runningWork: this.load.work,
       queuedWork: this.queue.work,
-      load: loadOf(this.load.work, this.queue.work),
+      load: advertisedLoad(this.load.work, this.queue.work),
       foreignWork: this.opening.foreignWork(now),
       tokensPerSecond: this.throughput.tokensPerSecond,
     };
@@ -116,28 +116,28 @@
 
   /** @returns The work on the runner that this gate sent, for the handover to the next holder. */
   heldWork(): HeldWork[] {
-    return this.load.held();
+    return this.load.heldWork();
   }
 
   private dispatch(now: number, message: GateMessage): void {
     match(message)
       .with({ kind: 'request' }, ({ request }) => this.onRequest(now, request))
       .with({ kind: 'started' }, ({ attemptId, cachedTokens }) => {
-        this.throughput.drained(this.load.correct(attemptId, cachedTokens));
+        this.throughput.recordWork(this.load.correctCachedTokens(attemptId, cachedTokens));
       })
       .with({ kind: 'progress' }, ({ attemptId, generatedTokens }) => {
-        this.throughput.drained(this.load.progress(attemptId, generatedTokens));
+        this.throughput.recordWork(this.load.recordProgress(attemptId, generatedTokens));
       })
       .with({ kind: 'refused_by_runner' }, ({ attemptId }) => this.onRefusedByRunner(attemptId))
       .with({ kind: 'ended' }, ({ attemptId }) => this.onEnded(attemptId))
       .with({ kind: 'cancel' }, ({ attemptId }) => this.onCancel(attemptId))
       .with({ kind: 'load_report' }, ({ report }) => {
-        this.throughput.guess(report.tokensPerSecond);
-        this.opening.report(now, report, this.load);
+        this.throughput.setInitialTokenRate(report.tokensPerSecond);
+        this.opening.applyReport(now, report, this.load);
       })
-      .with({ kind: 'pool_mean' }, ({ mean, runners }) => this.bound.learn(now, mean, runners))
+      .with({ kind: 'pool_mean' }, ({ mean, runners }) => this.bound.updatePool(now, mean, runners))
       .with({ kind: 'runner_state' }, ({ state, incarnation }) => {
-        const refusal = this.runner.learn(state, incarnation);
+        const refusal = this.runner.update(state, incarnation);
         if (refusal) this.refuseAll(refusal);
       })
       .with({ kind: 'open' }, ({ handedOver }) => this.opening.open(now, this.load, handedOver))
@@ -152,7 +152,7 @@
     const { attemptId } = request;
     // A duplicate message must neither run the request twice nor report a running one as "not run".
     if (this.load.has(attemptId) || this.queue.has(attemptId)) return;
-    const gateRefusal = this.opening.isHeld ? this.runner.refusal() : 'gate_not_here';
+    const gateRefusal = this.opening.isHeld ? this.runner.refusalReason() : 'gate_not_here';
     if (gateRefusal) {
       this.refuse(attemptId, gateRefusal);
       return;
@@ -169,14 +169,14 @@
       return;
     }
     const work = workOf(request);
-    this.bound.see(work);
+    this.bound.observeRequest(work);
     this.admit(now, { ...request, work, queuedAt: now });
   }
 
   private admit(now: number, request: QueuedRequest): void {
     const overtakes = this.queue.hasAtOrAbove(request.priority);
     if (!overtakes && this.capacity.fits(now, request)) {
-      this.accounts.enter(now, request, this.bound.poolRunners);
+      this.accounts.charge(now, request, this.bound.poolRunners);
       this.start(now, request);
       return;
     }
@@ -200,7 +200,7 @@
 
   private enqueue(now: number, request: QueuedRequest): void {
     const expectedWaitMilliseconds = Math.round(this.capacity.expectedWait(now, request));
-    this.accounts.enter(now, request, this.bound.poolRunners);
+    this.accounts.charge(now, request, this.bound.poolRunners);
     this.queue.push(request);
     this.actions.push({
       kind: 'queued',
@@ -211,7 +211,7 @@
   }
 
   private makeRoom(now: number, request: QueuedRequest): boolean {
-    const displaced = this.queue.displacedBy(request);
+    const displaced = this.queue.requestToDisplace(request);
     if (!displaced) return false;
     this.unqueue(displaced, 'queue_full', this.capacity.expectedWait(now, displaced));
     return true;
@@ -220,7 +220,7 @@
   private onRefusedByRunner(attemptId: string): void {
     const attempt = this.load.end(attemptId);
     if (!attempt) return;
-    this.accounts.takeBack(attempt.request);
+    this.accounts.refund(attempt.request);
     this.refuse(attemptId, 'runner_refused', this.throughput.millisecondsPerRequest);
   }
 
@@ -228,9 +228,9 @@
     const attempt = this.load.end(attemptId);
     if (!attempt) return;
     const { request, generatedTokens, work } = attempt;
-    this.throughput.drained(work);
-    this.throughput.completed();
-    this.accounts.leave(
+    this.throughput.recordWork(work);
+    this.throughput.recordCompletion();
+    this.accounts.release(
       request.clientAccount,
       Math.max(0, request.maximumTokens - generatedTokens),
     );
@@ -280,7 +280,7 @@
 
   private unqueue(item: QueuedRequest, reason: RefusalReason, retryAfter: number): void {
     this.queue.remove(item.attemptId);
-    this.accounts.takeBack(item);
+    this.accounts.refund(item);
     this.refuse(item.attemptId, reason, retryAfter);
   }
 
--- a/src/gates/GateHost.spec.ts
+++ b/src/gates/GateHost.spec.ts
@@ -32,18 +32,18 @@
 import { GateHost } from './GateHost.js';
 import { gatesFeature } from './gatesFeature.js';
 import { gateHandlers } from './GateHostHandlers.js';
-import { begun, chunkOf, TestUpstream, whole } from './GateTaskTestUpstream.js';
+import { startedAnswer, chunkOf, TestUpstream, completedAnswer } from './GateTaskTestUpstream.js';
 import { LocalGatePort } from './LocalGatePort.js';
 import { RoutingGatePort } from './RoutingGatePort.js';
 
 class RecordingHomes extends HomePort {
   readonly told: HomeChange[] = [];
 
-  override async ask(): Promise<[]> {
+  override async findWarmRunners(): Promise<[]> {
     return [];
   }
 
-  override tell(changes: readonly HomeChange[]): void {
+  override reportChanges(changes: readonly HomeChange[]): void {
     this.told.push(...changes);
   }
 }
@@ -135,7 +135,7 @@
     for (const name of daemonNames) {
       const { fleet, host } = daemons.get(name)!;
       (fleet as SettableFleetView).holder = holder;
-      host.review();
+      host.reconcile();
     }
   };
   const at = (name: string): Daemon => daemons.get(name)!;
@@ -186,7 +186,7 @@
     setHolder('a', 'c');
     const reading = readAll(at('a').port.execute(requestOf('x'), neverAborted()));
     await waitUntil(() => upstreamAt('b').runs.length === 1);
-    upstreamAt('b').runs[0]!.answer(begun(), chunkOf(1), whole(1));
+    upstreamAt('b').runs[0]!.answer(startedAnswer(), chunkOf(1), completedAnswer(1));
     expect(await reading).toEqual(['started', '1', 'completed']);
     const refused = await readAll(at('c').port.execute(requestOf('y'), neverAborted()));
     expect(refused).toEqual(['refused gate_not_here']);
@@ -205,7 +205,7 @@
     const start = lost.next();
     await waitUntil(() => upstreamAt('b').runs.length === 2);
     const call = upstreamAt('b').runs[1]!;
-    call.answer(begun(), chunkOf(1));
+    call.answer(startedAnswer(), chunkOf(1));
     await start;
     await lost.return?.();
     const request = create(ResumeRequestSchema, {
@@ -216,7 +216,7 @@
     });
     const rest = readAll(at('c').port.resume(request, neverAborted()));
     await waitUntil(() => upstreamAt('b').resumes.length === 1);
-    upstreamAt('b').resumes[0]!.answer(begun(), chunkOf(1), whole(1));
+    upstreamAt('b').resumes[0]!.answer(startedAnswer(), chunkOf(1), completedAnswer(1));
     expect(await rest).toEqual(['started', '1', 'completed']);
     expect(call.signal.aborted).toEqual(false);
   });
@@ -240,7 +240,7 @@
       expect(gateAt('b').snapshot().state).toEqual('open');
       const refused = await readAll(at('a').host.execute(requestOf('y'), neverAborted()));
       expect(refused).toEqual(['refused gate_not_here']);
-      upstreamAt('a').runs[0]!.answer(begun(), whole(0));
+      upstreamAt('a').runs[0]!.answer(startedAnswer(), completedAnswer(0));
       expect(await reading).toEqual(['started', 'completed']);
       await waitUntil(() => gateAt('b').snapshot().foreignWork === 0);
       await waitUntil(() => upstreamAt('a').closed);
@@ -262,7 +262,7 @@
     expect(refused).toEqual(['refused draining']);
     for (let turn = 0; turn < 50; turn += 1) await nextTurn();
     expect(drained).toEqual(false);
-    upstreamAt('a').runs[0]!.answer(begun(), chunkOf(1), whole(1));
+    upstreamAt('a').runs[0]!.answer(startedAnswer(), chunkOf(1), completedAnswer(1));
     expect(await reading).toEqual(['started', '1', 'completed']);
     await draining;
     expect(at('a').host.inProgress()).toEqual(0);
@@ -272,11 +272,11 @@
     const { fleet, host, homes, upstreams } = at('a');
     fleet.runnersKnown = [runnerOf(RUNNER), runnerOf('runner-2')];
     setHolder('a', 'a');
-    gateAt('a').watch.chatUsed('long', 5_000);
-    gateAt('a').watch.chatUsed('short', 10);
+    gateAt('a').watch.recordChatUse('long', 5_000);
+    gateAt('a').watch.recordChatUse('short', 10);
     fleet.runnersKnown = [{ ...runnerOf(RUNNER), state: 'leaving' }, runnerOf('runner-2')];
-    host.review();
-    host.review();
+    host.reconcile();
+    host.reconcile();
     const places = () => homes.told.map(({ chat, runnerId }) => `${chat} ${runnerId}`);
     await waitUntil(() => places().includes('long runner-2'));
     expect(upstreams.get('runner-2')!.imported).toEqual([{ chat: 'long', bytes: 5_000 }]);
--- a/src/gates/GateHost.ts
+++ b/src/gates/GateHost.ts
@@ -24,7 +24,7 @@
 import { gatesFeature, gatesLogEvents } from './gatesFeature.js';
 import type { GatesSettings } from './gatesFeature.js';
 import type { GateTask } from './GateTask.js';
-import { endedAtOnce, refusedEvent } from './GateTaskEvents.js';
+import { singleEventStream, refusedEvent } from './GateTaskEvents.js';
 
 /** Options of a {@link GateHost}. */
 export interface GateHostOptions extends Omit<
@@ -86,10 +86,10 @@
 
   /** Opens the gates of this daemon and starts the periodic reconciliation. */
   start(): void {
-    this.review();
+    this.reconcile();
     const { reviewMilliseconds, poolMeanMilliseconds } = this.settings;
     this.timers.push(
-      setInterval(() => this.review(), reviewMilliseconds),
+      setInterval(() => this.reconcile(), reviewMilliseconds),
       setInterval(() => this.updateGates(), poolMeanMilliseconds),
     );
   }
@@ -99,7 +99,7 @@
    * membership, runners or the configuration have changed; the periodic call covers changes that were not
    * announced.
    */
-  review(): void {
+  reconcile(): void {
     const wanted = this.draining ? new Map<string, FleetRunner>() : this.runnersOfOwnGates();
     for (const [runnerId, gate] of this.gates) {
       const runner = wanted.get(runnerId);
@@ -120,9 +120,9 @@
    * @returns Its events.
    */
   execute(request: ExecuteRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent> {
-    if (this.draining) return endedAtOnce(refusedEvent({ reason: 'draining' }));
+    if (this.draining) return singleEventStream(refusedEvent({ reason: 'draining' }));
     const gate = this.gates.get(request.runnerId);
-    if (!gate?.held) return endedAtOnce(refusedEvent({ reason: 'gate_not_here' }));
+    if (!gate?.held) return singleEventStream(refusedEvent({ reason: 'gate_not_here' }));
     return gate.task.execute(request, signal);
   }
 
@@ -138,7 +138,7 @@
     const gate = this.gates.get(request.runnerId);
     // This daemon may be about to open the gate, once its runner list is up to date, so the reader should
     // retry. Answering `cannot_resume` would end a stream that the runner is still generating.
-    if (!gate) return endedAtOnce(refusedEvent({ reason: 'gate_not_here' }));
+    if (!gate) return singleEventStream(refusedEvent({ reason: 'gate_not_here' }));
     return gate.task.resume(request, signal);
   }
 
@@ -163,7 +163,7 @@
     if (this.draining) return false;
     const gate = this.gates.get(request.runnerId);
     if (gate?.held) gate.task.open(heldWorkOf(request), Number(request.lastCacheEvent));
-    else this.handOver.keep(request);
+    else this.handOver.storeReceived(request);
     return true;
   }
 
@@ -191,7 +191,7 @@
    */
   async drain(): Promise<void> {
     this.draining = true;
-    this.review();
+    this.reconcile();
     await Promise.all(this.pendingCloses);
   }
 
@@ -218,17 +218,17 @@
       const runner = gate.held ? this.fleet.runner(runnerId) : undefined;
       if (runner) this.updateGate(runner);
     }
-    this.handOver.repeat();
+    this.handOver.resendAll();
   }
 
   private updateGate(runner: FleetRunner): void {
     const { id, state, record } = runner;
     const gate = this.gates.get(id);
     if (!gate?.held) return;
-    gate.task.learnRunner(state, Number(record.incarnation));
+    gate.task.updateRunner(state, Number(record.incarnation));
     const { mean, runners } = this.fleet.poolLoad(record.service);
-    gate.task.learnPool(mean, runners);
-    this.factory.cacheMoves.learnRunner(runner, gate.task.watch);
+    gate.task.updatePool(mean, runners);
+    this.factory.cacheMoves.updateRunner(runner, gate.task.watch);
   }
 
   private openGate(runner: FleetRunner): void {
@@ -241,9 +241,9 @@
     if (!gate) return;
     gate.held = true;
     this.gates.set(runner.id, gate);
-    this.handOver.forget(runner.id);
-    const kept = this.handOver.take(runner.id);
-    gate.task.learnRunner(runner.state, Number(runner.record.incarnation));
+    this.handOver.stopSending(runner.id);
+    const kept = this.handOver.takeReceived(runner.id);
+    gate.task.updateRunner(runner.state, Number(runner.record.incarnation));
     gate.task.open(kept && heldWorkOf(kept), Number(kept?.lastCacheEvent ?? 0));
     const { id, record } = runner;
     const known = kept?.attempts.length;
@@ -271,7 +271,7 @@
     // eslint-disable-next-line no-param-reassign -- the host owns its gates.
     gate.held = false;
     task.closeGate();
-    this.handOver.tell(task);
+    this.handOver.startSending(task);
     this.log.write(gatesLogEvents.closed, { runner: runnerId, inProgress: task.inProgress });
     const closing = this.removeWhenEmpty(runnerId, gate);
     this.pendingCloses.add(closing);
@@ -281,7 +281,7 @@
   private async removeWhenEmpty(runnerId: string, gate: HostedGate): Promise<void> {
     await gate.task.whenEmpty();
     if (gate.held) return;
-    await this.handOver.finish(gate.task);
+    await this.handOver.sendFinal(gate.task);
     // Meanwhile this daemon may have opened the gate again, or the gate may have new attempts.
     if (gate.held || gate.task.inProgress > 0) return;
     if (this.gates.get(runnerId) === gate) this.gates.delete(runnerId);
--- a/src/gates/GateHostDigests.ts
+++ b/src/gates/GateHostDigests.ts
@@ -11,7 +11,7 @@
   PoolDigest,
 } from '../generated/baobabdock/v1/peers_pb.js';
 import type { GateTask } from './GateTask.js';
-import type { WatchedChange } from './GateTaskRunnerWatch.js';
+import type { RunnerCacheChange } from './GateTaskRunnerWatch.js';
 import type { HeldWork } from './gateTypes.js';
 
 /**
@@ -21,7 +21,7 @@
  * @returns Tokens of work on the runner, including work that other holders started, and the share of the
  *   queued work that counts towards the mean.
  */
-export function loadOf(gate: Pick<GateTask, 'snapshot'>): number {
+export function totalLoadOf(gate: Pick<GateTask, 'snapshot'>): number {
   const { load, foreignWork } = gate.snapshot();
   return load + foreignWork;
 }
@@ -37,7 +37,7 @@
   const pools = new Map<string, PoolDigest>();
   for (const gate of gates) {
     if (!gate.watch.isUsable) continue;
-    const load = loadOf(gate);
+    const load = totalLoadOf(gate);
     const pool =
       pools.get(gate.service) ??
       create(PoolDigestSchema, { service: gate.service, lightestLoad: Number.POSITIVE_INFINITY });
@@ -58,7 +58,12 @@
  * @param change - the cache change that a gate detected.
  * @returns The message.
  */
-export function toHomeChange({ chat, service, runnerId, cachedTokens }: WatchedChange): HomeChange {
+export function toHomeChange({
+  chat,
+  service,
+  runnerId,
+  cachedTokens,
+}: RunnerCacheChange): HomeChange {
   return create(HomeChangeSchema, { chat, service, runnerId, cachedTokens });
 }
 
--- a/src/gates/GateHostFactory.ts
+++ b/src/gates/GateHostFactory.ts
@@ -83,8 +83,8 @@
       settings,
       maximumConcurrent: service.maximumConcurrentPerRunner,
       maximumQueued: service.maximumQueuedPerRunner,
-      cacheChanged: (changes) => homes.tell(changes.map(toHomeChange)),
-      warmRefused: (change) => this.cacheMoves.warmRefused(runner, change, task.watch),
+      onCacheChanged: (changes) => homes.reportChanges(changes.map(toHomeChange)),
+      onWarmRefused: (change) => this.cacheMoves.onWarmRefused(runner, change, task.watch),
       metrics: this.metrics,
       record: record && ((step) => record(runner.id, step)),
     });
--- a/src/gates/GateHostHandOver.ts
+++ b/src/gates/GateHostHandOver.ts
@@ -55,7 +55,7 @@
    *
    * @param gate - the gate, which was just closed.
    */
-  tell(gate: GateTask): void {
+  startSending(gate: GateTask): void {
     this.closing.add(gate);
     void this.send(gate);
   }
@@ -64,7 +64,7 @@
    * Sends the remaining attempts of all closed gates again, so that the next holders need not wait for the
    * delayed load reports of the runners.
    */
-  repeat(): void {
+  resendAll(): void {
     for (const gate of this.closing) void this.send(gate);
   }
 
@@ -73,7 +73,7 @@
    *
    * @param gate - the gate, whose last attempt has ended.
    */
-  async finish(gate: GateTask): Promise<void> {
+  async sendFinal(gate: GateTask): Promise<void> {
     if (!this.closing.delete(gate)) return;
     await this.send(gate);
   }
@@ -83,7 +83,7 @@
    *
    * @param runnerId - the runner of the gate.
    */
-  forget(runnerId: string): void {
+  stopSending(runnerId: string): void {
     for (const gate of this.closing) if (gate.runnerId === runnerId) this.closing.delete(gate);
   }
 
@@ -92,7 +92,7 @@
    *
    * @param request - the handover of a gate that is not open here yet.
    */
-  keep(request: HandOverGateRequest): void {
+  storeReceived(request: HandOverGateRequest): void {
     if (this.received.size >= MAXIMUM_RECEIVED) {
       const [oldest] = this.received.keys();
       if (oldest !== undefined) this.received.delete(oldest);
@@ -106,7 +106,7 @@
    * @param runnerId - the runner whose gate is being opened.
    * @returns The handover, unless there is none or it is too old.
    */
-  take(runnerId: string): HandOverGateRequest | undefined {
+  takeReceived(runnerId: string): HandOverGateRequest | undefined {
     const kept = this.received.get(runnerId);
     this.received.delete(runnerId);
     return kept && this.now() - kept.at <= RECEIVED_LIFETIME_MILLISECONDS
--- a/src/gates/GateHostWarmth.spec.ts
+++ b/src/gates/GateHostWarmth.spec.ts
@@ -73,7 +73,7 @@
           routingPolicy: () => create(RoutingPolicySchema, { bound: 1.25 }),
         },
       });
-      expect(warmth.placesOf('chat', 'name').map(({ hasRoom }) => hasRoom)).toEqual(found);
+      expect(warmth.runnersFor('chat', 'name').map(({ hasRoom }) => hasRoom)).toEqual(found);
     });
   }
 });
--- a/src/gates/GateHostWarmth.ts
+++ b/src/gates/GateHostWarmth.ts
@@ -3,10 +3,10 @@
  * a request would start there at once.
  */
 import type { FleetView } from '../fleet/FleetView.js';
-import type { LocalWarmPlace } from '../homes/LocalWarmth.js';
-import { LocalWarmth } from '../homes/LocalWarmth.js';
+import type { LocalWarmRunner } from '../homes/LocalWarmRunners.js';
+import { LocalWarmRunners } from '../homes/LocalWarmRunners.js';
 import type { GateHost, HostedGate } from './GateHost.js';
-import { loadOf } from './GateHostDigests.js';
+import { totalLoadOf } from './GateHostDigests.js';
 
 /** Options of a {@link GateHostWarmth}. */
 export interface GateHostWarmthOptions {
@@ -28,7 +28,7 @@
 const BOUND_SHARE_WITH_ROOM = 0.5;
 
 /** Looks up cached chats in the gates of this daemon; has no state of its own. */
-export class GateHostWarmth extends LocalWarmth {
+export class GateHostWarmth extends LocalWarmRunners {
   private readonly host: Pick<GateHost, 'hosted'>;
 
   private readonly fleet: Pick<FleetView, 'poolLoad' | 'routingPolicy'>;
@@ -42,8 +42,8 @@
     this.fleet = fleet;
   }
 
-  override placesOf(service: string, chat: string): readonly LocalWarmPlace[] {
-    const places: LocalWarmPlace[] = [];
+  override runnersFor(service: string, chat: string): readonly LocalWarmRunner[] {
+    const places: LocalWarmRunner[] = [];
     for (const [runnerId, gate] of this.host.hosted()) {
       const { task, held } = gate;
       const mayHold = held && task.service === service && task.watch.isUsable;
@@ -59,6 +59,6 @@
     if (running < SMALL_BATCH_REQUESTS) return true;
     const { bound } = this.fleet.routingPolicy(task.service);
     const { mean } = this.fleet.poolLoad(task.service);
-    return loadOf(task) <= mean * (1 + (bound - 1) * BOUND_SHARE_WITH_ROOM);
+    return totalLoadOf(task) <= mean * (1 + (bound - 1) * BOUND_SHARE_WITH_ROOM);
   }
 }
--- a/src/gates/GateLoad.ts
+++ b/src/gates/GateLoad.ts
@@ -20,7 +20,7 @@
   return Math.max(MINIMUM_WORK, uncached + request.maximumTokens);
 }
 
-/** Waiting work up to this share of the running work is left out of {@link loadOf}. */
+/** Waiting work up to this share of the running work is left out of {@link advertisedLoad}. */
 const UNREPORTED_QUEUE_SHARE = 0.25;
 
 /**
@@ -36,7 +36,7 @@
  * @param queuedWork - tokens of work that wait at the gate.
  * @returns Tokens of work.
  */
-export function loadOf(runningWork: number, queuedWork: number): number {
+export function advertisedLoad(runningWork: number, queuedWork: number): number {
   const counted = Math.max(0, queuedWork - runningWork * UNREPORTED_QUEUE_SHARE);
   return runningWork + Math.min(runningWork, counted);
 }
@@ -100,7 +100,7 @@
    * @param cachedTokens - cached tokens of the prompt.
    * @returns Tokens by which the work fell; negative if less was cached than expected.
    */
-  correct(attemptId: string, cachedTokens: number): number {
+  correctCachedTokens(attemptId: string, cachedTokens: number): number {
     const attempt = this.running.get(attemptId);
     if (!attempt || attempt.generatedTokens > 0) return 0;
     attempt.promptWork = Math.max(0, attempt.request.promptTokens - cachedTokens);
@@ -114,7 +114,7 @@
    * @param generatedTokens - tokens generated so far; a smaller, outdated number changes nothing.
    * @returns Tokens by which the work fell.
    */
-  progress(attemptId: string, generatedTokens: number): number {
+  recordProgress(attemptId: string, generatedTokens: number): number {
     const attempt = this.running.get(attemptId);
     if (!attempt || generatedTokens <= attempt.generatedTokens) return 0;
     attempt.generatedTokens = generatedTokens;
@@ -148,7 +148,7 @@
   }
 
   /** @returns All attempts with their work, for the handover to the next holder of the gate. */
-  held(): HeldWork[] {
+  heldWork(): HeldWork[] {
     return [...this.running.values()].map(({ request, work }) => ({
       attemptId: request.attemptId,
       clientAccount: request.clientAccount,
--- a/src/gates/GateOpening.ts
+++ b/src/gates/GateOpening.ts
@@ -63,7 +63,7 @@
   }
 
   /** @returns Whether the foreign work is known from a report or a handover. */
-  get foreignKnown(): boolean {
+  get isForeignWorkKnown(): boolean {
     return this.foreign.isKnown;
   }
 
@@ -72,14 +72,14 @@
    * @returns Estimated tokens of work on the runner that other daemons sent.
    */
   foreignWork(now: number): number {
-    return this.foreign.at(now);
+    return this.foreign.workAt(now);
   }
 
   /**
    * @param now - monotonic milliseconds.
    * @returns Share of the capacity that the gate's own work may use, from 0 to 1.
    */
-  share(now: number): number {
+  openShare(now: number): number {
     if (this.current !== 'opening') return 1;
     return Math.min(1, (now - this.openedAt) / this.openingMilliseconds);
   }
@@ -114,7 +114,7 @@
     }
     this.transition('open_with_counts');
     const others = handedOver.filter(({ attemptId }) => !load.has(attemptId));
-    this.foreign.handOver(
+    this.foreign.applyHandOver(
       now,
       others.reduce((sum, { work }) => sum + work, 0),
     );
@@ -130,7 +130,7 @@
   }
 
   /** Notes that no work of this gate is left on the runner. */
-  empty(): void {
+  markEmpty(): void {
     this.transition('emptied');
   }
 
@@ -141,14 +141,14 @@
    * @param report - the runner's own report, which is delayed.
    * @param load - the work of this gate on the runner.
    */
-  report(now: number, report: LoadReport, load: GateLoad): void {
+  applyReport(now: number, report: LoadReport, load: GateLoad): void {
     if (!this.isHeld) return;
     // Once the gate is open and no foreign work is left, its own count is more exact than any report.
-    if (this.current === 'open' && this.foreign.at(now) === 0) return;
+    if (this.current === 'open' && this.foreign.workAt(now) === 0) return;
     const reportedAt = now - report.ageMilliseconds;
-    this.foreign.report(now, report.load, load.workStartedBy(reportedAt));
+    this.foreign.applyReport(now, report.load, load.workStartedBy(reportedAt));
     const measuredSinceOpening = reportedAt >= this.openedAt;
-    if (measuredSinceOpening && this.foreign.at(now) === 0) this.transition('settle');
+    if (measuredSinceOpening && this.foreign.workAt(now) === 0) this.transition('settle');
   }
 
   private startOpening(now: number): void {
--- a/src/gates/GateTask.spec.ts
+++ b/src/gates/GateTask.spec.ts
@@ -14,7 +14,13 @@
 import { gatesFeature } from './gatesFeature.js';
 import type { GatesSettings } from './gatesFeature.js';
 import { GateTask } from './GateTask.js';
-import { begun, chunkOf, cut, TestUpstream, whole } from './GateTaskTestUpstream.js';
+import {
+  startedAnswer,
+  chunkOf,
+  cutAnswer,
+  TestUpstream,
+  completedAnswer,
+} from './GateTaskTestUpstream.js';
 
 /** Ends a test that would wait for ever because an event was lost. */
 const TEST_TIMEOUT_MILLISECONDS = 30_000;
@@ -54,7 +60,7 @@
       cacheEventsMilliseconds: LONG_MILLISECONDS,
       ...settings,
     },
-    cacheChanged: (changes) =>
+    onCacheChanged: (changes) =>
       told.push(...changes.map(({ chat, cachedTokens }) => `${chat} ${cachedTokens}`)),
   });
   task.open([]);
@@ -127,7 +133,8 @@
 
   it('runs an attempt, logs the decision and reports the cached tokens of the chat', async () => {
     const { task, upstream, log, told } = open();
-    upstream.onRun = (call) => call.answer(begun(), chunkOf(1), chunkOf(2), whole(2));
+    upstream.onRun = (call) =>
+      call.answer(startedAnswer(), chunkOf(1), chunkOf(2), completedAnswer(2));
     const events = await readAll(task.execute(requestOf('a'), neverAborted()));
     expect(events).toEqual(['started', '1', '2', 'completed']);
     expect(log.lines).toEqual(['gates.started a']);
@@ -148,11 +155,12 @@
     // Guards against a reader that gets a token twice or misses one: the stream is cut after chunk 2, and the
     // runner repeats chunk 2 when it is resumed. This happens if sequence numbers are not compared.
     const { task, upstream, log } = open();
-    upstream.onRun = (call) => call.answer(begun(), chunkOf(1), chunkOf(2), cut(true));
+    upstream.onRun = (call) =>
+      call.answer(startedAnswer(), chunkOf(1), chunkOf(2), cutAnswer(true));
     const reading = readAll(task.execute(requestOf('a'), neverAborted()));
     await waitUntil(() => upstream.resumes.length === 1);
     expect(upstream.resumes[0]!.afterSequence).toEqual(2);
-    upstream.resumes[0]!.answer(begun(), chunkOf(2), chunkOf(3), whole(3));
+    upstream.resumes[0]!.answer(startedAnswer(), chunkOf(2), chunkOf(3), completedAnswer(3));
     expect(await reading).toEqual(['started', '1', '2', '3', 'completed']);
     expect(upstream.runs.length).toEqual(1);
     expect(log.lines.includes('upstreams.resumed a cut')).toEqual(true);
@@ -178,7 +186,7 @@
     // stream of a request that is not idempotent is cut, and the runner drops it before it is resumed. This
     // happens if the rule for such requests goes before the runner's answer, which then counts as another cut.
     const { task, upstream } = open();
-    upstream.onRun = (call) => call.answer(begun(), chunkOf(1), cut(true));
+    upstream.onRun = (call) => call.answer(startedAnswer(), chunkOf(1), cutAnswer(true));
     const request = requestOf('a', { idempotent: false, streaming: true });
     const reading = readAll(task.execute(request, neverAborted()));
     await waitUntil(() => upstream.resumes.length === 1);
@@ -243,14 +251,14 @@
     // Guards against a stream that ends with the daemon that reads it: the daemon crashes, and the caller
     // comes back through another one, but the gate has already cancelled the attempt without a reader.
     const { task, upstream } = open();
-    upstream.onRun = (call) => call.answer(begun(), chunkOf(1), chunkOf(2));
+    upstream.onRun = (call) => call.answer(startedAnswer(), chunkOf(1), chunkOf(2));
     const stream = task.execute(requestOf('a'), neverAborted())[Symbol.asyncIterator]();
     await stream.next();
     await stream.return?.();
     const stranger = await readAll(task.resume(resumeOf('parcels', 1), neverAborted()));
     expect(stranger).toEqual(['failed cannot_resume']);
     const reading = readAll(task.resume(resumeOf('tiles', 1), neverAborted()));
-    upstream.resumes[0]!.answer(begun(), chunkOf(2), chunkOf(3), whole(3));
+    upstream.resumes[0]!.answer(startedAnswer(), chunkOf(2), chunkOf(3), completedAnswer(3));
     expect(await reading).toEqual(['started', '2', '3', 'completed']);
     expect(upstream.cancelled).toEqual([]);
     expect(task.heldWork()).toEqual([]);
@@ -269,7 +277,7 @@
     // stops reading, and the gate reads ahead without a limit.
     const { task, upstream } = open({ maximumBufferedBytes: 1_000 });
     upstream.onRun = (call) =>
-      call.answerEndlessly((index) => (index === 1 ? begun() : chunkOf(index - 1, 100)));
+      call.answerEndlessly((index) => (index === 1 ? startedAnswer() : chunkOf(index - 1, 100)));
     const stream = task.execute(requestOf('a'), neverAborted())[Symbol.asyncIterator]();
     for (let turn = 0; turn < 200; turn += 1) await nextTurn();
     expect(upstream.runs[0]!.pulled).toEqual(12);
@@ -286,7 +294,7 @@
       ejectionMilliseconds: 1,
       loadReportMilliseconds: 2,
     });
-    task.learnRunner('live', 1);
+    task.updateRunner('live', 1);
     upstream.answersReports = false;
     await waitUntil(() => log.lines.includes('gates.runner_ejected'));
     expect(await readAll(task.execute(requestOf('a'), neverAborted()))).toEqual([
@@ -294,7 +302,7 @@
     ]);
     upstream.answersReports = true;
     await waitUntil(() => log.lines.includes('gates.runner_returned'));
-    upstream.onRun = (call) => call.answer(begun(), whole(0));
+    upstream.onRun = (call) => call.answer(startedAnswer(), completedAnswer(0));
     const events = await readAll(task.execute(requestOf('b'), neverAborted()));
     expect(events).toEqual(['started', 'completed']);
   });
@@ -303,12 +311,15 @@
     // Guards against a broken runner that attracts work for hours: it answers each request at once and
     // completely, but with status 500, and a complete answer counts as a sign of health.
     const { task, upstream, told } = open({ failuresUntilEjection: 3 });
-    task.learnRunner('live', 1);
-    upstream.onRun = (call) => call.answer(begun(), whole(0));
+    task.updateRunner('live', 1);
+    upstream.onRun = (call) => call.answer(startedAnswer(), completedAnswer(0));
     await readAll(task.execute(requestOf('good'), neverAborted()));
     const end = { kind: 'completed', promptTokens: 0, generatedTokens: 0 } as const;
     upstream.onRun = (call) =>
-      call.answer({ ...begun(), status: 500 }, { ...end, cachedTokens: 0, lastSequence: 0 });
+      call.answer(
+        { ...startedAnswer(), status: 500 },
+        { ...end, cachedTokens: 0, lastSequence: 0 },
+      );
     for (const id of ['a', 'b', 'c']) {
       await readAll(task.execute(requestOf(id, { chat: 'chat of good' }), neverAborted()));
     }
@@ -320,8 +331,8 @@
 
   it('gives a leaving runner no new work, whatever is said of that incarnation later', async () => {
     const { task } = open();
-    task.learnRunner('leaving', 5);
-    task.learnRunner('live', 5);
+    task.updateRunner('leaving', 5);
+    task.updateRunner('live', 5);
     expect(await readAll(task.execute(requestOf('a'), neverAborted()))).toEqual([
       'refused runner_leaving',
     ]);
--- a/src/gates/GateTask.ts
+++ b/src/gates/GateTask.ts
@@ -20,13 +20,18 @@
 import type { GateSnapshot } from './gateDecisionsTypes.js';
 import type { GatesSettings } from './gatesFeature.js';
 import { GateTaskAttempts } from './GateTaskAttempts.js';
-import type { CacheChange } from './GateTaskCacheKnowledge.js';
-import { cannotResumeEvent, doubledEvent, endedAtOnce, refusedEvent } from './GateTaskEvents.js';
+import type { CacheChange } from './GateTaskPrefixCacheIndex.js';
+import {
+  cannotResumeEvent,
+  duplicateEvent,
+  singleEventStream,
+  refusedEvent,
+} from './GateTaskEvents.js';
 import { GateTaskLog } from './GateTaskLog.js';
 import type { AdmissionAction } from './GateTaskLog.js';
 import type { GateTaskMetrics } from './GateTaskMetrics.js';
 import { GateTaskRunnerWatch } from './GateTaskRunnerWatch.js';
-import type { WatchedChange } from './GateTaskRunnerWatch.js';
+import type { RunnerCacheChange } from './GateTaskRunnerWatch.js';
 import { PRIORITIES } from './gateTypes.js';
 import type { GateAction, GateMessage, HeldWork, Priority, RunnerState } from './gateTypes.js';
 
@@ -44,9 +49,9 @@
   maximumConcurrent?: number;
   maximumQueued?: number;
   /** Called with each detected change of the runner's prefix cache. */
-  cacheChanged?: (changes: readonly WatchedChange[]) => void;
+  onCacheChanged?: (changes: readonly RunnerCacheChange[]) => void;
   /** Called when a request was refused above the load bound although its chat is cached at the runner. */
-  warmRefused?: (change: CacheChange) => void;
+  onWarmRefused?: (change: CacheChange) => void;
   record?: (step: DecisionStep<GateMessage, GateAction>) => void;
   metrics?: GateTaskMetrics;
 }
@@ -92,7 +97,7 @@
     this.runnerId = runnerId;
     this.service = service;
     this.upstream = upstream;
-    this.onWarmRefused = options.warmRefused ?? (() => {});
+    this.onWarmRefused = options.onWarmRefused ?? (() => {});
     this.log = new GateTaskLog(options);
     const send = (message: GateMessage): void => this.send(message);
     this.watch = new GateTaskRunnerWatch({ ...options, send });
@@ -155,7 +160,7 @@
    * @param mean - mean load of the pool's runners, in tokens of work.
    * @param runners - the number of runners in the pool.
    */
-  learnPool(mean: number, runners: number): void {
+  updatePool(mean: number, runners: number): void {
     this.send({ kind: 'pool_mean', mean, runners });
   }
 
@@ -165,8 +170,8 @@
    * @param state - the runner's state.
    * @param incarnation - the incarnation that the state belongs to.
    */
-  learnRunner(state: RunnerState, incarnation: number): void {
-    this.watch.learnRunner(state, incarnation);
+  updateRunner(state: RunnerState, incarnation: number): void {
+    this.watch.updateRunner(state, incarnation);
   }
 
   /**
@@ -178,9 +183,9 @@
    */
   execute(request: ExecuteRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent> {
     const { attemptId } = request;
-    if (this.attempts.get(attemptId)) return endedAtOnce(doubledEvent(attemptId));
-    if (this.attempts.wasCancelledEarly(attemptId)) {
-      return endedAtOnce(refusedEvent({ reason: 'cancelled' }));
+    if (this.attempts.get(attemptId)) return singleEventStream(duplicateEvent(attemptId));
+    if (this.attempts.takeEarlyCancellation(attemptId)) {
+      return singleEventStream(refusedEvent({ reason: 'cancelled' }));
     }
     const attempt = this.attempts.create(request);
     const cancel = (): void => this.attempts.cancel(attempt);
@@ -218,8 +223,9 @@
     const { attemptId, afterSequence, clientAccount } = request;
     const known = this.attempts.get(attemptId);
     const foreign = known && known.details.clientAccount !== clientAccount;
-    if (foreign || known?.isRunning === false) return endedAtOnce(cannotResumeEvent(attemptId));
-    this.attempts.found(attemptId);
+    if (foreign || known?.isRunning === false)
+      return singleEventStream(cannotResumeEvent(attemptId));
+    this.attempts.removeOrphan(attemptId);
     const deadline = this.clock.monotonicMilliseconds() + request.deadlineMilliseconds;
     const stream = { chat: '', streaming: true, idempotent: true };
     const attempt = known ?? this.attempts.adopt({ attemptId, clientAccount, deadline, ...stream });
@@ -242,7 +248,7 @@
   async cancel({ attemptId }: CancelRequest): Promise<boolean> {
     const attempt = this.attempts.get(attemptId);
     if (!attempt) {
-      this.attempts.cancelEarly(attemptId);
+      this.attempts.recordEarlyCancellation(attemptId);
       return this.upstream.cancel(attemptId);
     }
     this.attempts.cancel(attempt);
--- a/src/gates/GateTaskAttempt.ts
+++ b/src/gates/GateTaskAttempt.ts
@@ -5,7 +5,7 @@
 import type { ExecuteEvent } from '../generated/baobabdock/v1/peers_pb.js';
 import type { Clock } from '../time/Clock.js';
 import type { Upstream, UpstreamAttempt, UpstreamEvent } from '../upstreams/Upstream.js';
-import { attemptFailureCode, canTakeUpAgain } from './GateTaskFailures.js';
+import { attemptFailureCode, shouldResume } from './GateTaskFailures.js';
 import type { AttemptFailure } from './GateTaskFailures.js';
 import {
   chunkEvent,
@@ -13,7 +13,7 @@
   failedEvent,
   refusedEvent,
   startedEvent,
-  takenOverEvent,
+  supersededEvent,
 } from './GateTaskEvents.js';
 import type { RefusalDetails } from './GateTaskEvents.js';
 import type { AttemptDetails } from './GateTaskAttemptTypes.js';
@@ -43,7 +43,7 @@
   notRun: (attempt: GateTaskAttempt, reason: 'refused' | 'unreachable', message: string) => void;
   completed: (attempt: GateTaskAttempt, cachedTokens: number) => void;
   failed: (attempt: GateTaskAttempt, failure: AttemptFailure) => void;
-  takenUpAgain: (attempt: GateTaskAttempt, failure: AttemptFailure) => void;
+  resumed: (attempt: GateTaskAttempt, failure: AttemptFailure) => void;
   /** The last call for this attempt. */
   ended: (attempt: GateTaskAttempt, end: AttemptEnd) => void;
   /** The reader stopped reading while the attempt was running or waiting. */
@@ -138,7 +138,7 @@
    * @returns The events for the new reader; the stream of an earlier reader ends.
    */
   continueAfter(afterSequence: number): AsyncIterable<ExecuteEvent> {
-    this.stream.push(takenOverEvent(this.details.attemptId));
+    this.stream.push(supersededEvent(this.details.attemptId));
     this.stream.end();
     this.stream = this.newStream();
     this.lastSequence = afterSequence;
@@ -171,7 +171,7 @@
 
   private newStream(): GateTaskStream {
     const { maximumBufferedBytes, listener } = this.options;
-    return new GateTaskStream({ maximumBufferedBytes, onLeft: () => listener.left(this) });
+    return new GateTaskStream({ maximumBufferedBytes, onReaderLeft: () => listener.left(this) });
   }
 
   private run(source: Source): void {
@@ -198,7 +198,7 @@
         if (this.isStaleRead(reading)) return;
         if (step.done) throw new Error('the runner ended its answer without a final event');
         this.handleEvent(step.value);
-        await this.stream.room();
+        await this.stream.waitForRoom();
         if (this.isStaleRead(reading)) return;
       }
     } catch (error) {
@@ -251,7 +251,7 @@
     const left = this.details.deadline - clock.monotonicMilliseconds();
     if (left <= DEADLINE_SLACK_MILLISECONDS) this.stopReason ??= 'deadline';
     if (!this.stopReason) listener.failed(this, failure);
-    const again = !this.stopReason && this.resumes < maximumResumes && canTakeUpAgain(failure);
+    const again = !this.stopReason && this.resumes < maximumResumes && shouldResume(failure);
     if (again) {
       this.scheduleResume(failure);
       return;
@@ -277,7 +277,7 @@
     this.reading += 1;
     this.resumeTimer = setTimeout(() => {
       this.resumeTimer = undefined;
-      this.options.listener.takenUpAgain(this, failure);
+      this.options.listener.resumed(this, failure);
       this.resumeAtRunner();
     }, wait);
   }
@@ -296,7 +296,7 @@
     // by its id.
     this.controller.abort();
     if (this.isResumed) void this.options.upstream.cancel(this.details.attemptId);
-    this.stream.lift();
+    this.stream.removeLimit();
     if (!this.resumeTimer) return;
     clearTimeout(this.resumeTimer);
     this.fail({
--- a/src/gates/GateTaskAttempts.ts
+++ b/src/gates/GateTaskAttempts.ts
@@ -133,7 +133,7 @@
    *
    * @param attemptId - the attempt.
    */
-  found(attemptId: string): void {
+  removeOrphan(attemptId: string): void {
     this.orphans.remove(attemptId);
   }
 
@@ -180,7 +180,7 @@
    *
    * @param attemptId - the attempt.
    */
-  cancelEarly(attemptId: string): void {
+  recordEarlyCancellation(attemptId: string): void {
     this.cancelledEarly.add(attemptId);
     if (this.cancelledEarly.size <= MAXIMUM_EARLY_CANCELLATIONS) return;
     const [oldest] = this.cancelledEarly;
@@ -193,7 +193,7 @@
    * @param attemptId - the attempt.
    * @returns Whether it was cancelled.
    */
-  wasCancelledEarly(attemptId: string): boolean {
+  takeEarlyCancellation(attemptId: string): boolean {
     return this.cancelledEarly.delete(attemptId);
   }
 
@@ -220,7 +220,8 @@
     },
     notRun: (attempt, reason, message) => {
       const { attemptId } = attempt.details;
-      if (reason === 'unreachable' && !attempt.isCancelled) this.options.watch.attemptFailed();
+      if (reason === 'unreachable' && !attempt.isCancelled)
+        this.options.watch.recordAttemptFailure();
       this.options.log.fault(attemptId, reason, message);
       this.options.send({ kind: 'refused_by_runner', attemptId });
       // The gate's decisions refuse the attempts that they track; this refuses all others.
@@ -229,17 +230,17 @@
     completed: ({ details: { chat }, isServerError }, cachedTokens) => {
       const { watch } = this.options;
       // A complete answer with a server error is no sign of a healthy runner.
-      if (isServerError) watch.attemptFailed();
-      else watch.attemptSucceeded();
+      if (isServerError) watch.recordAttemptFailure();
+      else watch.recordAttemptSuccess();
       // An error answer reports no tokens; it leaves the cached tokens of the chat unchanged.
-      if (chat && cachedTokens > 0) watch.chatUsed(chat, cachedTokens);
+      if (chat && cachedTokens > 0) watch.recordChatUse(chat, cachedTokens);
     },
     failed: ({ details: { attemptId } }, { reason, message }) => {
-      this.options.watch.attemptFailed();
+      this.options.watch.recordAttemptFailure();
       this.options.log.fault(attemptId, reason, message);
     },
-    takenUpAgain: ({ details: { attemptId } }, { reason }) => {
-      this.options.log.takenUpAgain(attemptId, reason);
+    resumed: ({ details: { attemptId } }, { reason }) => {
+      this.options.log.resumed(attemptId, reason);
     },
     ended: ({ details: { attemptId, idempotent } }, end) => {
       this.attempts.delete(attemptId);
--- a/src/gates/GateTaskEvents.ts
+++ b/src/gates/GateTaskEvents.ts
@@ -122,7 +122,7 @@
  * @yields The event.
  * @returns The stream.
  */
-export async function* endedAtOnce(
+export async function* singleEventStream(
   event: ExecuteEvent,
 ): AsyncGenerator<ExecuteEvent, void, undefined> {
   yield event;
@@ -135,7 +135,7 @@
  * @param attemptId - the attempt.
  * @returns The only event for the duplicate.
  */
-export function doubledEvent(attemptId: string): ExecuteEvent {
+export function duplicateEvent(attemptId: string): ExecuteEvent {
   const message = 'an attempt with this id is already in progress at this gate';
   return failedEvent({ attemptId, code: 'outcome_unknown', message, resumable: false });
 }
@@ -159,7 +159,7 @@
  * @param attemptId - the attempt.
  * @returns The last event for the earlier reader.
  */
-export function takenOverEvent(attemptId: string): ExecuteEvent {
+export function supersededEvent(attemptId: string): ExecuteEvent {
   const message = 'another reader has taken over the stream of this attempt';
   return failedEvent({ attemptId, code: 'stream_cut', message, resumable: false });
 }
--- a/src/gates/GateTaskFailures.ts
+++ b/src/gates/GateTaskFailures.ts
@@ -12,7 +12,7 @@
 >;
 
 /** The input of {@link attemptFailureCode}. */
-export interface FailedAttempt {
+export interface FailureCodeInput {
   readonly failure: AttemptFailure;
   /** Why this daemon stopped the attempt, if it did. */
   readonly stopReason: 'cancelled' | 'deadline' | undefined;
@@ -37,7 +37,7 @@
  * @param failure - why the answer is incomplete.
  * @returns Whether to ask the runner for the rest of the answer.
  */
-export function canTakeUpAgain({ reason, resumable }: AttemptFailure): boolean {
+export function shouldResume({ reason, resumable }: AttemptFailure): boolean {
   return resumable && RESUMED_REASONS.has(reason);
 }
 
@@ -54,7 +54,7 @@
   begun,
   streaming,
   idempotent,
-}: FailedAttempt): OutcomeCode {
+}: FailureCodeInput): OutcomeCode {
   const isGone = resumed && failure.reason === 'unknown_attempt';
   if (isGone && stopReason === undefined) return 'cannot_resume';
   // A request that is not idempotent may have run, whatever stopped it; no other code may suggest a retry.
--- a/src/gates/GateTaskHealth.ts
+++ b/src/gates/GateTaskHealth.ts
@@ -24,7 +24,7 @@
  * Source of an outcome: an attempt or a load report. Their failures are counted separately; otherwise a runner
  * that answers every report but fails every attempt would always count as healthy.
  */
-export type HealthWitness = 'attempt' | 'report';
+export type OutcomeSource = 'attempt' | 'report';
 
 const DEFAULT_FAILURES_UNTIL_EJECTION = 3;
 const DEFAULT_EJECTION_MILLISECONDS = 2_000;
@@ -40,7 +40,7 @@
 
   private readonly maximumEjectionMilliseconds: number;
 
-  private readonly failures: Record<HealthWitness, number> = { attempt: 0, report: 0 };
+  private readonly failures: Record<OutcomeSource, number> = { attempt: 0, report: 0 };
 
   private current: HealthState = interpreter.initial();
 
@@ -74,7 +74,7 @@
    * @param source - the source of the outcome.
    * @returns Whether the state changed.
    */
-  failed(now: number, source: HealthWitness): boolean {
+  recordFailure(now: number, source: OutcomeSource): boolean {
     this.failures[source] += 1;
     if (this.current === 'ejected') {
       if (now >= this.ejectedUntil) this.eject(now);
@@ -92,7 +92,7 @@
    * @param source - the source of the outcome.
    * @returns Whether the state changed.
    */
-  succeeded(now: number, source: HealthWitness): boolean {
+  recordSuccess(now: number, source: OutcomeSource): boolean {
     this.failures[source] = 0;
     if (this.current === 'live') {
       // Only a successful attempt proves that the cause of the last ejection is gone, which resets the backoff.
--- a/src/gates/GateTaskLog.ts
+++ b/src/gates/GateTaskLog.ts
@@ -93,7 +93,7 @@
    * @param attemptId - the attempt.
    * @param reason - why the stream was cut.
    */
-  takenUpAgain(attemptId: string, reason: string): void {
+  resumed(attemptId: string, reason: string): void {
     this.log.write(upstreamsLogEvents.resumed, { ...this.place, attempt: attemptId, reason });
   }
 }
--- a/src/gates/GateTaskCacheKnowledge.spec.ts
+++ b/src/gates/GateTaskPrefixCacheIndex.spec.ts
@@ -5,19 +5,19 @@
 
 import { PrefixCache } from '../../standIns/runners/PrefixCache.js';
 import type { CacheEvent } from '../upstreams/Upstream.js';
-import { GateTaskCacheKnowledge } from './GateTaskCacheKnowledge.js';
+import { GateTaskPrefixCacheIndex } from './GateTaskPrefixCacheIndex.js';
 
 function stored(number: number, chat: string, cachedTokens = 100): CacheEvent {
   return { number, kind: 'stored', chat, cachedTokens };
 }
 
-describe(GateTaskCacheKnowledge.name, () => {
+describe(GateTaskPrefixCacheIndex.name, () => {
   it('forgets as many of the oldest chats as events are missing', () => {
     // Guards against chats that are routed to runners which no longer have them cached: two eviction events
     // are lost, the gap in the event numbers is not noticed, and evicted chats count as cached for ever.
-    const knowledge = new GateTaskCacheKnowledge();
-    knowledge.take([stored(1, 'a'), stored(2, 'b'), stored(3, 'c')]);
-    const { changes, lost } = knowledge.take([stored(6, 'd')]);
+    const knowledge = new GateTaskPrefixCacheIndex();
+    knowledge.applyEvents([stored(1, 'a'), stored(2, 'b'), stored(3, 'c')]);
+    const { changes, lost } = knowledge.applyEvents([stored(6, 'd')]);
     expect(lost).toEqual(2);
     expect(changes).toEqual([
       { chat: 'a', cachedTokens: 0 },
@@ -28,11 +28,14 @@
   });
 
   it('skips duplicate events, and is cleared when the runner restarts', () => {
-    const knowledge = new GateTaskCacheKnowledge();
-    knowledge.take([stored(1, 'a'), stored(2, 'b')]);
-    expect(knowledge.take([stored(1, 'a', 5), stored(2, 'b')])).toEqual({ changes: [], lost: 0 });
-    expect(knowledge.restarted().map(({ cachedTokens }) => cachedTokens)).toEqual([0, 0]);
-    expect(knowledge.take([stored(1, 'c')]).changes.length).toEqual(1);
+    const knowledge = new GateTaskPrefixCacheIndex();
+    knowledge.applyEvents([stored(1, 'a'), stored(2, 'b')]);
+    expect(knowledge.applyEvents([stored(1, 'a', 5), stored(2, 'b')])).toEqual({
+      changes: [],
+      lost: 0,
+    });
+    expect(knowledge.reset().map(({ cachedTokens }) => cachedTokens)).toEqual([0, 0]);
+    expect(knowledge.applyEvents([stored(1, 'c')]).changes.length).toEqual(1);
   });
 
   it('contains no more chats than fit into the cache, whichever events are lost', () => {
@@ -42,17 +45,17 @@
       fc.property(fc.array(step, { maxLength: 200 }), (steps) => {
         let loses = false;
         const cache = new PrefixCache({ capacityTokens: 500, loses: () => loses });
-        const knowledge = new GateTaskCacheKnowledge();
+        const knowledge = new GateTaskPrefixCacheIndex();
         cache.store('first', 100);
-        knowledge.take(cache.eventsAfter(0));
+        knowledge.applyEvents(cache.eventsAfter(0));
         for (const { chat, lost } of steps) {
           loses = lost;
           cache.store(chat, 100);
-          knowledge.take(cache.eventsAfter(knowledge.lastNumber));
+          knowledge.applyEvents(cache.eventsAfter(knowledge.lastNumber));
         }
         loses = false;
         cache.store('last', 100);
-        knowledge.take(cache.eventsAfter(knowledge.lastNumber));
+        knowledge.applyEvents(cache.eventsAfter(knowledge.lastNumber));
         // Five chats fit into the cache. A lost event that was no eviction makes the index forget one chat
         // too many; it never keeps one too many.
         const known = knowledge.recentChats().map(({ chat }) => chat);
--- a/src/gates/GateTaskCacheKnowledge.ts
+++ b/src/gates/GateTaskPrefixCacheIndex.ts
@@ -12,14 +12,14 @@
 }
 
 /** The result of applying a series of cache events. */
-export interface CacheReading {
+export interface AppliedCacheEvents {
   readonly changes: readonly CacheChange[];
   /** Number of events that were missing from the series. */
   readonly lost: number;
 }
 
-/** Options of a {@link GateTaskCacheKnowledge}. */
-export interface GateTaskCacheKnowledgeOptions {
+/** Options of a {@link GateTaskPrefixCacheIndex}. */
+export interface GateTaskPrefixCacheIndexOptions {
   maximumChats?: number;
   /** Number of the last event that the previous holder of the gate has read. */
   lastNumber?: number;
@@ -28,7 +28,7 @@
 const DEFAULT_MAXIMUM_CHATS = 20_000;
 
 /** An index of the chats that are probably cached at one runner, the least recently used first. */
-export class GateTaskCacheKnowledge {
+export class GateTaskPrefixCacheIndex {
   private readonly maximumChats: number;
 
   private readonly tokensByChat = new Map<string, number>();
@@ -41,7 +41,7 @@
   constructor({
     maximumChats = DEFAULT_MAXIMUM_CHATS,
     lastNumber = 0,
-  }: GateTaskCacheKnowledgeOptions = {}) {
+  }: GateTaskPrefixCacheIndexOptions = {}) {
     this.maximumChats = maximumChats;
     this.last = lastNumber;
   }
@@ -82,7 +82,7 @@
    * @param cachedTokens - its number of tokens that are cached now.
    * @returns The change for the chat's home; none if the number is the same as before.
    */
-  used(chat: string, cachedTokens: number): CacheChange[] {
+  recordUse(chat: string, cachedTokens: number): CacheChange[] {
     const before = this.tokensByChat.get(chat);
     this.tokensByChat.delete(chat);
     if (cachedTokens === 0) return before === undefined ? [] : [{ chat, cachedTokens }];
@@ -97,7 +97,7 @@
    * @param events - the events as the runner returned them.
    * @returns The changes for the homes of chats, and the number of missing events.
    */
-  take(events: readonly CacheEvent[]): CacheReading {
+  applyEvents(events: readonly CacheEvent[]): AppliedCacheEvents {
     const changes: CacheChange[] = [];
     let lost = 0;
     for (const event of events) {
@@ -120,7 +120,7 @@
    *
    * @returns The changes for the homes of chats.
    */
-  restarted(): CacheChange[] {
+  reset(): CacheChange[] {
     this.last = 0;
     return this.forgetOldest(this.tokensByChat.size);
   }
@@ -128,7 +128,7 @@
   private apply({ kind, chat, cachedTokens }: CacheEvent): CacheChange[] {
     if (kind === 'cleared') return this.forgetOldest(this.tokensByChat.size);
     if (chat === undefined) return [];
-    return this.used(chat, kind === 'evicted' ? 0 : cachedTokens);
+    return this.recordUse(chat, kind === 'evicted' ? 0 : cachedTokens);
   }
 
   /**
--- a/src/gates/GateTaskRunnerWatch.ts
+++ b/src/gates/GateTaskRunnerWatch.ts
@@ -11,14 +11,14 @@
 import { upstreamsLogEvents } from '../upstreams/upstreamsFeature.js';
 import { gatesLogEvents } from './gatesFeature.js';
 import type { GatesSettings } from './gatesFeature.js';
-import { GateTaskCacheKnowledge } from './GateTaskCacheKnowledge.js';
-import type { CacheChange } from './GateTaskCacheKnowledge.js';
+import { GateTaskPrefixCacheIndex } from './GateTaskPrefixCacheIndex.js';
+import type { CacheChange } from './GateTaskPrefixCacheIndex.js';
 import { GateTaskHealth } from './GateTaskHealth.js';
 import { GateTaskPoller } from './GateTaskPoller.js';
 import type { GateMessage, RunnerState } from './gateTypes.js';
 
 /** A chat whose cached tokens at a runner changed. */
-export interface WatchedChange extends CacheChange {
+export interface RunnerCacheChange extends CacheChange {
   readonly runnerId: string;
   readonly service: string;
 }
@@ -36,13 +36,13 @@
   /** Sends a message to the gate's decisions. */
   send: (message: GateMessage) => void;
   /** Called with each detected change of the runner's prefix cache. */
-  cacheChanged?: (changes: readonly WatchedChange[]) => void;
+  onCacheChanged?: (changes: readonly RunnerCacheChange[]) => void;
 }
 
 /** Monitors the health, load and prefix cache of one runner. */
 export class GateTaskRunnerWatch {
   /** The chats that are probably in the runner's prefix cache. */
-  readonly cache: GateTaskCacheKnowledge;
+  readonly cache: GateTaskPrefixCacheIndex;
 
   private readonly options: GateTaskRunnerWatchOptions;
 
@@ -62,7 +62,7 @@
   constructor(options: GateTaskRunnerWatchOptions) {
     this.options = options;
     this.health = new GateTaskHealth(options.settings);
-    this.cache = new GateTaskCacheKnowledge({ maximumChats: options.settings.maximumKnownChats });
+    this.cache = new GateTaskPrefixCacheIndex({ maximumChats: options.settings.maximumKnownChats });
   }
 
   /** @returns The throughput that the runner reported, in tokens per second; 0 before the first report. */
@@ -117,24 +117,24 @@
    * @param state - the runner's state.
    * @param incarnation - the incarnation that the state belongs to.
    */
-  learnRunner(state: RunnerState, incarnation: number): void {
+  updateRunner(state: RunnerState, incarnation: number): void {
     if (incarnation < this.incarnation) return;
     const restarted = this.incarnation !== 0 && incarnation > this.incarnation;
     const changed = restarted || state !== this.listed || this.incarnation === 0;
     this.listed = state;
     this.incarnation = incarnation;
-    if (restarted) this.reportCacheChanges(this.cache.restarted());
+    if (restarted) this.reportCacheChanges(this.cache.reset());
     if (changed) this.sendState();
   }
 
   /** Records that an attempt completed. */
-  attemptSucceeded(): void {
-    if (this.health.succeeded(this.now(), 'attempt')) this.healthChanged();
+  recordAttemptSuccess(): void {
+    if (this.health.recordSuccess(this.now(), 'attempt')) this.healthChanged();
   }
 
   /** Records that an attempt failed, got a server error, or could not reach the runner. */
-  attemptFailed(): void {
-    if (this.health.failed(this.now(), 'attempt')) this.healthChanged();
+  recordAttemptFailure(): void {
+    if (this.health.recordFailure(this.now(), 'attempt')) this.healthChanged();
   }
 
   /**
@@ -143,27 +143,27 @@
    * @param chat - the chat.
    * @param cachedTokens - its number of tokens that are cached now.
    */
-  chatUsed(chat: string, cachedTokens: number): void {
-    if (this.options.isEngine) this.reportCacheChanges(this.cache.used(chat, cachedTokens));
+  recordChatUse(chat: string, cachedTokens: number): void {
+    if (this.options.isEngine) this.reportCacheChanges(this.cache.recordUse(chat, cachedTokens));
   }
 
   private async readLoad(): Promise<void> {
     try {
       const report = await this.options.upstream.readLoad();
-      if (this.health.succeeded(this.now(), 'report')) this.healthChanged();
+      if (this.health.recordSuccess(this.now(), 'report')) this.healthChanged();
       if (!this.options.isEngine) return;
       this.throughput = report.tokensPerSecond;
       this.options.send({ kind: 'load_report', report });
     } catch (error) {
       this.logReportFailure('load', error);
-      if (this.health.failed(this.now(), 'report')) this.healthChanged();
+      if (this.health.recordFailure(this.now(), 'report')) this.healthChanged();
     }
   }
 
   private async readCacheEvents(): Promise<void> {
     try {
       const events = await this.options.upstream.readCacheEvents(this.cache.lastNumber);
-      const { changes, lost } = this.cache.take(events);
+      const { changes, lost } = this.cache.applyEvents(events);
       this.reportCacheChanges(changes);
       if (lost === 0) return;
       const { runnerId: runner, log } = this.options;
@@ -204,7 +204,7 @@
   private reportCacheChanges(changes: readonly CacheChange[]): void {
     if (changes.length === 0) return;
     const { runnerId, service } = this.options;
-    this.options.cacheChanged?.(changes.map((change) => ({ ...change, runnerId, service })));
+    this.options.onCacheChanged?.(changes.map((change) => ({ ...change, runnerId, service })));
   }
 
   private now(): number {
--- a/src/gates/GateTaskStream.ts
+++ b/src/gates/GateTaskStream.ts
@@ -8,7 +8,7 @@
   /** Bytes of buffered chunks above which the writer waits for the reader. */
   maximumBufferedBytes: number;
   /** Called when the reader stops before the end. */
-  onLeft: () => void;
+  onReaderLeft: () => void;
 }
 
 function bytesOf({ event }: ExecuteEvent): number {
@@ -67,13 +67,13 @@
   }
 
   /** Removes the limit: the attempt is ending, and only its last events follow. */
-  lift(): void {
+  removeLimit(): void {
     this.unlimited = true;
     this.releaseWriter();
   }
 
   /** @returns Resolves when the buffer is within its limit, the limit is removed, or the stream has ended. */
-  room(): Promise<void> {
+  waitForRoom(): Promise<void> {
     const full = this.bufferedBytes > this.options.maximumBufferedBytes;
     if (!full || this.ended || this.unlimited) return Promise.resolve();
     return new Promise((resolve) => {
@@ -99,7 +99,7 @@
     this.events.length = 0;
     this.bufferedBytes = 0;
     this.end();
-    if (early) this.options.onLeft();
+    if (early) this.options.onReaderLeft();
     return Promise.resolve({ value: undefined, done: true });
   }
 
--- a/src/gates/GateTaskTestUpstream.ts
+++ b/src/gates/GateTaskTestUpstream.ts
@@ -12,7 +12,7 @@
 } from '../upstreams/Upstream.js';
 
 /** @returns The first event of an answer, with status 200. */
-export function begun(): Extract<UpstreamEvent, { kind: 'started' }> {
+export function startedAnswer(): Extract<UpstreamEvent, { kind: 'started' }> {
   return { kind: 'started', status: 200, headers: [], cachedTokens: 10 };
 }
 
@@ -33,7 +33,7 @@
  * @param lastSequence - the sequence number of the last chunk.
  * @returns The event.
  */
-export function whole(lastSequence: number): UpstreamEvent {
+export function completedAnswer(lastSequence: number): UpstreamEvent {
   return {
     kind: 'completed',
     promptTokens: 90,
@@ -49,7 +49,7 @@
  * @param resumable - whether the runner keeps the stream, so that it can be resumed.
  * @returns The event.
  */
-export function cut(resumable: boolean): UpstreamEvent {
+export function cutAnswer(resumable: boolean): UpstreamEvent {
   return { kind: 'failed', reason: 'cut', message: 'cut', resumable };
 }
 
@@ -82,7 +82,7 @@
     this.attemptId = attemptId;
     this.signal = signal;
     this.afterSequence = afterSequence;
-    signal.addEventListener('abort', () => this.answer(cut(false)));
+    signal.addEventListener('abort', () => this.answer(cutAnswer(false)));
   }
 
   /**
--- a/src/gates/GateThroughput.ts
+++ b/src/gates/GateThroughput.ts
@@ -1,7 +1,7 @@
 /**
  * Measures the throughput of a gate's runner and derives expected waits from it.
  */
-import { DrainRate } from './DrainRate.js';
+import { ThroughputMeter } from './ThroughputMeter.js';
 
 /** Initial rates, used until the throughput of the runner has been measured. */
 const INITIAL_TOKENS_PER_MILLISECOND = 1;
@@ -11,9 +11,11 @@
 
 /** Measures the rates at which tokens of work and requests leave one runner. */
 export class GateThroughput {
-  private readonly tokens = new DrainRate({ initialRate: INITIAL_TOKENS_PER_MILLISECOND });
+  private readonly tokens = new ThroughputMeter({ initialRate: INITIAL_TOKENS_PER_MILLISECOND });
 
-  private readonly requests = new DrainRate({ initialRate: INITIAL_REQUESTS_PER_MILLISECOND });
+  private readonly requests = new ThroughputMeter({
+    initialRate: INITIAL_REQUESTS_PER_MILLISECOND,
+  });
 
   /** @returns Measured tokens of work a second; an initial rate until enough has been measured. */
   get tokensPerSecond(): number {
@@ -41,8 +43,8 @@
    *
    * @param tokensPerSecond - rate that the runner reported.
    */
-  guess(tokensPerSecond: number): void {
-    this.tokens.guess(tokensPerSecond / MILLISECONDS_PER_SECOND);
+  setInitialTokenRate(tokensPerSecond: number): void {
+    this.tokens.setInitialRate(tokensPerSecond / MILLISECONDS_PER_SECOND);
   }
 
   /**
@@ -50,12 +52,12 @@
    *
    * @param tokens - tokens of work; negative if a count was corrected upwards, which is ignored.
    */
-  drained(tokens: number): void {
+  recordWork(tokens: number): void {
     this.tokens.add(Math.max(0, tokens));
   }
 
   /** Counts one completed request. */
-  completed(): void {
+  recordCompletion(): void {
     this.requests.add(1);
   }
 
@@ -66,7 +68,7 @@
    * @param surplusRequests - number of requests that must leave first.
    * @returns Milliseconds, 0 or more.
    */
-  waitFor(surplusTokens: number, surplusRequests: number): number {
+  expectedWait(surplusTokens: number, surplusRequests: number): number {
     return Math.max(0, surplusTokens / this.tokens.rate(), surplusRequests / this.requests.rate());
   }
 }
--- a/src/gates/MeanTrend.ts
+++ b/src/gates/PoolMeanEstimate.ts
@@ -11,7 +11,7 @@
 const ASSUMED_AGE_MILLISECONDS = 1_500;
 
 /** Extrapolates the mean load of one pool from the values received so far. */
-export class MeanTrend {
+export class PoolMeanEstimate {
   private lastMean = 0;
 
   private lastMeanAt: number | undefined;
@@ -25,7 +25,7 @@
    * @param now - monotonic milliseconds.
    * @param mean - mean load of the pool's runners, in tokens of work.
    */
-  hear(now: number, mean: number): void {
+  observe(now: number, mean: number): void {
     const elapsed = this.lastMeanAt === undefined ? 0 : now - this.lastMeanAt;
     if (elapsed > 0) {
       const share = 1 - Math.exp(-elapsed / SMOOTHING_MILLISECONDS);
--- a/src/gates/RoutingGatePort.ts
+++ b/src/gates/RoutingGatePort.ts
@@ -10,7 +10,7 @@
 } from '../generated/baobabdock/v1/peers_pb.js';
 import type { PeerLink } from '../peers/PeerLink.js';
 import { GatePort } from './GatePort.js';
-import { endedAtOnce, refusedEvent } from './GateTaskEvents.js';
+import { singleEventStream, refusedEvent } from './GateTaskEvents.js';
 import { PeerGatePort } from './PeerGatePort.js';
 
 /** Options of a {@link RoutingGatePort}. */
@@ -41,13 +41,13 @@
 
   override execute(request: ExecuteRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent> {
     const port = this.portOf(request.runnerId);
-    if (!port) return endedAtOnce(refusedEvent({ reason: 'gate_not_here' }));
+    if (!port) return singleEventStream(refusedEvent({ reason: 'gate_not_here' }));
     return port.execute(request, signal);
   }
 
   override resume(request: ResumeRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent> {
     const port = this.portOf(request.runnerId);
-    if (!port) return endedAtOnce(refusedEvent({ reason: 'gate_not_here' }));
+    if (!port) return singleEventStream(refusedEvent({ reason: 'gate_not_here' }));
     return port.resume(request, signal);
   }
 
--- a/src/gates/DrainRate.ts
+++ b/src/gates/ThroughputMeter.ts
@@ -2,8 +2,8 @@
  * Measures how fast a gate's runner gets through work: an exponentially weighted mean over its busy time.
  */
 
-/** Options of a {@link DrainRate}. */
-export interface DrainRateOptions {
+/** Options of a {@link ThroughputMeter}. */
+export interface ThroughputMeterOptions {
   /** Time constant of the mean, in milliseconds of busy time. */
   windowMilliseconds?: number;
   /** Rate that is used until enough has been measured, in units a millisecond. */
@@ -19,7 +19,7 @@
  * Measures the rate at which units (tokens or requests) leave a runner. Idle time does not count, or an idle
  * runner would look slow.
  */
-export class DrainRate {
+export class ThroughputMeter {
   private readonly windowMilliseconds: number;
 
   private initialRate: number;
@@ -37,7 +37,7 @@
   constructor({
     windowMilliseconds = DEFAULT_WINDOW_MILLISECONDS,
     initialRate = 1,
-  }: DrainRateOptions = {}) {
+  }: ThroughputMeterOptions = {}) {
     this.windowMilliseconds = windowMilliseconds;
     this.initialRate = initialRate;
   }
@@ -47,7 +47,7 @@
    *
    * @param rate - units a millisecond; ignored unless above zero.
    */
-  guess(rate: number): void {
+  setInitialRate(rate: number): void {
     if (rate > 0) this.initialRate = rate;
   }
 
--- a/src/gates/gateTestRequests.ts
+++ b/src/gates/gateTestRequests.ts
@@ -35,7 +35,7 @@
  * @param actions - the actions of one decision.
  * @returns For each action its kind and attempt id, and for a refusal also the reason.
  */
-export function brief(actions: readonly GateAction[]): string[] {
+export function summarizeActions(actions: readonly GateAction[]): string[] {
   return actions.map((action) =>
     action.kind === 'refuse'
       ? `refuse ${action.attemptId} ${action.reason}`
--- a/src/homes/ChatHomeDecisions.spec.ts
+++ b/src/homes/ChatHomeDecisions.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 
 import { ChatHomeDecisions } from './ChatHomeDecisions.js';
-import type { WarmPlace } from './homeTypes.js';
+import type { WarmRunnerEntry } from './homeTypes.js';
 
 function report(
   home: ChatHomeDecisions,
@@ -15,7 +15,7 @@
   home.decide(now, { kind: 'tell', service: 'assistant', chat, runnerId, cachedTokens });
 }
 
-function lookUp(home: ChatHomeDecisions, now: number, chat: string): readonly WarmPlace[] {
+function lookUp(home: ChatHomeDecisions, now: number, chat: string): readonly WarmRunnerEntry[] {
   const [answer] = home.decide(now, { kind: 'ask', question: 'q', service: 'assistant', chat });
   return answer!.warm;
 }
--- a/src/homes/ChatHomeDecisions.ts
+++ b/src/homes/ChatHomeDecisions.ts
@@ -6,7 +6,7 @@
 import { match } from 'ts-pattern';
 
 import { Decisions } from '../decisions/Decisions.js';
-import type { HomeAction, HomeMessage, WarmPlace } from './homeTypes.js';
+import type { HomeAction, HomeMessage, WarmRunnerEntry } from './homeTypes.js';
 
 /** Options of {@link ChatHomeDecisions}. */
 export interface ChatHomeDecisionsOptions {
@@ -86,7 +86,7 @@
     return this.chats.size;
   }
 
-  private lookUp(now: number, service: string, chat: string): WarmPlace[] {
+  private lookUp(now: number, service: string, chat: string): WarmRunnerEntry[] {
     const key = ChatHomeDecisions.keyOf(service, chat);
     const entries = this.chats.get(key) ?? [];
     this.markUsed(key, entries);
--- a/src/homes/ToldPlaces.ts
+++ b/src/homes/HomeChangeFilter.ts
@@ -7,8 +7,8 @@
 
 import type { HomeChange } from '../generated/baobabdock/v1/peers_pb.js';
 
-/** Options of {@link ToldPlaces}. */
-export interface ToldPlacesOptions {
+/** Options of {@link HomeChangeFilter}. */
+export interface HomeChangeFilterOptions {
   /** Most pairs of chat and runner that are remembered; the change of a removed one is sent once more. */
   maximumPlaces?: number;
   /** Age after which an unchanged entry is sent again, in ms; shorter than the age at which homes remove it. */
@@ -19,7 +19,7 @@
  * `known`: the home needs no message; `new`: it lacks the entry; `changed`: its number of cached tokens is out
  * of date.
  */
-export type News = 'known' | 'new' | 'changed';
+export type ChangeNovelty = 'known' | 'new' | 'changed';
 
 interface SentChange {
   readonly home: string;
@@ -52,7 +52,7 @@
 }
 
 /** Remembers the changes sent to homes and classifies new ones; removes the one sent longest ago when full. */
-export class ToldPlaces {
+export class HomeChangeFilter {
   private readonly maximumPlaces: number;
 
   private readonly repeatAfterMilliseconds: number;
@@ -65,7 +65,7 @@
   constructor({
     maximumPlaces = DEFAULT_MAXIMUM_PLACES,
     repeatAfterMilliseconds = DEFAULT_REPEAT_AFTER_MILLISECONDS,
-  }: ToldPlacesOptions = {}) {
+  }: HomeChangeFilterOptions = {}) {
     this.maximumPlaces = maximumPlaces;
     this.repeatAfterMilliseconds = repeatAfterMilliseconds;
   }
@@ -83,7 +83,7 @@
    * @param change - the change that a gate reports.
    * @returns Whether the home knows the change, lacks the entry, or has an outdated one.
    */
-  take(now: number, home: string, change: HomeChange): News {
+  classify(now: number, home: string, change: HomeChange): ChangeNovelty {
     const key = keyOf(change);
     const { cachedTokens } = change;
     const news = this.noveltyOf(now, home, cachedTokens, this.sentChanges.get(key));
@@ -100,11 +100,16 @@
    *
    * @param change - the change that was not delivered.
    */
-  lost(change: HomeChange): void {
+  forgetChange(change: HomeChange): void {
     this.sentChanges.delete(keyOf(change));
   }
 
-  private noveltyOf(now: number, home: string, cachedTokens: number, previous?: SentChange): News {
+  private noveltyOf(
+    now: number,
+    home: string,
+    cachedTokens: number,
+    previous?: SentChange,
+  ): ChangeNovelty {
     if (cachedTokens === 0) return 'changed';
     if (previous?.home !== home) return 'new';
     if (now - previous.sentAt >= this.repeatAfterMilliseconds) return 'new';
--- a/src/homes/HomePort.ts
+++ b/src/homes/HomePort.ts
@@ -14,7 +14,7 @@
    * @param service - the service that the chat uses.
    * @returns The runners, those with the most cached tokens first.
    */
-  abstract ask(chat: string, service: string): Promise<readonly WarmRunner[]>;
+  abstract findWarmRunners(chat: string, service: string): Promise<readonly WarmRunner[]>;
 
   /**
    * Reports changes to the homes of their chats. Changes are sent in batches and may be lost, which costs only
@@ -22,5 +22,5 @@
    *
    * @param changes - the changes, each for one chat on one runner.
    */
-  abstract tell(changes: readonly HomeChange[]): void;
+  abstract reportChanges(changes: readonly HomeChange[]): void;
 }
--- a/src/homes/HomeTask.spec.ts
+++ b/src/homes/HomeTask.spec.ts
@@ -19,8 +19,8 @@
 import { homesSettings } from './homesFeature.js';
 import { HomeTask } from './HomeTask.js';
 import { HomeTaskDirectory } from './HomeTaskDirectory.js';
-import type { LocalWarmPlace } from './LocalWarmth.js';
-import { LocalWarmth } from './LocalWarmth.js';
+import type { LocalWarmRunner } from './LocalWarmRunners.js';
+import { LocalWarmRunners } from './LocalWarmRunners.js';
 
 type HomeCalls = Pick<Client<typeof PeerService>, 'askHome' | 'tellHome'>;
 
@@ -56,12 +56,12 @@
 }
 
 /** One local gate whose runner has every chat cached. */
-class OneGate extends LocalWarmth {
-  constructor(private readonly place: LocalWarmPlace) {
+class OneGate extends LocalWarmRunners {
+  constructor(private readonly place: LocalWarmRunner) {
     super();
   }
 
-  override placesOf(): readonly LocalWarmPlace[] {
+  override runnersFor(): readonly LocalWarmRunner[] {
     return [this.place];
   }
 }
@@ -98,12 +98,12 @@
 describe(HomeTask.name, () => {
   it('looks up its own directory without a call, and calls another home', async () => {
     const { task, link, ownChats, remoteChats } = setUp();
-    task.tell([change(ownChats[0]!, 77)]);
-    expect((await task.ask(ownChats[0]!, 's'))[0]?.cachedTokens).toEqual(77);
+    task.reportChanges([change(ownChats[0]!, 77)]);
+    expect((await task.findWarmRunners(ownChats[0]!, 's'))[0]?.cachedTokens).toEqual(77);
     expect(link.asked).toEqual([]);
-    expect((await task.ask(remoteChats[0]!, 's'))[0]?.cachedTokens).toEqual(9);
+    expect((await task.findWarmRunners(remoteChats[0]!, 's'))[0]?.cachedTokens).toEqual(9);
     task.clearRunner('r');
-    expect(await task.ask(ownChats[0]!, 's')).toEqual([]);
+    expect(await task.findWarmRunners(ownChats[0]!, 's')).toEqual([]);
   });
 
   it('continues without a home that times out, and pauses calls to it', async () => {
@@ -111,11 +111,12 @@
     // them waits for the timeout.
     const { task, link, clock, remoteChats } = setUp();
     link.down.add('there');
-    for (let ask = 0; ask < 5; ask += 1) expect(await task.ask(remoteChats[0]!, 's')).toEqual([]);
+    for (let ask = 0; ask < 5; ask += 1)
+      expect(await task.findWarmRunners(remoteChats[0]!, 's')).toEqual([]);
     expect(link.asked.length).toEqual(3);
     link.down.clear();
     clock.advance(2_000);
-    expect((await task.ask(remoteChats[0]!, 's')).length).toEqual(1);
+    expect((await task.findWarmRunners(remoteChats[0]!, 's')).length).toEqual(1);
   });
 
   it('batches changes by home, sends only the newest of a chat, and drops the oldest', async () => {
@@ -126,7 +127,7 @@
       maximumChangesPerInterval: 2,
     });
     const [a, b, c, d] = remoteChats as [string, string, string, string];
-    task.tell([change(a, 1), change(b, 2), change(b, 3), change(c, 4), change(d, 5)]);
+    task.reportChanges([change(a, 1), change(b, 2), change(b, 3), change(c, 4), change(d, 5)]);
     expect(task.droppedChanges).toEqual(1);
     await task.flush();
     await task.flush();
@@ -159,11 +160,11 @@
 
   it('stores a queued change here if this daemon becomes the home of its chat', async () => {
     const { task, link, fleet, remoteChats } = setUp();
-    task.tell([change(remoteChats[0]!, 8)]);
+    task.reportChanges([change(remoteChats[0]!, 8)]);
     fleet.removeMember('there');
     await task.flush();
     expect(link.told).toEqual([]);
-    expect((await task.ask(remoteChats[0]!, 's'))[0]?.cachedTokens).toEqual(8);
+    expect((await task.findWarmRunners(remoteChats[0]!, 's'))[0]?.cachedTokens).toEqual(8);
   });
 
   it('calls no home if a local warm runner has room, else adds the entries of the home', async () => {
@@ -171,10 +172,11 @@
     // with its gate, and that daemon would ask the chat's home for what its own gate knows already.
     const { task, link, remoteChats } = setUp();
     const own = { runnerId: 'own', cachedTokens: 5 };
-    const ask = async () => (await task.ask(remoteChats[0]!, 's')).map(({ runnerId }) => runnerId);
-    task.useLocalWarmth(new OneGate({ ...own, hasRoom: true }));
+    const ask = async () =>
+      (await task.findWarmRunners(remoteChats[0]!, 's')).map(({ runnerId }) => runnerId);
+    task.setLocalWarmRunners(new OneGate({ ...own, hasRoom: true }));
     expect([await ask(), link.asked.length]).toEqual([['own'], 0]);
-    task.useLocalWarmth(new OneGate({ ...own, hasRoom: false }));
+    task.setLocalWarmRunners(new OneGate({ ...own, hasRoom: false }));
     expect([await ask(), link.asked.length]).toEqual([['r', 'own'], 1]);
     link.down.add('there');
     expect(await ask()).toEqual(['own']);
@@ -185,9 +187,9 @@
     const { task, link, remoteChats } = setUp();
     const tellOf = async (cachedTokens: number) => {
       const before = link.told.length;
-      task.tell([change(remoteChats[0]!, cachedTokens)]);
+      task.reportChanges([change(remoteChats[0]!, cachedTokens)]);
       await task.flush();
-      await task.flushPatient();
+      await task.flushDeferred();
       return link.told.length > before;
     };
     const told: boolean[] = [];
@@ -208,12 +210,12 @@
       // lost the entry, and the gate's daemon still counts it as known there.
       const { task, link, clock, fleet, remoteChats } = setUp();
       if (down) link.down.add('there');
-      task.tell([change(remoteChats[0]!, 100)]);
+      task.reportChanges([change(remoteChats[0]!, 100)]);
       await task.flush();
       link.down.clear();
       clock.advance(wait);
       fleet.applyMember({ ...fleet.members()[1]!, incarnation });
-      task.tell([change(remoteChats[0]!, 101)]);
+      task.reportChanges([change(remoteChats[0]!, 101)]);
       await task.flush();
       expect(link.told.length).toEqual(2);
     });
@@ -222,15 +224,15 @@
   it('sends evictions and growth with the next message to the same home, or alone after a delay', async () => {
     const { task, link, remoteChats } = setUp();
     const [a, b, c] = remoteChats as [string, string, string];
-    task.tell([change(a, 0), change(b, 0)]);
+    task.reportChanges([change(a, 0), change(b, 0)]);
     await task.flush();
     expect(link.told).toEqual([]);
     // The prefix is cached again before its eviction was sent: only the newest change is sent.
-    task.tell([change(b, 7)]);
+    task.reportChanges([change(b, 7)]);
     await task.flush();
-    task.tell([change(c, 0), change(b, 70)]);
+    task.reportChanges([change(c, 0), change(b, 70)]);
     await task.flush();
-    await task.flushPatient();
+    await task.flushDeferred();
     const told = link.told.map(({ changes }) => changes.map(({ chat }) => chat));
     expect(told).toEqual([
       [b, a],
@@ -246,7 +248,7 @@
     const settings = { tellIntervalMilliseconds: interval, maximumPromptMessages: 2 };
     const { task, link, clock, remoteChats } = setUp(settings);
     const tellOf = (names: readonly string[]) => {
-      task.tell(names.map((name) => change(name)));
+      task.reportChanges(names.map((name) => change(name)));
       mock.timers.tick(1);
       clock.advance(1);
       return link.told.length;
--- a/src/homes/HomeTask.ts
+++ b/src/homes/HomeTask.ts
@@ -16,10 +16,10 @@
 import type { HomeTaskDirectory } from './HomeTaskDirectory.js';
 import type { HomesSettings } from './homesFeature.js';
 import { homesLogEvents } from './homesFeature.js';
-import type { LocalWarmth } from './LocalWarmth.js';
-import { NoLocalWarmth } from './LocalWarmth.js';
-import { ToldPlaces } from './ToldPlaces.js';
-import { mergeWarm, warmRunnerOf } from './warmRunners.js';
+import type { LocalWarmRunners } from './LocalWarmRunners.js';
+import { NoLocalWarmRunners } from './LocalWarmRunners.js';
+import { HomeChangeFilter } from './HomeChangeFilter.js';
+import { mergeWarmRunners, toWarmRunner } from './warmRunners.js';
 
 /** Settings of a {@link HomeTask}. */
 export type HomeTaskSettings = Pick<
@@ -42,7 +42,7 @@
   settings: HomeTaskSettings;
   log?: Log;
   /** The filter of changes; measurements pass one that lets all changes through. */
-  told?: ToldPlaces;
+  told?: HomeChangeFilter;
 }
 
 /** Longest name of a chat, service or runner that is stored, so that a faulty peer can't fill the directory. */
@@ -71,9 +71,9 @@
 
   private readonly health: HomeTaskHealth;
 
-  private readonly told: ToldPlaces;
+  private readonly told: HomeChangeFilter;
 
-  private warmth: LocalWarmth = new NoLocalWarmth();
+  private warmth: LocalWarmRunners = new NoLocalWarmRunners();
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -96,7 +96,7 @@
     clock,
     settings,
     log = new SilentLog(),
-    told = new ToldPlaces(),
+    told = new HomeChangeFilter(),
   }: HomeTaskOptions) {
     super();
     this.told = told;
@@ -119,7 +119,7 @@
    *
    * @param warmth - the warm runners behind this daemon's gates.
    */
-  useLocalWarmth(warmth: LocalWarmth): void {
+  setLocalWarmRunners(warmth: LocalWarmRunners): void {
     this.warmth = warmth;
   }
 
@@ -127,13 +127,13 @@
    * Looks up local gates first: locate sends a chat to the daemon with the gate of a warm runner, so that gate
    * usually has the answer. The chat's home is asked if no local runner is warm, or none of them has room.
    */
-  override async ask(chat: string, service: string): Promise<readonly WarmRunner[]> {
-    const local = this.warmth.placesOf(service, chat);
+  override async findWarmRunners(chat: string, service: string): Promise<readonly WarmRunner[]> {
+    const local = this.warmth.runnersFor(service, chat);
     const hasLocalRoom = local.some(({ hasRoom }) => hasRoom);
-    return mergeWarm(local, hasLocalRoom ? [] : await this.askHome(chat, service));
+    return mergeWarmRunners(local, hasLocalRoom ? [] : await this.askHome(chat, service));
   }
 
-  override tell(changes: readonly HomeChange[]): void {
+  override reportChanges(changes: readonly HomeChange[]): void {
     for (const change of changes) {
       const home = this.fleet.homeOf(change.chat);
       if (home && this.isSelf(home)) this.storeHere(change);
@@ -155,7 +155,7 @@
   handlers(): PeerHandlers {
     return {
       askHome: ({ chat, service }) => ({
-        warm: this.directory.ask(service, chat).map(warmRunnerOf),
+        warm: this.directory.findWarmRunners(service, chat).map(toWarmRunner),
       }),
       tellHome: ({ changes }) => {
         for (const change of changes.slice(0, this.settings.maximumQueuedChanges)) {
@@ -186,19 +186,20 @@
   }
 
   /** Sends deferred changes that no urgent change to the same home has taken along. */
-  flushPatient(): Promise<void> {
-    return this.send(this.queue.takePatient(this.settings.maximumChangesPerInterval));
+  flushDeferred(): Promise<void> {
+    return this.send(this.queue.takeDeferred(this.settings.maximumChangesPerInterval));
   }
 
   private async askHome(chat: string, service: string): Promise<readonly WarmRunner[]> {
     const home = this.fleet.homeOf(chat);
-    if (home && this.isSelf(home)) return this.directory.ask(service, chat).map(warmRunnerOf);
+    if (home && this.isSelf(home))
+      return this.directory.findWarmRunners(service, chat).map(toWarmRunner);
     if (!home || this.health.isPaused(this.now(), home.daemonId)) return [];
     try {
       const { warm } = await this.link
         .to(home.daemonId, home.peerAddress)
         .askHome({ chat, service }, { timeoutMs: this.settings.askTimeoutMilliseconds });
-      this.health.succeeded(home.daemonId);
+      this.health.recordSuccess(home.daemonId);
       return warm;
     } catch {
       // Timeout or unavailable: the request goes on in hash order, which costs only cache reuse.
@@ -213,7 +214,7 @@
       // Computed again, because the members may have changed while the change was queued.
       const home = this.fleet.homeOf(change.chat);
       if (!home || this.health.isPaused(this.now(), home.daemonId)) {
-        this.told.lost(change);
+        this.told.forgetChange(change);
       } else if (this.isSelf(home)) {
         this.storeHere(change);
       } else {
@@ -227,12 +228,12 @@
   }
 
   private async sendBatch({ home, changes }: { home: Member; changes: HomeChange[] }) {
-    const all = [...changes, ...this.queue.takePatientOf(home.daemonId)];
+    const all = [...changes, ...this.queue.takeDeferredFor(home.daemonId)];
     try {
       await this.link.to(home.daemonId, home.peerAddress).tellHome({ changes: all });
-      this.health.succeeded(home.daemonId);
+      this.health.recordSuccess(home.daemonId);
     } catch {
-      for (const change of all) this.told.lost(change);
+      for (const change of all) this.told.forgetChange(change);
       this.countFailure(home);
     }
   }
@@ -245,7 +246,7 @@
 
   private enqueue(home: Member, change: HomeChange): void {
     if (this.stopped) return;
-    const news = this.told.take(this.now(), incarnationKeyOf(home), change);
+    const news = this.told.classify(this.now(), incarnationKeyOf(home), change);
     if (news !== 'known') this.queue.add(home.daemonId, change, news === 'new');
   }
 
@@ -259,17 +260,18 @@
     const { patientTellMilliseconds } = this.settings;
     this.deferredTimer ??= setTimeout(() => {
       this.deferredTimer = undefined;
-      void this.flushPatient();
+      void this.flushDeferred();
       this.startTimers();
     }, patientTellMilliseconds);
-    if (this.queue.urgent > 0) this.timer ??= setTimeout(() => this.onInterval(), this.sendDelay());
+    if (this.queue.urgentCount > 0)
+      this.timer ??= setTimeout(() => this.onInterval(), this.sendDelay());
   }
 
   private sendDelay(): number {
     const { tellIntervalMilliseconds, maximumPromptMessages } = this.settings;
     const age = this.now() - this.currentInterval.since;
     if (age >= tellIntervalMilliseconds) this.currentInterval = { messages: 0, since: this.now() };
-    const isQuiet = this.currentInterval.messages + this.queue.urgent <= maximumPromptMessages;
+    const isQuiet = this.currentInterval.messages + this.queue.urgentCount <= maximumPromptMessages;
     return isQuiet ? 0 : tellIntervalMilliseconds;
   }
 
@@ -284,7 +286,7 @@
 
   private onDropped(change: HomeChange): void {
     this.dropped += 1;
-    this.told.lost(change);
+    this.told.forgetChange(change);
   }
 
   private isSelf({ daemonId }: Member): boolean {
@@ -292,7 +294,7 @@
   }
 
   private countFailure({ daemonId }: Member): void {
-    if (!this.health.failed(this.now(), daemonId)) return;
+    if (!this.health.recordFailure(this.now(), daemonId)) return;
     const milliseconds = this.settings.pauseAfterFailuresMilliseconds;
     this.log.write(homesLogEvents.homePaused, { daemon: daemonId, milliseconds });
   }
--- a/src/homes/HomeTaskDirectory.ts
+++ b/src/homes/HomeTaskDirectory.ts
@@ -6,7 +6,7 @@
 import { DecisionTask } from '../decisions/DecisionTask.js';
 import type { Decisions } from '../decisions/Decisions.js';
 import type { Clock } from '../time/Clock.js';
-import type { HomeAction, HomeMessage, WarmPlace } from './homeTypes.js';
+import type { HomeAction, HomeMessage, WarmRunnerEntry } from './homeTypes.js';
 
 /** Options of a {@link HomeTaskDirectory}. */
 export interface HomeTaskDirectoryOptions {
@@ -17,7 +17,7 @@
 
 /** Answers lookups synchronously, because the decisions never wait. */
 export class HomeTaskDirectory extends DecisionTask<HomeMessage, HomeAction> {
-  private readonly answers = new Map<string, readonly WarmPlace[]>();
+  private readonly answers = new Map<string, readonly WarmRunnerEntry[]>();
 
   private questions = 0;
 
@@ -35,7 +35,7 @@
    * @param chat - the chat's name.
    * @returns The runners with its prefix cached, those with the most cached tokens first.
    */
-  ask(service: string, chat: string): readonly WarmPlace[] {
+  findWarmRunners(service: string, chat: string): readonly WarmRunnerEntry[] {
     this.questions += 1;
     const question = String(this.questions);
     this.send({ kind: 'ask', question, service, chat });
--- a/src/homes/HomeTaskHealth.ts
+++ b/src/homes/HomeTaskHealth.ts
@@ -45,7 +45,7 @@
    *
    * @param daemonId - the home's name.
    */
-  succeeded(daemonId: string): void {
+  recordSuccess(daemonId: string): void {
     this.homes.delete(daemonId);
   }
 
@@ -56,7 +56,7 @@
    * @param daemonId - the home's name.
    * @returns Whether a pause begins with this failure.
    */
-  failed(now: number, daemonId: string): boolean {
+  recordFailure(now: number, daemonId: string): boolean {
     const health = this.homes.get(daemonId) ?? { failures: 0, pausedUntil: 0 };
     health.failures += 1;
     this.homes.set(daemonId, health);
--- a/src/homes/HomeTaskQueue.ts
+++ b/src/homes/HomeTaskQueue.ts
@@ -48,7 +48,7 @@
   }
 
   /** @returns The number of urgent changes. */
-  get urgent(): number {
+  get urgentCount(): number {
     return this.urgentChanges.size;
   }
 
@@ -86,7 +86,7 @@
    * @param limit - the largest number.
    * @returns The removed changes.
    */
-  takePatient(limit: number): HomeChange[] {
+  takeDeferred(limit: number): HomeChange[] {
     return this.takeDeferredWhere(() => true, limit);
   }
 
@@ -96,7 +96,7 @@
    * @param home - the name of a home that is sent a message now.
    * @returns The removed changes.
    */
-  takePatientOf(home: string): HomeChange[] {
+  takeDeferredFor(home: string): HomeChange[] {
     return this.takeDeferredWhere((waiting) => waiting.home === home);
   }
 
--- a/src/homes/LocalWarmth.ts
+++ b/src/homes/LocalWarmRunners.ts
@@ -3,7 +3,7 @@
  */
 
 /** A runner behind a gate of this daemon that has a chat's prefix cached. */
-export interface LocalWarmPlace {
+export interface LocalWarmRunner {
   readonly runnerId: string;
   readonly cachedTokens: number;
   /** Whether a request would start there at once; if not, the chat's home is asked for other warm runners. */
@@ -11,7 +11,7 @@
 }
 
 /** Looks up warm runners behind this daemon's own gates. */
-export abstract class LocalWarmth {
+export abstract class LocalWarmRunners {
   /**
    * Looks up a chat without a call.
    *
@@ -19,12 +19,12 @@
    * @param chat - the chat's name.
    * @returns The runners with a gate on this daemon that have the chat's prefix cached.
    */
-  abstract placesOf(service: string, chat: string): readonly LocalWarmPlace[];
+  abstract runnersFor(service: string, chat: string): readonly LocalWarmRunner[];
 }
 
 /** Finds no runners; used until the gates are built. */
-export class NoLocalWarmth extends LocalWarmth {
-  override placesOf(): readonly LocalWarmPlace[] {
+export class NoLocalWarmRunners extends LocalWarmRunners {
+  override runnersFor(): readonly LocalWarmRunner[] {
     return [];
   }
 }
--- a/src/homes/homeTypes.ts
+++ b/src/homes/homeTypes.ts
@@ -3,7 +3,7 @@
  */
 
 /** A runner that has a chat's prefix cached, as last reported to the chat's home. */
-export interface WarmPlace {
+export interface WarmRunnerEntry {
   readonly runnerId: string;
   readonly cachedTokens: number;
   /** Time since the report. */
@@ -36,5 +36,5 @@
   readonly kind: 'answer';
   readonly question: string;
   /** Those with the most cached tokens first. */
-  readonly warm: readonly WarmPlace[];
+  readonly warm: readonly WarmRunnerEntry[];
 }
--- a/src/homes/warmRunners.ts
+++ b/src/homes/warmRunners.ts
@@ -5,14 +5,18 @@
 
 import type { WarmRunner } from '../generated/baobabdock/v1/peers_pb.js';
 import { WarmRunnerSchema } from '../generated/baobabdock/v1/peers_pb.js';
-import type { WarmPlace } from './homeTypes.js';
-import type { LocalWarmPlace } from './LocalWarmth.js';
+import type { WarmRunnerEntry } from './homeTypes.js';
+import type { LocalWarmRunner } from './LocalWarmRunners.js';
 
 /**
  * @param place - an entry of a home's directory.
  * @returns The protobuf message.
  */
-export function warmRunnerOf({ runnerId, cachedTokens, ageMilliseconds }: WarmPlace): WarmRunner {
+export function toWarmRunner({
+  runnerId,
+  cachedTokens,
+  ageMilliseconds,
+}: WarmRunnerEntry): WarmRunner {
   return create(WarmRunnerSchema, { runnerId, cachedTokens, ageMilliseconds });
 }
 
@@ -24,12 +28,12 @@
  * @param remote - the runners that the home returned.
  * @returns Each runner once, those with the most cached tokens first.
  */
-export function mergeWarm(
-  local: readonly LocalWarmPlace[],
+export function mergeWarmRunners(
+  local: readonly LocalWarmRunner[],
   remote: readonly WarmRunner[],
 ): WarmRunner[] {
   const own = local.map(({ runnerId, cachedTokens }) =>
-    warmRunnerOf({ runnerId, cachedTokens, ageMilliseconds: 0 }),
+    toWarmRunner({ runnerId, cachedTokens, ageMilliseconds: 0 }),
   );
   const others = remote.filter(({ runnerId }) => !own.some((one) => one.runnerId === runnerId));
   return [...own, ...others].sort((a, b) => b.cachedTokens - a.cachedTokens);
--- a/src/membership/GossipCalls.ts
+++ b/src/membership/GossipCalls.ts
@@ -5,13 +5,13 @@
 import type { MembershipTuning } from './membershipOptions.js';
 import type { Gossip, LocalNews, MemberRecord, MembershipAction } from './membershipTypes.js';
 import type { MemberTable } from './MemberTable.js';
-import type { ProbeBook, ProbeReason } from './ProbeBook.js';
+import type { PendingProbes, ProbeReason } from './PendingProbes.js';
 
 /** Options of {@link GossipCalls}. */
 export interface GossipCallsOptions {
   table: MemberTable;
   composer: GossipComposer;
-  probes: ProbeBook;
+  probes: PendingProbes;
   tuning: MembershipTuning;
 }
 
@@ -28,7 +28,7 @@
 
   private readonly composer: GossipComposer;
 
-  private readonly probes: ProbeBook;
+  private readonly probes: PendingProbes;
 
   private readonly tuning: MembershipTuning;
 
@@ -50,7 +50,7 @@
    * @param local - this daemon's own news.
    * @returns The call.
    */
-  address(now: number, unknown: UnknownDaemon, local: LocalNews): MembershipAction {
+  requestAllMembers(now: number, unknown: UnknownDaemon, local: LocalNews): MembershipAction {
     const gossip = this.composer.compose(now, {
       kind: 'full',
       partner: undefined,
@@ -70,7 +70,7 @@
    * @param records - records to include in any case.
    * @returns The call, or no action if the daemon is unknown or the call is skipped.
    */
-  member(
+  callMember(
     now: number,
     local: LocalNews,
     daemonId: string,
@@ -100,7 +100,7 @@
    * @param refused - whether its host refused the connection of the direct probe.
    * @returns One request for each helper.
    */
-  through(
+  requestIndirectProbes(
     helpers: readonly string[],
     { daemonId, peerAddress }: MemberRecord,
     refused: boolean,
--- a/src/membership/GossipComposer.ts
+++ b/src/membership/GossipComposer.ts
@@ -6,15 +6,15 @@
 import type { Gossip, GossipKind, LocalNews, MemberRecord } from './membershipTypes.js';
 import type { MemberTable } from './MemberTable.js';
 import { isPresent } from './MemberTable.js';
-import type { NewsBoard } from './NewsBoard.js';
-import type { PartnerChoice } from './PartnerChoice.js';
+import type { NewsCache } from './NewsCache.js';
+import type { PeerSelector } from './PeerSelector.js';
 
 /** Options of a {@link GossipComposer}. */
 export interface GossipComposerOptions {
   table: MemberTable;
-  newsCache: NewsBoard;
+  newsCache: NewsCache;
   dissemination: Dissemination;
-  selector: PartnerChoice;
+  selector: PeerSelector;
   tuning: MembershipTuning;
 }
 
@@ -33,11 +33,11 @@
 export class GossipComposer {
   private readonly table: MemberTable;
 
-  private readonly newsCache: NewsBoard;
+  private readonly newsCache: NewsCache;
 
   private readonly dissemination: Dissemination;
 
-  private readonly selector: PartnerChoice;
+  private readonly selector: PeerSelector;
 
   private readonly tuning: MembershipTuning;
 
@@ -82,7 +82,7 @@
   }
 
   /** @returns The records of all present members, for a daemon that joins. */
-  wholePicture(): MemberRecord[] {
+  presentRecords(): MemberRecord[] {
     return this.table.all().filter(isPresent);
   }
 
@@ -93,10 +93,10 @@
    * @param received - the records in the peer's message; equal ones are not sent back.
    * @returns This daemon's records in the buckets that differ: a random sample, if one message can't hold all.
    */
-  differences(hashes: readonly number[], received: readonly MemberRecord[]): MemberRecord[] {
+  differingRecords(hashes: readonly number[], received: readonly MemberRecord[]): MemberRecord[] {
     const buckets = this.table.picture.differingBuckets(hashes);
     const sent = new Map(received.map((record) => [record.daemonId, record]));
-    const differingRecords = this.table.inBuckets(buckets).filter((record) => {
+    const differingRecords = this.table.recordsInBuckets(buckets).filter((record) => {
       const theirs = sent.get(record.daemonId);
       return theirs?.incarnation !== record.incarnation || theirs.state !== record.state;
     });
@@ -124,7 +124,7 @@
     if (partner.dataCentre === dataCentre) {
       return { news: this.newsCache.youngestNews(now, newsPerMessage, daemonId), summaries };
     }
-    const ownSummary = this.newsCache.summarize(dataCentre, this.table.near());
+    const ownSummary = this.newsCache.summarize(dataCentre, this.table.dataCentreMembers());
     return { news: [], summaries: ownSummary ? [ownSummary, ...summaries] : summaries };
   }
 }
--- a/src/membership/GossipIntake.ts
+++ b/src/membership/GossipIntake.ts
@@ -4,22 +4,22 @@
 import type { Dissemination } from './Dissemination.js';
 import type { MembershipTuning } from './membershipOptions.js';
 import type { Gossip, LocalNews, MemberRecord, MembershipAction } from './membershipTypes.js';
-import type { MemberBook } from './MemberBook.js';
+import type { MemberTracker } from './MemberTracker.js';
 import type { MemberTable } from './MemberTable.js';
-import type { NewsBoard } from './NewsBoard.js';
-import { RevisionWatch } from './RevisionWatch.js';
+import type { NewsCache } from './NewsCache.js';
+import { RevisionDetector } from './RevisionDetector.js';
 
 /** Options of a {@link GossipIntake}. */
 export interface GossipIntakeOptions {
   table: MemberTable;
-  newsCache: NewsBoard;
-  tracker: MemberBook;
+  newsCache: NewsCache;
+  tracker: MemberTracker;
   dissemination: Dissemination;
   tuning: MembershipTuning;
 }
 
 /** The result of a message; `newer` are records of this daemon that the sender has in an older version. */
-export interface TakenGossip {
+export interface GossipResult {
   readonly actions: MembershipAction[];
   readonly newer: readonly MemberRecord[];
 }
@@ -28,15 +28,15 @@
 export class GossipIntake {
   private readonly table: MemberTable;
 
-  private readonly newsCache: NewsBoard;
+  private readonly newsCache: NewsCache;
 
-  private readonly tracker: MemberBook;
+  private readonly tracker: MemberTracker;
 
   private readonly dissemination: Dissemination;
 
   private readonly tuning: MembershipTuning;
 
-  private readonly revisions = new RevisionWatch();
+  private readonly revisions = new RevisionDetector();
 
   /**
    * @param options - the tables that are updated, and the size limits.
@@ -58,7 +58,7 @@
    * @param local - this daemon's own news.
    * @returns Actions, and records that the sender should get.
    */
-  take(now: number, from: string, gossip: Gossip, local: LocalNews): TakenGossip {
+  apply(now: number, from: string, gossip: Gossip, local: LocalNews): GossipResult {
     const actions: MembershipAction[] = [];
     const newer: MemberRecord[] = [];
     for (const received of gossip.members) {
@@ -82,7 +82,7 @@
 
   private applyRevisions(member: MemberRecord, gossip: Gossip): MembershipAction[] {
     if (member.dataCentre === this.table.self.dataCentre) return [];
-    if (!this.newsCache.hearRevisions(member.daemonId, gossip)) return [];
+    if (!this.newsCache.storeRevisions(member.daemonId, gossip)) return [];
     return [{ kind: 'member_changed', member, news: this.newsCache.newsOf(member.daemonId) }];
   }
 
@@ -93,12 +93,12 @@
       const member = this.table.get(entry.daemonId);
       const isOther = entry.daemonId !== self.daemonId;
       if (!isOther || member?.incarnation !== entry.incarnation) continue;
-      if (!this.newsCache.hear(now, entry)) continue;
+      if (!this.newsCache.storeNews(now, entry)) continue;
       actions.push({ kind: 'member_changed', member, news: this.newsCache.newsOf(entry.daemonId) });
     }
     for (const summary of summaries) {
       if (summary.dataCentre === self.dataCentre) continue;
-      if (this.newsCache.hearSummary(now, summary))
+      if (this.newsCache.storeSummary(now, summary))
         actions.push({ kind: 'summary_changed', summary });
     }
     return actions;
--- a/src/membership/RoundCalls.ts
+++ b/src/membership/GossipRounds.ts
@@ -5,16 +5,16 @@
 import type { GossipCalls } from './GossipCalls.js';
 import type { MembershipTuning } from './membershipOptions.js';
 import type { LocalNews, MembershipAction } from './membershipTypes.js';
-import type { MemberBook } from './MemberBook.js';
+import type { MemberTracker } from './MemberTracker.js';
 import type { MemberTable } from './MemberTable.js';
-import type { PartnerChoice } from './PartnerChoice.js';
+import type { PeerSelector } from './PeerSelector.js';
 
-/** Options of {@link RoundCalls}. */
-export interface RoundCallsOptions {
+/** Options of {@link GossipRounds}. */
+export interface GossipRoundsOptions {
   table: MemberTable;
-  tracker: MemberBook;
+  tracker: MemberTracker;
   calls: GossipCalls;
-  selector: PartnerChoice;
+  selector: PeerSelector;
   tuning: MembershipTuning;
 }
 
@@ -22,14 +22,14 @@
 const PUSHES_PER_ROUND = 4;
 
 /** Chooses the daemons to call; {@link GossipCalls} builds the messages. */
-export class RoundCalls {
+export class GossipRounds {
   private readonly table: MemberTable;
 
-  private readonly tracker: MemberBook;
+  private readonly tracker: MemberTracker;
 
   private readonly calls: GossipCalls;
 
-  private readonly selector: PartnerChoice;
+  private readonly selector: PeerSelector;
 
   private readonly tuning: MembershipTuning;
 
@@ -42,7 +42,7 @@
   /**
    * @param options - the tables, the peer selection and the intervals.
    */
-  constructor({ table, tracker, calls, selector, tuning }: RoundCallsOptions) {
+  constructor({ table, tracker, calls, selector, tuning }: GossipRoundsOptions) {
     this.table = table;
     this.tracker = tracker;
     this.calls = calls;
@@ -54,10 +54,10 @@
    * Stores the seeds and starts the interval of tries to reach dead daemons.
    *
    * @param now - monotonic milliseconds.
-   * @param seeds - addresses of some daemons.
+   * @param callSeeds - addresses of some daemons.
    */
-  start(now: number, seeds: readonly string[]): void {
-    this.seedAddresses = seeds.filter((address) => address !== this.table.self.peerAddress);
+  start(now: number, callSeeds: readonly string[]): void {
+    this.seedAddresses = callSeeds.filter((address) => address !== this.table.self.peerAddress);
     this.nextReviveAt = now + this.tuning.reviveIntervalMilliseconds;
   }
 
@@ -69,16 +69,16 @@
    * @param local - this daemon's own news.
    * @returns Calls.
    */
-  round(now: number, local: LocalNews): MembershipAction[] {
+  runRound(now: number, local: LocalNews): MembershipAction[] {
     const partners = new Set<string>();
-    const isPresent = (daemonId: string) => this.table.isOther(daemonId);
-    const probed = this.selector.next(isPresent, () => this.table.others());
+    const isPresent = (daemonId: string) => this.table.isPresentOther(daemonId);
+    const probed = this.selector.nextProbeTarget(isPresent, () => this.table.others());
     if (probed !== undefined) partners.add(probed);
-    const neighbour = this.selector.pick(this.table.nearOthers());
+    const neighbour = this.selector.pick(this.table.dataCentreOthers());
     if (neighbour !== undefined) partners.add(neighbour);
-    const rounds = [...partners].flatMap((id) => this.calls.member(now, local, id, 'round'));
+    const rounds = [...partners].flatMap((id) => this.calls.callMember(now, local, id, 'round'));
     const disputed = this.tracker.takeDisputed(this.tuning.disputesPerRound);
-    const disputes = disputed.flatMap((id) => this.calls.member(now, local, id, 'dispute'));
+    const disputes = disputed.flatMap((id) => this.calls.callMember(now, local, id, 'dispute'));
     return [...rounds, ...disputes, ...this.revive(now, local)];
   }
 
@@ -92,7 +92,7 @@
   seeds(now: number, local: LocalNews): MembershipAction[] {
     const chosen = this.selector.sample(this.seedAddresses, this.tuning.indirectProbes);
     return chosen.map((peerAddress) =>
-      this.calls.address(now, { daemonId: '', peerAddress }, local),
+      this.calls.requestAllMembers(now, { daemonId: '', peerAddress }, local),
     );
   }
 
@@ -103,9 +103,11 @@
    * @param local - this daemon's own news.
    * @returns Calls.
    */
-  tellSome(now: number, local: LocalNews): MembershipAction[] {
+  announceSelf(now: number, local: LocalNews): MembershipAction[] {
     const chosen = this.selector.sample(this.table.others(), this.tuning.urgentFanOut);
-    return chosen.flatMap((id) => this.calls.member(now, local, id, 'urgent', [this.table.self]));
+    return chosen.flatMap((id) =>
+      this.calls.callMember(now, local, id, 'urgent', [this.table.self]),
+    );
   }
 
   /**
@@ -118,8 +120,8 @@
   pushRevision(now: number, local: LocalNews): MembershipAction[] {
     if (now < this.nextPushAt) return [];
     this.nextPushAt = now + this.tuning.gossipIntervalMilliseconds / PUSHES_PER_ROUND;
-    const near = this.selector.sample(this.table.nearOthers(), this.tuning.revisionFanOut);
-    return near.flatMap((daemonId) => this.calls.member(now, local, daemonId, 'urgent'));
+    const near = this.selector.sample(this.table.dataCentreOthers(), this.tuning.revisionFanOut);
+    return near.flatMap((daemonId) => this.calls.callMember(now, local, daemonId, 'urgent'));
   }
 
   /**
@@ -131,9 +133,9 @@
     this.nextReviveAt = now + this.tuning.reviveIntervalMilliseconds;
     const actions: MembershipAction[] = [];
     const dead = this.selector.pick(this.table.dead());
-    if (dead !== undefined) actions.push(...this.calls.member(now, local, dead, 'revive'));
+    if (dead !== undefined) actions.push(...this.calls.callMember(now, local, dead, 'revive'));
     const [unknown] = this.tracker.unknownInstances();
-    if (unknown) actions.push(this.calls.address(now, unknown, local));
+    if (unknown) actions.push(this.calls.requestAllMembers(now, unknown, local));
     if (this.table.others().length === 0) actions.push(...this.seeds(now, local));
     return actions;
   }
--- a/src/membership/MemberTable.ts
+++ b/src/membership/MemberTable.ts
@@ -2,7 +2,7 @@
  * The records of all known daemons, with lists derived from them for choosing peers.
  */
 import type { MemberRecord } from './membershipTypes.js';
-import { bucketOf, Picture } from './Picture.js';
+import { bucketOf, MembershipDigest } from './MembershipDigest.js';
 
 /** Lists derived from the records; computed on demand and kept until a state or a data centre changes. */
 interface Lists {
@@ -23,7 +23,7 @@
 /** Holds the records by daemon name; this daemon's own record is always in it. */
 export class MemberTable {
   /** Hashes of the present members, for comparing tables between daemons. */
-  readonly picture = new Picture();
+  readonly picture = new MembershipDigest();
 
   private readonly records = new Map<string, MemberRecord>();
 
@@ -65,7 +65,7 @@
   set(record: MemberRecord): void {
     const before = this.records.get(record.daemonId);
     this.records.set(record.daemonId, record);
-    this.picture.replace(before, record);
+    this.picture.update(before, record);
     const isSame = before?.state === record.state && before.dataCentre === record.dataCentre;
     // Versions change often, and the lists do not depend on them.
     if (!isSame) this.lists = undefined;
@@ -79,7 +79,7 @@
   delete(daemonId: string): void {
     const before = this.records.get(daemonId);
     this.records.delete(daemonId);
-    this.picture.replace(before, undefined);
+    this.picture.update(before, undefined);
     this.lists = undefined;
   }
 
@@ -92,7 +92,7 @@
    * @param buckets - indexes of hash buckets.
    * @returns The records in these buckets, with those of dead daemons: they may be the ones that differ.
    */
-  inBuckets(buckets: ReadonlySet<number>): MemberRecord[] {
+  recordsInBuckets(buckets: ReadonlySet<number>): MemberRecord[] {
     return this.all().filter(({ daemonId }) => buckets.has(bucketOf(daemonId)));
   }
 
@@ -105,18 +105,18 @@
    * @param daemonId - a daemon's name.
    * @returns Whether this is the name of another daemon, and that one is present.
    */
-  isOther(daemonId: string): boolean {
+  isPresentOther(daemonId: string): boolean {
     const record = this.records.get(daemonId);
     return daemonId !== this.selfId && record !== undefined && isPresent(record);
   }
 
   /** @returns The present daemons of this data centre, this one included. */
-  near(): MemberRecord[] {
+  dataCentreMembers(): MemberRecord[] {
     return this.currentLists().near.map(({ daemonId }) => this.records.get(daemonId)!);
   }
 
   /** @returns The names of the other present daemons of this data centre. */
-  nearOthers(): readonly string[] {
+  dataCentreOthers(): readonly string[] {
     return this.currentLists().nearOthers;
   }
 
--- a/src/membership/MemberBook.ts
+++ b/src/membership/MemberTracker.ts
@@ -17,13 +17,13 @@
   NoteReason,
 } from './membershipTypes.js';
 import type { MemberTable } from './MemberTable.js';
-import type { NewsBoard } from './NewsBoard.js';
+import type { NewsCache } from './NewsCache.js';
 import { mergeRecord } from './recordMerge.js';
 
-/** Options of a {@link MemberBook}. */
-export interface MemberBookOptions {
+/** Options of a {@link MemberTracker}. */
+export interface MemberTrackerOptions {
   table: MemberTable;
-  newsCache: NewsBoard;
+  newsCache: NewsCache;
   dissemination: Dissemination;
   tuning: MembershipTuning;
 }
@@ -42,10 +42,10 @@
 };
 
 /** Tracks the states of all daemons but this one. */
-export class MemberBook {
+export class MemberTracker {
   private readonly table: MemberTable;
 
-  private readonly newsCache: NewsBoard;
+  private readonly newsCache: NewsCache;
 
   private readonly dissemination: Dissemination;
 
@@ -62,7 +62,7 @@
   /**
    * @param options - the tables that are updated, and the timeouts.
    */
-  constructor({ table, newsCache, dissemination, tuning }: MemberBookOptions) {
+  constructor({ table, newsCache, dissemination, tuning }: MemberTrackerOptions) {
     this.table = table;
     this.newsCache = newsCache;
     this.dissemination = dissemination;
@@ -115,7 +115,7 @@
    * @param refused - whether its host refused the connection, which shortens the suspicion timeout.
    * @returns Actions.
    */
-  doubt(now: number, daemonId: string, refused: boolean): MembershipAction[] {
+  suspect(now: number, daemonId: string, refused: boolean): MembershipAction[] {
     const known = this.table.get(daemonId);
     if (!known) return [];
     // Nothing is placed on a leaving daemon, so it can be declared dead without a suspicion timeout.
@@ -134,7 +134,7 @@
    * @param now - monotonic milliseconds.
    * @param instances - the platform's list.
    */
-  takePlatformList(now: number, instances: readonly ListedInstance[]): void {
+  updatePlatformList(now: number, instances: readonly ListedInstance[]): void {
     this.platformInstances = new Map(instances.map((instance) => [instance.daemonId, instance]));
     for (const { daemonId, state } of instances) {
       if (state === 'leaving') this.shortenSuspicion(now, daemonId);
@@ -155,7 +155,7 @@
    * @param now - monotonic milliseconds.
    * @returns Actions.
    */
-  passTime(now: number): MembershipAction[] {
+  runDueTimeouts(now: number): MembershipAction[] {
     const died = this.suspicionDeadlines.takeDue(now).flatMap((daemonId) => {
       const known = this.table.get(daemonId);
       if (!known) return [];
@@ -171,7 +171,7 @@
    *
    * @param milliseconds - length of the pause.
    */
-  postpone(milliseconds: number): void {
+  extendSuspicions(milliseconds: number): void {
     this.suspicionDeadlines.postpone(milliseconds);
   }
 
@@ -195,7 +195,7 @@
     const { daemonId, state } = record;
     this.table.set(record);
     const restarted = known !== undefined && known.incarnation !== record.incarnation;
-    if (restarted) this.newsCache.forget(daemonId);
+    if (restarted) this.newsCache.delete(daemonId);
     const changed = restarted || known?.state !== state;
     // A record with only a greater version is queued, too: otherwise a refutation would not reach the daemons
     // that suspect its sender.
@@ -228,7 +228,7 @@
 
   private forget(daemonId: string): MembershipAction {
     this.table.delete(daemonId);
-    this.newsCache.forget(daemonId);
+    this.newsCache.delete(daemonId);
     this.dissemination.remove(daemonId);
     this.disputed.delete(daemonId);
     return { kind: 'member_forgotten', daemonId };
--- a/src/membership/MembershipDecisions.faults.spec.ts
+++ b/src/membership/MembershipDecisions.faults.spec.ts
@@ -15,7 +15,7 @@
 function settledFleet(): TestFleet {
   const fleet = new TestFleet({ names: NAMES, tuning: TUNING });
   fleet.run(20 * SECOND);
-  expect(fleet.agrees).toEqual(true);
+  expect(fleet.hasConverged).toEqual(true);
   return fleet;
 }
 
@@ -64,7 +64,7 @@
     name: 'a link that is cut one way',
     inject: (fleet) => {
       // eslint-disable-next-line no-param-reassign -- the test fleet's link rule is set from outside
-      fleet.mayPass = (from, to) => from !== 'rosario-1' || to !== 'sofia-1';
+      fleet.canDeliver = (from, to) => from !== 'rosario-1' || to !== 'sofia-1';
       fleet.run(60 * SECOND);
     },
     stateAfterFault: 'alive',
@@ -76,10 +76,10 @@
     name: 'a cut between the regions',
     inject: (fleet) => {
       // eslint-disable-next-line no-param-reassign -- the test fleet's link rule is set from outside
-      fleet.mayPass = (from, to) => !isCutBetweenRegions(from, to);
+      fleet.canDeliver = (from, to) => !isCutBetweenRegions(from, to);
       fleet.run(60 * SECOND);
       // eslint-disable-next-line no-param-reassign -- the test fleet's link rule is set from outside
-      fleet.mayPass = () => true;
+      fleet.canDeliver = () => true;
     },
     stateAfterFault: 'dead',
     finalState: 'alive',
@@ -118,9 +118,9 @@
     // suspicion.
     name: 'a planned stop',
     inject: (fleet) => {
-      fleet.tell('sofia-1', { kind: 'leave' });
+      fleet.deliver('sofia-1', { kind: 'leave' });
       fleet.run(5 * SECOND);
-      fleet.tell('sofia-1', { kind: 'left' });
+      fleet.deliver('sofia-1', { kind: 'left' });
       fleet.run(SECOND);
       fleet.kill('sofia-1');
       fleet.run(5 * SECOND);
@@ -136,11 +136,11 @@
       const fleet = settledFleet();
       inject(fleet);
       const others = NAMES.filter((other) => other !== 'sofia-1');
-      expect(fleet.view('rosario-1')['sofia-1']).toEqual(stateAfterFault);
+      expect(fleet.statesSeenBy('rosario-1')['sofia-1']).toEqual(stateAfterFault);
       fleet.run(SETTLE_MILLISECONDS);
-      for (const other of others) expect(fleet.view(other)['sofia-1']).toEqual(finalState);
+      for (const other of others) expect(fleet.statesSeenBy(other)['sofia-1']).toEqual(finalState);
       for (const other of others) {
-        const unharmed = others.map((neighbour) => fleet.view(other)[neighbour]);
+        const unharmed = others.map((neighbour) => fleet.statesSeenBy(other)[neighbour]);
         expect(new Set(unharmed)).toEqual(new Set(['alive']));
       }
     });
--- a/src/membership/MembershipDecisions.spec.ts
+++ b/src/membership/MembershipDecisions.spec.ts
@@ -16,7 +16,7 @@
 function settledFleet(): TestFleet {
   const fleet = new TestFleet({ names: NAMES, tuning: TUNING });
   fleet.run(20 * SECOND);
-  expect(fleet.agrees).toEqual(true);
+  expect(fleet.hasConverged).toEqual(true);
   return fleet;
 }
 
@@ -38,12 +38,12 @@
     // dead; when the link returns, each side receives records that call its own half dead. A daemon that is
     // alive here must not become dead by such a record.
     const fleet = settledFleet();
-    fleet.mayPass = (from, to) => !isCutBetweenRegions(from, to);
+    fleet.canDeliver = (from, to) => !isCutBetweenRegions(from, to);
     fleet.run(60 * SECOND);
     for (const daemon of fleet.daemons.values()) daemon.actions.length = 0;
-    fleet.mayPass = () => true;
+    fleet.canDeliver = () => true;
     fleet.run(SETTLE_MILLISECONDS);
-    expect(fleet.agrees).toEqual(true);
+    expect(fleet.hasConverged).toEqual(true);
     expect(NAMES.flatMap((name) => observersOf(fleet, name, 'died'))).toEqual([]);
   });
 
@@ -78,7 +78,7 @@
     const fleet = settledFleet();
     fleet.pause('rosario-2', true);
     fleet.run(20 * SECOND);
-    fleet.mayPass = (from, to) => from !== 'rosario-2' && to !== 'rosario-2';
+    fleet.canDeliver = (from, to) => from !== 'rosario-2' && to !== 'rosario-2';
     fleet.pause('rosario-2', false);
     fleet.run(10 * SECOND);
     expect(fleet.actionsOf('rosario-2', 'resumed')).toEqual([
@@ -94,7 +94,7 @@
       runnersRevision: 0,
       pools: [],
     };
-    fleet.tell('sofia-1', { kind: 'local_news', news });
+    fleet.deliver('sofia-1', { kind: 'local_news', news });
     fleet.run(10 * SECOND);
     for (const name of NAMES.filter((other) => other !== 'sofia-1')) {
       const reports = fleet.actionsOf(name, 'newer_revision');
@@ -117,7 +117,7 @@
     fleet.run(10 * SECOND);
     fleet.start('sofia-1', 0);
     fleet.run(SETTLE_MILLISECONDS);
-    expect(fleet.agrees).toEqual(true);
+    expect(fleet.hasConverged).toEqual(true);
     expect(fleet.actionsOf('sofia-1', 'incarnation_raised')).toEqual([
       { kind: 'incarnation_raised', incarnation: 2 },
     ]);
@@ -133,11 +133,11 @@
     const tuning = { ...TUNING, recordsPerMessage: 2, recordsPerComparison: 3, newsPerMessage: 2 };
     const fleet = new TestFleet({ names, tuning });
     fleet.run(60 * SECOND);
-    fleet.mayPass = (from, to) => !isCutBetweenRegions(from, to);
+    fleet.canDeliver = (from, to) => !isCutBetweenRegions(from, to);
     fleet.run(60 * SECOND);
-    fleet.mayPass = () => true;
+    fleet.canDeliver = () => true;
     fleet.run(2 * SETTLE_MILLISECONDS);
-    expect(fleet.agrees).toEqual(true);
+    expect(fleet.hasConverged).toEqual(true);
     const calls = names.flatMap((name) => fleet.actionsOf(name, 'gossip'));
     const answers = names.flatMap((name) => fleet.actionsOf(name, 'answer'));
     const largest = (numbers: number[]) => Math.max(...numbers);
@@ -181,8 +181,8 @@
         };
         const incarnations = new Map(NAMES.map((name) => [name, 1]));
         for (const { kind, who, milliseconds } of faults) {
-          if (kind === 'cut') fleet.mayPass = (from, to) => !isCutBetweenRegions(from, to);
-          if (kind === 'isolate') fleet.mayPass = (from, to) => from !== who && to !== who;
+          if (kind === 'cut') fleet.canDeliver = (from, to) => !isCutBetweenRegions(from, to);
+          if (kind === 'isolate') fleet.canDeliver = (from, to) => from !== who && to !== who;
           if (kind === 'pause') fleet.pause(who, true);
           if (kind === 'restart') {
             incarnations.set(who, incarnations.get(who)! + 1);
@@ -191,12 +191,12 @@
           fleet.run(milliseconds);
           checkOrder();
           fleet.pause(who, false);
-          fleet.mayPass = () => true;
+          fleet.canDeliver = () => true;
         }
         fleet.loss = 0;
         fleet.run(2 * SETTLE_MILLISECONDS);
         checkOrder();
-        expect(fleet.agrees).toEqual(true);
+        expect(fleet.hasConverged).toEqual(true);
       }),
       { numRuns: 40, seed: 5 },
     );
--- a/src/membership/MembershipDecisions.ts
+++ b/src/membership/MembershipDecisions.ts
@@ -23,13 +23,13 @@
   MembershipMessage,
   SelfState,
 } from './membershipTypes.js';
-import { MemberBook } from './MemberBook.js';
+import { MemberTracker } from './MemberTracker.js';
 import { MemberTable } from './MemberTable.js';
-import { NewsBoard } from './NewsBoard.js';
-import { PartnerChoice } from './PartnerChoice.js';
-import { ProbeBook } from './ProbeBook.js';
-import { RoundCalls } from './RoundCalls.js';
-import { SelfPart } from './SelfPart.js';
+import { NewsCache } from './NewsCache.js';
+import { PeerSelector } from './PeerSelector.js';
+import { PendingProbes } from './PendingProbes.js';
+import { GossipRounds } from './GossipRounds.js';
+import { SelfMembership } from './SelfMembership.js';
 
 /** Options of {@link MembershipDecisions}. */
 export interface MembershipDecisionsOptions {
@@ -55,11 +55,11 @@
 
   private readonly table: MemberTable;
 
-  private readonly newsCache = new NewsBoard();
+  private readonly newsCache = new NewsCache();
 
   private readonly dissemination = new Dissemination();
 
-  private readonly selector: PartnerChoice;
+  private readonly selector: PeerSelector;
 
   private readonly composer: GossipComposer;
 
@@ -67,13 +67,13 @@
 
   private readonly intake: GossipIntake;
 
-  private readonly rounds: RoundCalls;
+  private readonly rounds: GossipRounds;
 
-  private readonly tracker: MemberBook;
+  private readonly tracker: MemberTracker;
 
-  private readonly probes = new ProbeBook();
+  private readonly probes = new PendingProbes();
 
-  private readonly selfMembership: SelfPart;
+  private readonly selfMembership: SelfMembership;
 
   private localNews: LocalNews = NO_NEWS;
 
@@ -91,19 +91,24 @@
     super();
     this.tuning = { ...DEFAULT_MEMBERSHIP_TUNING, ...tuning };
     this.table = new MemberTable(self);
-    this.selector = new PartnerChoice({ seed });
+    this.selector = new PeerSelector({ seed });
     const { table, newsCache, dissemination, selector, probes } = this;
     const shared = { table, newsCache, dissemination, tuning: this.tuning };
     this.composer = new GossipComposer({ ...shared, selector });
     this.calls = new GossipCalls({ table, composer: this.composer, probes, tuning: this.tuning });
-    this.tracker = new MemberBook(shared);
-    this.rounds = new RoundCalls({ ...shared, selector, tracker: this.tracker, calls: this.calls });
+    this.tracker = new MemberTracker(shared);
+    this.rounds = new GossipRounds({
+      ...shared,
+      selector,
+      tracker: this.tracker,
+      calls: this.calls,
+    });
     this.intake = new GossipIntake({ ...shared, tracker: this.tracker });
-    this.selfMembership = new SelfPart({ tuning: this.tuning });
+    this.selfMembership = new SelfMembership({ tuning: this.tuning });
   }
 
   override decide(now: number, message: MembershipMessage): readonly MembershipAction[] {
-    const away = this.selfMembership.noticeAbsence(now);
+    const away = this.selfMembership.detectPause(now);
     const steppedBack = away === undefined ? [] : this.stepBack(now, away);
     return [...steppedBack, ...this.handle(now, message)];
   }
@@ -152,7 +157,7 @@
       })
       .with({ kind: 'local_news' }, ({ news }) => this.updateLocalNews(now, news))
       .with({ kind: 'platform_list' }, ({ instances }) => {
-        this.tracker.takePlatformList(now, instances);
+        this.tracker.updatePlatformList(now, instances);
         return [];
       })
       .with({ kind: 'was_away' }, ({ milliseconds }) => this.stepBack(now, milliseconds))
@@ -173,22 +178,22 @@
   private tick(now: number): Actions {
     const actions = [
       ...this.selfMembership.giveUpWhenDue(now, this.table.size),
-      ...this.tracker.passTime(now),
+      ...this.tracker.runDueTimeouts(now),
     ];
     if (this.nextRoundAt === undefined || now < this.nextRoundAt) return actions;
     this.nextRoundAt = now + this.tuning.gossipIntervalMilliseconds;
     this.refreshOwnNews(now);
     if (this.selfMembership.state === 'joining')
       actions.push(...this.rounds.seeds(now, this.localNews));
-    return [...actions, ...this.rounds.round(now, this.localNews)];
+    return [...actions, ...this.rounds.runRound(now, this.localNews)];
   }
 
   private answerGossip(now: number, exchange: number, from: string, gossip: Gossip): Actions {
-    const { actions, newer } = this.intake.take(now, from, gossip, this.localNews);
+    const { actions, newer } = this.intake.apply(now, from, gossip, this.localNews);
     const records = [...newer];
-    if (gossip.kind === 'full') records.push(...this.composer.wholePicture());
+    if (gossip.kind === 'full') records.push(...this.composer.presentRecords());
     if (gossip.kind === 'compare') {
-      records.push(...this.composer.differences(gossip.bucketHashes, gossip.members));
+      records.push(...this.composer.differingRecords(gossip.bucketHashes, gossip.members));
     }
     const partner = this.table.get(from);
     // A comparison with an unknown caller fetches its own record and others that are missing here.
@@ -205,14 +210,17 @@
   private handleAnswer(now: number, probe: number, from: string, gossip: Gossip): Actions {
     const closed = this.probes.close(probe);
     if (!closed) return [];
-    const { actions, newer } = this.intake.take(now, from, gossip, this.localNews);
-    actions.push(...this.selfMembership.heardFrom(from, this.table.size));
+    const { actions, newer } = this.intake.apply(now, from, gossip, this.localNews);
+    actions.push(...this.selfMembership.recordAnswer(from, this.table.size));
     const records = [...newer];
     if (gossip.kind === 'compare') {
-      records.push(...this.composer.differences(gossip.bucketHashes, gossip.members));
+      records.push(...this.composer.differingRecords(gossip.bucketHashes, gossip.members));
     }
     if (records.length > 0)
-      return [...actions, ...this.calls.member(now, this.localNews, from, 'comparison', records)];
+      return [
+        ...actions,
+        ...this.calls.callMember(now, this.localNews, from, 'comparison', records),
+      ];
     return [...actions, ...this.compareAfterMismatches(now, from, gossip)];
   }
 
@@ -226,7 +234,7 @@
     this.hashMismatches += 1;
     if (this.hashMismatches < this.tuning.differencesBeforeComparison) return [];
     this.hashMismatches = 0;
-    return this.calls.member(now, this.localNews, from, 'comparison');
+    return this.calls.callMember(now, this.localNews, from, 'comparison');
   }
 
   private handleProbeFailure(now: number, probe: number, refused: boolean): Actions {
@@ -239,12 +247,12 @@
       this.tuning.indirectProbes,
     );
     if (helpers.length === 0) return this.suspectMember(now, closed.daemonId, refused);
-    return this.calls.through(helpers, target, refused);
+    return this.calls.requestIndirectProbes(helpers, target, refused);
   }
 
   private suspectMember(now: number, daemonId: string, refused: boolean): Actions {
     if (!this.selfMembership.maySuspect) return [];
-    return this.tracker.doubt(now, daemonId, refused);
+    return this.tracker.suspect(now, daemonId, refused);
   }
 
   private updateLocalNews(now: number, news: LocalNews): Actions {
@@ -264,31 +272,31 @@
     this.newsVersion += 1;
     const { daemonId, incarnation } = this.table.self;
     const identity = { daemonId, incarnation, version: this.newsVersion, ageMilliseconds: 0 };
-    this.newsCache.hear(now, { ...identity, ...this.localNews });
+    this.newsCache.storeNews(now, { ...identity, ...this.localNews });
   }
 
   private stepBack(now: number, milliseconds: number): Actions {
     const actions = this.selfMembership.stepBack(now, milliseconds);
     if (actions.length === 0) return [];
     this.probes.clear();
-    this.tracker.postpone(milliseconds);
+    this.tracker.extendSuspicions(milliseconds);
     // Peers are called at once, so that the daemon resumes soon if they answer.
-    return [...actions, ...this.rounds.tellSome(now, this.localNews)];
+    return [...actions, ...this.rounds.announceSelf(now, this.localNews)];
   }
 
   private leave(now: number): Actions {
-    return this.selfMembership.take('leave') ? this.announceState(now, 'leaving') : [];
+    return this.selfMembership.applyEvent('leave') ? this.announceState(now, 'leaving') : [];
   }
 
   private finishLeaving(now: number): Actions {
-    return this.selfMembership.take('left') ? this.announceState(now, 'left') : [];
+    return this.selfMembership.applyEvent('left') ? this.announceState(now, 'left') : [];
   }
 
   private announceState(now: number, state: 'leaving' | 'left'): Actions {
     const { self } = this.table;
     this.table.set({ ...self, state, version: self.version + 1 });
     this.dissemination.add(self.daemonId);
-    return [this.selfChangedAction(), ...this.rounds.tellSome(now, this.localNews)];
+    return [this.selfChangedAction(), ...this.rounds.announceSelf(now, this.localNews)];
   }
 
   private selfChangedAction(): MembershipAction {
--- a/src/membership/Picture.ts
+++ b/src/membership/MembershipDigest.ts
@@ -31,7 +31,7 @@
 }
 
 /** The exclusive or of the members' hashes, by bucket, so that the order of changes does not matter. */
-export class Picture {
+export class MembershipDigest {
   private readonly buckets = new Array<number>(BUCKETS).fill(0);
 
   /**
@@ -41,7 +41,7 @@
    * @param after - the new record, if there is one.
    * @returns Whether a hash changed.
    */
-  replace(before: MemberRecord | undefined, after: MemberRecord | undefined): boolean {
+  update(before: MemberRecord | undefined, after: MemberRecord | undefined): boolean {
     const record = after ?? before;
     if (!record) return false;
     const change = (before ? hashOf(before) : 0) ^ (after ? hashOf(after) : 0);
--- a/src/membership/MembershipTask.ts
+++ b/src/membership/MembershipTask.ts
@@ -18,7 +18,7 @@
 import { wasRefused } from '../peers/PeerNotReachedError.js';
 import type { PeerHandlers } from '../peers/PeerServer.js';
 import type { Clock } from '../time/Clock.js';
-import { ClockWatch } from './ClockWatch.js';
+import { SuspendDetector } from './SuspendDetector.js';
 import {
   fromGossipMessage,
   toGossipMessage,
@@ -93,7 +93,7 @@
 
   private probesForOthers = 0;
 
-  private readonly clockWatch: ClockWatch;
+  private readonly clockWatch: SuspendDetector;
 
   /**
    * @param options - the decisions, and the parts that their actions use.
@@ -113,7 +113,7 @@
     this.fleet = fleet;
     this.log = log;
     this.listener = listener;
-    this.clockWatch = new ClockWatch({
+    this.clockWatch = new SuspendDetector({
       clock,
       thresholdMilliseconds: awayThresholdMilliseconds,
       onJump: (milliseconds) => this.send({ kind: 'was_away', milliseconds }),
@@ -144,7 +144,7 @@
    *
    * @param instances - the complete list.
    */
-  takePlatformList(instances: readonly ListedInstance[]): void {
+  updatePlatformList(instances: readonly ListedInstance[]): void {
     this.send({ kind: 'platform_list', instances });
   }
 
--- a/src/membership/NewsBoard.ts
+++ b/src/membership/NewsCache.ts
@@ -42,7 +42,7 @@
 }
 
 /** Keeps the latest news by daemon and the latest summary by data centre. */
-export class NewsBoard {
+export class NewsCache {
   private readonly news = new Map<string, Dated<MemberNews>>();
 
   /**
@@ -67,7 +67,7 @@
    * @param revisions - the revisions that it has in force.
    * @returns Whether they differ from the known ones.
    */
-  hearRevisions(
+  storeRevisions(
     daemonId: string,
     { configurationRevision, runnersRevision }: Pick<LocalNews, RevisionField>,
   ): boolean {
@@ -88,7 +88,7 @@
    * @param news - the news.
    * @returns Whether they were stored.
    */
-  hear(now: number, news: MemberNews): boolean {
+  storeNews(now: number, news: MemberNews): boolean {
     const known = this.news.get(news.daemonId)?.news;
     const isOlder =
       known !== undefined &&
@@ -106,7 +106,7 @@
    * @param summary - the summary.
    * @returns Whether it was stored.
    */
-  hearSummary(now: number, summary: Summary): boolean {
+  storeSummary(now: number, summary: Summary): boolean {
     const measuredAt = now - summary.ageMilliseconds;
     const known = this.summaries.get(summary.dataCentre);
     if (known && measuredAt < known.measuredAt + YOUNGER_BY_MILLISECONDS) return false;
@@ -119,7 +119,7 @@
    *
    * @param daemonId - the daemon's name.
    */
-  forget(daemonId: string): void {
+  delete(daemonId: string): void {
     this.news.delete(daemonId);
     this.remoteRevisions.delete(daemonId);
   }
--- a/src/membership/PartnerChoice.ts
+++ b/src/membership/PeerSelector.ts
@@ -7,14 +7,14 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 
-/** Options of a {@link PartnerChoice}. */
-export interface PartnerChoiceOptions {
+/** Options of a {@link PeerSelector}. */
+export interface PeerSelectorOptions {
   /** Different for each daemon, or all of them would probe the same targets in step. */
   seed: number;
 }
 
 /** Chooses daemon names from a seeded random generator. */
-export class PartnerChoice {
+export class PeerSelector {
   private readonly generator: RandomGenerator;
 
   private remaining: string[] = [];
@@ -22,7 +22,7 @@
   /**
    * @param options - the seed.
    */
-  constructor({ seed }: PartnerChoiceOptions) {
+  constructor({ seed }: PeerSelectorOptions) {
     this.generator = xoroshiro128plus(seed);
   }
 
@@ -59,7 +59,7 @@
    * @param candidates - gives the names for a new pass.
    * @returns The next name, or `undefined` if there are no candidates.
    */
-  next(
+  nextProbeTarget(
     isPresent: (daemonId: string) => boolean,
     candidates: () => readonly string[],
   ): string | undefined {
--- a/src/membership/ProbeBook.ts
+++ b/src/membership/PendingProbes.ts
@@ -25,7 +25,7 @@
 const WAITING: IndirectOutcome = { kind: 'waiting' };
 
 /** Numbers probes and matches results to them. A result for an unknown number is late and is ignored. */
-export class ProbeBook {
+export class PendingProbes {
   private readonly direct = new Map<number, DirectProbe>();
 
   private readonly indirect = new Map<number, IndirectProbe>();
--- a/src/membership/RevisionWatch.ts
+++ b/src/membership/RevisionDetector.ts
@@ -23,7 +23,7 @@
 /**
  * Reports each newer revision with a daemon that has it, and repeats the report while the revision is missing.
  */
-export class RevisionWatch {
+export class RevisionDetector {
   private readonly announced = new Map<WatchedDocument, Announcement>();
 
   /**
--- a/src/membership/SelfPart.ts
+++ b/src/membership/SelfMembership.ts
@@ -11,13 +11,13 @@
 
 const selfChart = new ChartInterpreter<SelfState, SelfEvent>({ chart });
 
-/** Options of a {@link SelfPart}. */
-export interface SelfPartOptions {
+/** Options of a {@link SelfMembership}. */
+export interface SelfMembershipOptions {
   tuning: MembershipTuning;
 }
 
 /** Runs the state machine of selfMembership.chart.json. */
-export class SelfPart {
+export class SelfMembership {
   private readonly tuning: MembershipTuning;
 
   private currentState: SelfState = selfChart.initial();
@@ -32,7 +32,7 @@
   /**
    * @param options - the tuning.
    */
-  constructor({ tuning }: SelfPartOptions) {
+  constructor({ tuning }: SelfMembershipOptions) {
     this.tuning = tuning;
   }
 
@@ -69,7 +69,7 @@
    * @param now - monotonic milliseconds.
    * @returns Length of the pause in ms, or `undefined` if there was none.
    */
-  noticeAbsence(now: number): number | undefined {
+  detectPause(now: number): number | undefined {
     const gap = this.lastDecisionAt === undefined ? 0 : now - this.lastDecisionAt;
     this.lastDecisionAt = now;
     return gap > this.tuning.awayThresholdMilliseconds ? gap : undefined;
@@ -83,7 +83,7 @@
    * @returns Actions.
    */
   stepBack(now: number, awayMilliseconds: number): MembershipAction[] {
-    if (!this.take('woke')) return [];
+    if (!this.applyEvent('woke')) return [];
     this.answeredPeers.clear();
     this.giveUpAt = now + this.tuning.giveUpAfterMilliseconds;
     return [{ kind: 'stepped_back', awayMilliseconds: Math.round(awayMilliseconds) }];
@@ -96,13 +96,13 @@
    * @param members - number of present daemons, this one included.
    * @returns Actions.
    */
-  heardFrom(daemonId: string, members: number): MembershipAction[] {
+  recordAnswer(daemonId: string, members: number): MembershipAction[] {
     if (this.currentState === 'joining') return this.join(members);
     if (this.currentState !== 'stepped_back') return [];
     this.answeredPeers.add(daemonId);
     if (this.answeredPeers.size < Math.min(CONTACTS_AFTER_ABSENCE, members - 1)) return [];
     this.giveUpAt = undefined;
-    this.take('reconnected');
+    this.applyEvent('reconnected');
     return [{ kind: 'resumed', reason: 'reconnected' }];
   }
 
@@ -118,7 +118,7 @@
     if (this.giveUpAt === undefined || now < this.giveUpAt) return [];
     this.giveUpAt = undefined;
     const before = this.currentState;
-    if (!this.take('gave_up')) return [];
+    if (!this.applyEvent('gave_up')) return [];
     if (before === 'joining') return [{ kind: 'joined', members }];
     return [{ kind: 'resumed', reason: 'gave_up' }];
   }
@@ -129,7 +129,7 @@
    * @param event - the event.
    * @returns Whether the current state accepts it.
    */
-  take(event: SelfEvent): boolean {
+  applyEvent(event: SelfEvent): boolean {
     const step = selfChart.next(this.currentState, event);
     this.currentState = step.state;
     return step.accepted;
@@ -137,7 +137,7 @@
 
   private join(members: number): MembershipAction[] {
     this.giveUpAt = undefined;
-    this.take('joined');
+    this.applyEvent('joined');
     return [{ kind: 'joined', members }];
   }
 }
--- a/src/membership/ClockWatch.spec.ts
+++ b/src/membership/SuspendDetector.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 
 import { Clock } from '../time/Clock.js';
-import { ClockWatch } from './ClockWatch.js';
+import { SuspendDetector } from './SuspendDetector.js';
 
 class SettableClock extends Clock {
   wall = 1_000_000;
@@ -19,14 +19,14 @@
   }
 }
 
-describe(ClockWatch.name, () => {
+describe(SuspendDetector.name, () => {
   it('reports a suspend, but neither small clock drift nor a wall clock set back', () => {
     // Guards against a daemon that keeps using its old gates after its machine was suspended overnight. The
     // monotonic clock stops during a suspend, too, so it shows no gap.
     const clock = new SettableClock();
     const jumps: number[] = [];
     const onJump = (milliseconds: number) => jumps.push(milliseconds);
-    const watch = new ClockWatch({ clock, thresholdMilliseconds: 4_000, onJump });
+    const watch = new SuspendDetector({ clock, thresholdMilliseconds: 4_000, onJump });
     watch.start();
     const advance = (wall: number, monotonic: number) => {
       clock.wall += wall;
--- a/src/membership/ClockWatch.ts
+++ b/src/membership/SuspendDetector.ts
@@ -7,8 +7,8 @@
  */
 import type { Clock } from '../time/Clock.js';
 
-/** Options of a {@link ClockWatch}. */
-export interface ClockWatchOptions {
+/** Options of a {@link SuspendDetector}. */
+export interface SuspendDetectorOptions {
   clock: Clock;
   /** A larger forward jump of the wall clock relative to the monotonic clock counts as a suspend. */
   thresholdMilliseconds: number;
@@ -20,7 +20,7 @@
 const CHECK_MILLISECONDS = 1_000;
 
 /** Compares the wall clock with the monotonic clock once a second and reports forward jumps. */
-export class ClockWatch {
+export class SuspendDetector {
   private readonly clock: Clock;
 
   private readonly thresholdMilliseconds: number;
@@ -34,7 +34,7 @@
   /**
    * @param options - the clock, the threshold and the callback.
    */
-  constructor({ clock, thresholdMilliseconds, onJump }: ClockWatchOptions) {
+  constructor({ clock, thresholdMilliseconds, onJump }: SuspendDetectorOptions) {
     this.clock = clock;
     this.thresholdMilliseconds = thresholdMilliseconds;
     this.onJump = onJump;
--- a/src/membership/testFleet.ts
+++ b/src/membership/testFleet.ts
@@ -76,7 +76,7 @@
   now = 0;
 
   /** The current state of the links. */
-  mayPass: LinkRule = () => true;
+  canDeliver: LinkRule = () => true;
 
   readonly daemons = new Map<string, TestDaemon>();
 
@@ -116,7 +116,7 @@
     const daemon = { decisions, record, paused: false, inbox: [], actions: [], steps: [] };
     this.daemons.set(name, daemon);
     const seeds = [...this.daemons.keys()].filter((other) => other !== name);
-    this.tell(name, { kind: 'start', seeds: seeds.slice(0, 3).map((other) => `${other}:7400`) });
+    this.deliver(name, { kind: 'start', seeds: seeds.slice(0, 3).map((other) => `${other}:7400`) });
   }
 
   /**
@@ -137,7 +137,7 @@
   pause(name: string, paused: boolean): void {
     const daemon = this.daemons.get(name)!;
     daemon.paused = paused;
-    if (!paused) for (const message of daemon.inbox.splice(0)) this.tell(name, message);
+    if (!paused) for (const message of daemon.inbox.splice(0)) this.deliver(name, message);
   }
 
   /**
@@ -154,7 +154,7 @@
       for (const { run } of due) run();
       for (const [name, { decisions, paused }] of this.daemons) {
         const wake = decisions.nextWake();
-        if (!paused && wake !== undefined && wake <= this.now) this.tell(name, { kind: 'tick' });
+        if (!paused && wake !== undefined && wake <= this.now) this.deliver(name, { kind: 'tick' });
       }
     }
   }
@@ -165,7 +165,7 @@
    * @param name - the daemon's name.
    * @param message - the message.
    */
-  tell(name: string, message: MembershipMessage): void {
+  deliver(name: string, message: MembershipMessage): void {
     const daemon = this.daemons.get(name);
     if (!daemon) return;
     if (daemon.paused) {
@@ -182,16 +182,16 @@
    * @param name - the daemon's name.
    * @returns The states that it has of all daemons it knows, by daemon name.
    */
-  view(name: string): Record<string, MemberState> {
+  statesSeenBy(name: string): Record<string, MemberState> {
     const members = this.daemons.get(name)!.decisions.members();
     return Object.fromEntries(members.map(({ daemonId, state }) => [daemonId, state]));
   }
 
   /** @returns Whether every running daemon has exactly the running ones as alive. */
-  get agrees(): boolean {
+  get hasConverged(): boolean {
     const running = [...this.daemons.keys()].sort().join();
     return [...this.daemons.keys()].every((name) => {
-      const view = Object.entries(this.view(name)).filter(([, state]) => state === 'alive');
+      const view = Object.entries(this.statesSeenBy(name)).filter(([, state]) => state === 'alive');
       return (
         view
           .map(([member]) => member)
@@ -222,7 +222,7 @@
     } else if (action.kind === 'gossip') {
       const { probe, peerAddress, gossip, timeoutMilliseconds } = action;
       this.call(from, peerAddress, gossip, timeoutMilliseconds, (end) =>
-        this.tell(
+        this.deliver(
           from,
           typeof end === 'boolean'
             ? { kind: 'gossip_failed', probe, refused: end }
@@ -238,7 +238,7 @@
     const { probe, through, peerAddress, timeoutMilliseconds } = action;
     let open = true;
     const report = (answered: boolean) => {
-      if (open) this.tell(from, { kind: 'probe_for_ended', probe, answered });
+      if (open) this.deliver(from, { kind: 'probe_for_ended', probe, answered });
       open = false;
     };
     this.schedule(2 * timeoutMilliseconds, () => report(false));
@@ -275,12 +275,12 @@
       this.exchanges.set(`${to} ${exchange}`, (answer) => {
         this.transmit(to, from, () => end({ from: to, gossip: answer }));
       });
-      this.tell(to, { kind: 'gossip_received', exchange, from, gossip });
+      this.deliver(to, { kind: 'gossip_received', exchange, from, gossip });
     });
   }
 
   private transmit(from: string, to: string, arrive: () => void): void {
-    if (!this.mayPass(from, to) || this.random() < this.loss) return;
+    if (!this.canDeliver(from, to) || this.random() < this.loss) return;
     this.schedule(STEP_MILLISECONDS, arrive);
   }
 
--- a/src/requests/RequestTask.ts
+++ b/src/requests/RequestTask.ts
@@ -156,7 +156,7 @@
     if (this.work.kind !== 'new') return;
     const { chat, service } = this.work.request;
     try {
-      this.warm = await this.ports.homes.ask(chat, service);
+      this.warm = await this.ports.homes.findWarmRunners(chat, service);
     } catch {
       // A home that cannot be asked costs cache reuse, never an answer.
       this.warm = [];
--- a/src/requests/testFakes.ts
+++ b/src/requests/testFakes.ts
@@ -26,11 +26,11 @@
     this.silent = true;
   }
 
-  override ask(): Promise<readonly WarmRunner[]> {
+  override findWarmRunners(): Promise<readonly WarmRunner[]> {
     return this.silent ? new Promise(() => {}) : Promise.resolve([]);
   }
 
-  override tell(): void {}
+  override reportChanges(): void {}
 }
 
 /** Chooses runner-1, runner-2 and so on, never one that was tried. */
--- a/src/routing/placementTypes.ts
+++ b/src/routing/placementTypes.ts
@@ -3,7 +3,7 @@
  * recorded, replayed and written to the log.
  */
 import type { RefusalReason, RunnerState } from '../gates/gateTypes.js';
-import type { WarmPlace } from '../homes/homeTypes.js';
+import type { WarmRunnerEntry } from '../homes/homeTypes.js';
 
 /** How far from its daemon a request may go if the nearest runners are busy. */
 export type Overflow = 'never' | 'region' | 'anywhere';
@@ -63,7 +63,7 @@
    */
   readonly candidates: readonly PlacementCandidate[];
   /** Runners that have cached the chat's prefix, as reported by the chat's home. */
-  readonly warm: readonly WarmPlace[];
+  readonly warm: readonly WarmRunnerEntry[];
   /** Mean load of a runner, in tokens. */
   readonly mean: number;
   /**
