--- a/src/requests/AttemptPhase.spec.ts
+++ b/src/requests/AttemptPhase.spec.ts
@@ -40,7 +40,7 @@
   ];
   for (const [reason, code, attempts] of refusals) {
     it(
-      `answers ${reason} with ${code} at the moment of the decision`,
+      `answers refusal ${reason} with ${code} immediately`,
       withHarness(async (harness) => {
         harness.gates.follow(...Array.from({ length: 9 }, () => refusing(reason)));
         const events = await harness.run(requestOf({ deadlineMilliseconds: 60_000 }));
@@ -54,9 +54,9 @@
     );
   }
 
-  // Symptom: a pool that fails gets several times its traffic, and cannot recover.
-  // Sequence: every attempt of every request is lost, for two accounts on one pool.
-  // Cause: each request retries on its own account, without regard to how many others do.
+  // Guards against retries that amplify a failure: a failing pool gets several times its traffic
+  // and can't recover. Here every attempt of every request is lost, for two accounts on one pool.
+  // It happens if each request retries regardless of the retries of other requests.
   it('sends no more than (1 + ratio) × requests + burst when everything fails', async () => {
     await fc.assert(
       fc.asyncProperty(
@@ -86,7 +86,7 @@
   });
 
   it(
-    'says "not run" no more once one attempt was lost',
+    'does not report "not run" after an attempt was lost',
     withHarness(
       async (harness) => {
         harness.gates.follow(LOST, refusing('runner_down'));
@@ -97,11 +97,11 @@
     ),
   );
 
-  // Symptom: an urgent answer waits for a frozen gate until its deadline.
-  // Sequence: the first gate takes the request and says nothing; a hedge goes elsewhere.
-  // Cause: silence is waited out. The loser is cancelled, and the hedge is paid for like a retry.
+  // Guards against an urgent request that waits for an unresponsive gate until its deadline. Here
+  // the first gate takes the request and sends no event, and a hedge goes to another runner. The
+  // attempt that loses is cancelled, and the hedge takes from the retry budget like a retry.
   it(
-    'hedges a silent attempt once, and cancels the loser',
+    'hedges an unresponsive attempt once, and cancels the attempt that loses',
     withHarness(
       async (harness) => {
         harness.gates.follow(FROZEN);
@@ -115,7 +115,7 @@
         expect(harness.time.clock.monotonicMilliseconds() < 300).toEqual(true);
         harness.gates.follow(FROZEN, FROZEN);
         const late = await harness.run(requestOf({ deadlineMilliseconds: 1_000 }));
-        // The one retry of the burst is spent, so nothing is hedged.
+        // The only retry of the burst is spent, so the request is not hedged.
         expect([endsOf(late), harness.gates.executed.length]).toEqual([['deadline_exceeded'], 3]);
       },
       { hedgeAfterMilliseconds: 200, retryRatio: 0, retryBurst: 1 },
@@ -123,7 +123,7 @@
   );
 
   it(
-    'passes the deadline on, shortened by what is spent and by the hop',
+    'passes on the deadline, reduced by the time spent and the hop reserve',
     withHarness(async (harness) => {
       harness.homes.freeze();
       harness.gates.follow(refusing('above_bound'));
@@ -134,7 +134,7 @@
   );
 
   it(
-    'ends at the deadline and cancels what is under way',
+    'ends at the deadline and cancels the open attempt',
     withHarness(async (harness) => {
       harness.gates.follow(FROZEN);
       const events = await harness.run(requestOf({ deadlineMilliseconds: 1_000 }));
@@ -143,11 +143,11 @@
     }),
   );
 
-  // Symptom: a cancelled request goes on burning its runner.
-  // Sequence: the caller cancels by request id, or its connection ends before the answer starts.
-  // Cause: only the owner forgets the request.
+  // Guards against a cancelled request that keeps its runner busy. Here the caller cancels by
+  // request id, or its connection ends before the answer starts. It happens if only the owner
+  // drops the request.
   it(
-    'carries a cancel to the gate, for the request’s own account only',
+    'passes a cancellation on to the gate, for the request’s own account only',
     withHarness(async (harness) => {
       const { owner, gates, time } = harness;
       gates.follow(FROZEN, FROZEN);
--- a/src/requests/AttemptPhase.ts
+++ b/src/requests/AttemptPhase.ts
@@ -1,5 +1,6 @@
 /**
- * The first phase of a request: finding a runner, and sending the request on again where that is allowed.
+ * The first phase of a request: chooses a runner, opens attempts at its gate, and retries or
+ * hedges where that is allowed.
  */
 import type { RefusalReason } from '../gates/gateTypes.js';
 import type { MessageOf, RequestContext } from './RequestContext.js';
@@ -8,11 +9,14 @@
 import { cancelledFailure, nobodyFailure, refusedFailure } from './requestFailures.js';
 import type { RetryBudget } from './RetryBudget.js';
 
-/** Refusals that speak of the request or its account, not of the runner: nobody else would say otherwise. */
-const FINAL_REFUSALS: ReadonlySet<RefusalReason> = new Set(['account_limit', 'cancelled']);
+/**
+ * Refusals that concern the request or its client account rather than the runner: every other
+ * gate would refuse it too, so the request is not retried.
+ */
+const NON_RETRYABLE_REFUSALS: ReadonlySet<RefusalReason> = new Set(['account_limit', 'cancelled']);
 
-/** A runner whose gate said nothing about its load. */
-function silent({ runnerId, lastChoice }: Reading, why: 'lost' | 'hedged'): TriedRunner {
+/** Describes a tried runner whose gate reported no load, because the attempt was lost or hedged. */
+function triedWithoutLoad({ runnerId, lastChoice }: Reading, why: 'lost' | 'hedged'): TriedRunner {
   return { runnerId, why, load: 0, mean: 0, retryAfterMilliseconds: 0, lastChoice };
 }
 
@@ -22,7 +26,10 @@
   budget: RetryBudget;
 }
 
-/** Chooses, attempts, retries and hedges. */
+/**
+ * Chooses runners for a request, opens attempts, and retries or hedges them within the retry
+ * budget.
+ */
 export class AttemptPhase {
   private readonly context: RequestContext;
 
@@ -30,71 +37,78 @@
 
   private readonly tried: TriedRunner[] = [];
 
-  private homeUntil: number | undefined;
+  private homeTimeoutAt: number | undefined;
 
-  /** What the next answer of the chooser is for; `undefined` when nothing was asked. */
-  private choosingFor: AttemptPurpose | undefined;
+  /**
+   * Purpose of the choice that was requested from the chooser; `undefined` when none is pending.
+   */
+  private pendingPurpose: AttemptPurpose | undefined;
 
   private hedged = false;
 
-  /** How the request ends if nobody else can be chosen. */
-  private failureSoFar: RequestFailure | undefined;
+  /** How the request ends if no other runner can be chosen: the failure of the last attempt. */
+  private failureOfLastAttempt: RequestFailure | undefined;
 
   /**
-   * @param options - the shared state and the daemon's retry budget.
+   * @param options - the state shared by the phases of the request, and the daemon's retry
+   *   budget.
    */
   constructor({ context, budget }: AttemptPhaseOptions) {
     this.context = context;
     this.budget = budget;
   }
 
-  /** Starts with the question to the home of the chat. */
+  /**
+   * Counts the request in the retry budget and asks the home of the chat which runners have its
+   * prefix cached.
+   */
   begin(): void {
     this.budget.recordRequest(this.context.facts.payer);
     this.context.advance('ask_home');
-    this.homeUntil = this.context.now + this.context.timings.homeTimeoutMilliseconds;
+    this.homeTimeoutAt = this.context.now + this.context.timings.homeTimeoutMilliseconds;
     this.context.act({ kind: 'ask_home' });
   }
 
-  /** The home answered, or is not waited for any longer. */
+  /** Chooses the first runner once the home of the chat has answered or its timeout has passed. */
   onHome(): void {
     if (!this.context.isIn('asking_home')) return;
-    this.homeUntil = undefined;
+    this.homeTimeoutAt = undefined;
     this.choose('first');
   }
 
   /**
-   * The chooser found a runner.
+   * Opens an attempt at the runner that the chooser selected.
    *
-   * @param chosen - its answer.
+   * @param chosen - the chooser's answer.
    */
   onChosen(chosen: MessageOf<'chosen'>): void {
-    const purpose = this.choosingFor;
+    const purpose = this.pendingPurpose;
     if (purpose === undefined) return;
-    this.choosingFor = undefined;
+    this.pendingPurpose = undefined;
     if (this.context.remainingForHop() <= 0) this.context.expire();
     else if (this.context.advance('attempt')) this.context.openAttempt(chosen, purpose);
   }
 
   /**
-   * The chooser found nobody.
+   * Ends the request when the chooser found no runner, unless only a hedge was to be placed.
    *
-   * @param nobody - its answer.
+   * @param nobody - the chooser's answer.
    */
   onNobody({ message, retryAfterMilliseconds }: MessageOf<'nobody'>): void {
-    const purpose = this.choosingFor;
-    this.choosingFor = undefined;
+    const purpose = this.pendingPurpose;
+    this.pendingPurpose = undefined;
     if (purpose === undefined || purpose === 'hedge') return;
     const knowledge = this.context.knowledge();
     this.context.fail(
-      this.failureSoFar ?? nobodyFailure(knowledge, message, retryAfterMilliseconds),
+      this.failureOfLastAttempt ?? nobodyFailure(knowledge, message, retryAfterMilliseconds),
     );
   }
 
   /**
-   * A gate refused an attempt: it did not run.
+   * Handles a gate's refusal of an attempt, which means that the attempt did not run: the request
+   * is placed elsewhere, retried or failed.
    *
-   * @param reading - the attempt's reading.
+   * @param reading - the reading of the attempt.
    * @param refused - the refusal.
    */
   onRefused(reading: Reading, refused: MessageOf<'refused'>): void {
@@ -107,76 +121,80 @@
     if (context.readings.size > 0) return;
     const failure = refusedFailure(context.knowledge(), reason, retryAfterMilliseconds);
     if (reason === 'cancelled') context.fail(cancelledFailure(context.knowledge()));
-    else if (FINAL_REFUSALS.has(reason)) context.fail(failure);
-    else if (reason === 'above_bound') this.placementStep(failure);
+    else if (NON_RETRYABLE_REFUSALS.has(reason)) context.fail(failure);
+    else if (reason === 'above_bound') this.placeElsewhere(failure);
     else this.retry(failure);
   }
 
   /**
-   * An attempt of an idempotent request was lost or failed before the caller saw anything.
+   * Retries an idempotent request whose attempt was lost or failed before the caller received any
+   * part of the answer.
    *
-   * @param reading - the attempt's reading.
-   * @param failure - how the request ends when it may not be sent on again.
+   * @param reading - the reading of the attempt.
+   * @param failure - how the request ends when it may not be retried.
    */
   onBroken(reading: Reading, failure: RequestFailure): void {
     this.context.cancelReading(reading);
-    this.tried.push(silent(reading, 'lost'));
+    this.tried.push(triedWithoutLoad(reading, 'lost'));
     if (this.context.readings.size > 0) return;
     this.retry(failure);
   }
 
   /**
-   * Sends the request on again, or ends it.
+   * Chooses another runner for the request, or ends it when its attempts, its time or the retry
+   * budget are used up.
    *
-   * @param failure - its last event if it may not be sent on again.
+   * @param failure - the last event of the request if it may not be retried.
    */
   retry(failure: RequestFailure): void {
     const { context } = this;
     if (context.attempts() >= context.timings.maximumAttempts) {
-      this.deny('attempts', failure);
+      this.denyRetry('attempts', failure);
     } else if (context.remainingForHop() <= 0) {
       context.expire();
     } else if (!this.budget.takeRetry(context.facts.payer)) {
-      this.deny('budget', failure);
+      this.denyRetry('budget', failure);
     } else {
-      this.failureSoFar = failure;
+      this.failureOfLastAttempt = failure;
       this.choose('retry');
     }
   }
 
-  /** Looks after the home's answer and the hedge. */
+  /** Ends the wait for the home and sends a hedge when either is due. */
   onTick(): void {
     const { now } = this.context;
-    if (this.homeUntil !== undefined && now >= this.homeUntil) this.onHome();
-    else if (now >= (this.hedgeTime() ?? Infinity)) this.hedge();
+    if (this.homeTimeoutAt !== undefined && now >= this.homeTimeoutAt) this.onHome();
+    else if (now >= (this.hedgeAt() ?? Infinity)) this.hedge();
   }
 
-  /** @returns When this phase has to be woken, in monotonic milliseconds. */
+  /** @returns When the next timer of this phase is due, in monotonic milliseconds. */
   nextWake(): number | undefined {
-    return this.homeUntil ?? this.hedgeTime();
+    return this.homeTimeoutAt ?? this.hedgeAt();
   }
 
   /**
-   * Not a retry and not paid for: it is how the bound places requests, it never reaches a runner, and only a
-   * few runners of a pool can be above a multiple of its mean. The chooser ends it by asking one to queue.
+   * Chooses another runner after a gate refused because its load is above the bound. This takes
+   * nothing from the retry budget: bounded-load placement relies on such refusals, the request
+   * never reaches a runner, and only a few runners of a pool can be above a multiple of its mean
+   * load. The chooser ends the sequence by asking a gate to queue the request.
    */
-  private placementStep(failure: RequestFailure): void {
+  private placeElsewhere(failure: RequestFailure): void {
     if (this.context.attempts() >= this.context.timings.maximumAttempts) {
-      this.deny('attempts', failure);
+      this.denyRetry('attempts', failure);
       return;
     }
-    this.failureSoFar = failure;
+    this.failureOfLastAttempt = failure;
     this.choose('placement');
   }
 
-  private deny(why: 'budget' | 'attempts', failure: RequestFailure): void {
+  private denyRetry(why: 'budget' | 'attempts', failure: RequestFailure): void {
     this.context.act({ kind: 'retry_denied', why });
     this.context.fail(failure);
   }
 
   private choose(purpose: AttemptPurpose): void {
     if (purpose !== 'hedge' && !this.context.advance('choose')) return;
-    this.choosingFor = purpose;
+    this.pendingPurpose = purpose;
     const deadlineMilliseconds = this.context.remainingForHop();
     this.context.act({ kind: 'choose', purpose, tried: [...this.tried], deadlineMilliseconds });
   }
@@ -186,14 +204,14 @@
     if (this.context.remainingForHop() <= 0) return;
     if (!this.budget.takeRetry(this.context.facts.payer)) return;
     const [reading] = this.context.readings.values();
-    if (reading) this.tried.push(silent(reading, 'hedged'));
+    if (reading) this.tried.push(triedWithoutLoad(reading, 'hedged'));
     this.choose('hedge');
   }
 
-  private hedgeTime(): number | undefined {
+  private hedgeAt(): number | undefined {
     const { hedgeAfterMilliseconds } = this.context.timings;
-    const wanted = hedgeAfterMilliseconds > 0 && this.context.facts.idempotent && !this.hedged;
-    if (!wanted || !this.context.isIn('attempting')) return undefined;
+    const mayHedge = hedgeAfterMilliseconds > 0 && this.context.facts.idempotent && !this.hedged;
+    if (!mayHedge || !this.context.isIn('attempting')) return undefined;
     const [reading] = this.context.readings.values();
     return reading && reading.openedAt + hedgeAfterMilliseconds;
   }
--- a/src/requests/BindingForwarder.ts
+++ b/src/requests/BindingForwarder.ts
@@ -1,8 +1,9 @@
 /**
- * Hands a bound request to the one daemon that may run it, and passes its answer on.
+ * Forwards a bound request to the one daemon that may run it, and relays its answer.
  *
- * Asking again is safe: the other daemon joins a repeat to its one run. What this side never does is run
- * the request itself, or say "not run" on its own account: a copy may have come by another way.
+ * Repeating the call is safe: the other daemon joins repeats to its single run. This side never
+ * runs the request itself, and never reports "not run" by its own judgement, because another copy
+ * of the request may have reached the daemon by another way.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -18,11 +19,14 @@
 import { RequestTask } from './RequestTask.js';
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 
-/** How often the binding's daemon is asked, and the pauses in between, in milliseconds. */
-const PAUSES_BETWEEN_TRIES = [50, 200, 500];
+/**
+ * Pauses before each repeated call to the binding's daemon, in milliseconds; their number is the
+ * number of repeats.
+ */
+const RETRY_PAUSES_MILLISECONDS = [50, 200, 500];
 
-/** States of a member that cannot answer any more. */
-const GONE: ReadonlySet<string> = new Set(['dead', 'left']);
+/** Member states in which a daemon cannot answer any more. */
+const DEPARTED_STATES: ReadonlySet<string> = new Set(['dead', 'left']);
 
 /** Options of a {@link BindingForwarder}. */
 export interface BindingForwarderOptions {
@@ -30,7 +34,7 @@
   peers: PeerLink;
 }
 
-/** Waits for a time, or until the caller has gone. */
+/** Waits for a time, or until the caller disconnects. */
 function pauseFor(milliseconds: number, signal: AbortSignal): Promise<void> {
   if (milliseconds === 0 || signal.aborted) return Promise.resolve();
   return new Promise((resolve) => {
@@ -45,14 +49,14 @@
   });
 }
 
-/** See the module's comment. */
+/** Relays bound requests to the daemon that issued their binding. */
 export class BindingForwarder {
   private readonly ports: RequestPorts;
 
   private readonly peers: PeerLink;
 
   /**
-   * @param options - the ports and the link to other daemons.
+   * @param options - the dependencies shared by all requests, and the link to other daemons.
    */
   constructor({ ports, peers }: BindingForwarderOptions) {
     this.ports = ports;
@@ -60,10 +64,13 @@
   }
 
   /**
+   * Runs a bound request at the daemon of its binding. If that daemon fails after the answer has
+   * started, reads the rest from the runner.
+   *
    * @param request - the request, with its binding.
-   * @param token - the binding, opened.
-   * @param signal - aborted when the caller has gone.
-   * @param cancellation - for cancelling the run.
+   * @param token - the verified binding.
+   * @param signal - aborted when the caller has disconnected.
+   * @param cancellation - receives the action that cancels the run.
    * @yields The answer as the binding's daemon gives it.
    */
   async *forward(
@@ -72,29 +79,38 @@
     signal: AbortSignal,
     cancellation: Cancellation,
   ): AsyncGenerator<CallerEvent, void> {
-    const until = this.ports.clock.monotonicMilliseconds() + request.deadlineMilliseconds;
+    const deadlineAt = this.ports.clock.monotonicMilliseconds() + request.deadlineMilliseconds;
     const answer = new ForwardedAnswer({ tokens: this.ports.tokens, request });
     cancellation.onCancel(() => this.cancel(answer));
-    let why = 'The daemon of the binding is gone.';
-    for (const pause of [0, ...PAUSES_BETWEEN_TRIES]) {
+    let failureReason = 'The daemon that issued the binding is not a member of the fleet any more.';
+    for (const pause of [0, ...RETRY_PAUSES_MILLISECONDS]) {
       await pauseFor(pause, signal);
       const member = this.memberOf(token);
-      const left = until - this.ports.clock.monotonicMilliseconds();
-      if (!member || left <= 0 || signal.aborted) break;
+      const remainingMilliseconds = deadlineAt - this.ports.clock.monotonicMilliseconds();
+      if (!member || remainingMilliseconds <= 0 || signal.aborted) break;
       try {
-        yield* this.ask(member, { ...request, deadlineMilliseconds: left }, answer, signal);
+        yield* this.runAtDaemon(
+          member,
+          { ...request, deadlineMilliseconds: remainingMilliseconds },
+          answer,
+          signal,
+        );
         if (answer.ended()) return;
-        why = 'The daemon of the binding ended its answer without saying how.';
+        failureReason =
+          'The daemon that issued the binding closed its answer without a final event.';
       } catch (error) {
-        // The error names addresses of the fleet, which are no business of callers.
-        why = 'The daemon of the binding did not answer.';
+        // The error contains addresses of the fleet, which callers must not see.
+        failureReason = 'The daemon that issued the binding did not answer.';
         this.logUnreachable(request, String(error));
       }
     }
-    yield* this.withoutDaemon(request, answer, until, why, signal);
+    yield* this.continueWithoutDaemon(request, answer, deadlineAt, failureReason, signal);
   }
 
-  /** The attempt is known from the first event on; before, the run can only be cancelled at its daemon. */
+  /**
+   * Cancels the attempt at its gate. The attempt is known only from the first event of the answer
+   * on; before that, only the binding's daemon can cancel the run.
+   */
   private cancel(answer: ForwardedAnswer): void {
     const attempt = answer.continuation(0);
     if (!attempt) return;
@@ -107,10 +123,10 @@
 
   private memberOf({ daemonId }: BindingToken): Member | undefined {
     const member = this.ports.fleet.members().find((other) => other.daemonId === daemonId);
-    return member && !GONE.has(member.state) ? member : undefined;
+    return member && !DEPARTED_STATES.has(member.state) ? member : undefined;
   }
 
-  private async *ask(
+  private async *runAtDaemon(
     { daemonId, peerAddress }: Member,
     request: CallerRequest,
     answer: ForwardedAnswer,
@@ -133,19 +149,22 @@
     }
   }
 
-  /** The stream of a started answer can be read on at its runner; nothing is run for that. */
-  private async *withoutDaemon(
+  /**
+   * Resumes a started answer at its runner, which runs nothing again. Without a started answer
+   * the outcome is unknown.
+   */
+  private async *continueWithoutDaemon(
     request: CallerRequest,
     answer: ForwardedAnswer,
-    until: number,
-    why: string,
+    deadlineAt: number,
+    failureReason: string,
     signal: AbortSignal,
   ): AsyncGenerator<CallerEvent, void> {
-    this.logUnreachable(request, why);
-    const deadlineMilliseconds = until - this.ports.clock.monotonicMilliseconds();
+    this.logUnreachable(request, failureReason);
+    const deadlineMilliseconds = deadlineAt - this.ports.clock.monotonicMilliseconds();
     const stream = answer.continuation(deadlineMilliseconds);
     if (!stream || signal.aborted) {
-      yield outcomeUnknown(why);
+      yield outcomeUnknown(failureReason);
       return;
     }
     const task = new RequestTask({ ports: this.ports, work: { kind: 'resumed', stream } });
--- a/src/requests/BindingLedger.spec.ts
+++ b/src/requests/BindingLedger.spec.ts
@@ -14,9 +14,9 @@
 }
 
 describe(BindingLedger.name, () => {
-  // Symptom: a handover is confirmed twice. Sequence: a flood of bindings, then a repeat of an old one.
-  // Cause: a full ledger makes room by forgetting a binding that is still good.
-  it('refuses new bindings rather than forget one, and lets no account fill it for others', () => {
+  // Guards against a request that runs twice because a full ledger makes room by removing a
+  // binding that is still valid. Here many bindings are used, then an early one is repeated.
+  it('refuses new bindings rather than remove one, and lets no account fill it for others', () => {
     const ledger = new BindingLedger<number>({ maximumBindings: 3, maximumBindingsPerAccount: 2 });
     const kindOf = (...call: Parameters<typeof use>) => ledger.use(0, use(...call), () => 1).kind;
     expect([kindOf('a'), kindOf('b'), kindOf('c')]).toEqual(['first', 'first', 'full']);
@@ -37,7 +37,7 @@
     expect(ledger.use(1, other, () => 2)).toEqual({ kind: 'other_request' });
   });
 
-  it('starts each binding at most once, whenever and however often it is used', () => {
+  it('starts a run at most once for each binding, whenever and however often it is used', () => {
     fc.assert(
       fc.property(
         fc.array(
@@ -68,10 +68,10 @@
     );
   });
 
-  // Symptom: a reservation is made twice after an operator set a clock right.
-  // Sequence: a binding runs, expires and is forgotten; the wall clock goes back; its caller repeats.
-  // Cause: expiry and forgetting go by different clocks, one of which can go back.
-  it('takes no forgotten binding when the wall clock goes back', () => {
+  // Guards against a reservation that is made twice after an operator corrected a clock. Here a
+  // binding is used and expires, the wall clock is set back, and the caller repeats the request.
+  // It happens if expiry and removal use different clocks, one of which can go back.
+  it('accepts no removed binding when the wall clock goes back', () => {
     let wall = 1_000_000;
     const clock = new ManualClock({ wallMilliseconds: wall });
     clock.wallMilliseconds = () => wall;
@@ -83,7 +83,7 @@
     wall -= 500_000;
     expect(ledger.use(calendar.now(), binding, () => 2).kind).toEqual('expired');
     expect([ledger.size(), calendar.mayHavePassed(binding.expiresAt)]).toEqual([0, true]);
-    // An instance that was suspended as a whole shows it in the wall clock alone.
+    // Only the wall clock shows that a whole instance was suspended.
     const later = calendar.now() + LIFETIME;
     expect(calendar.mayHavePassed(later)).toEqual(false);
     wall = later;
--- a/src/requests/BindingLedger.ts
+++ b/src/requests/BindingLedger.ts
@@ -1,40 +1,44 @@
 /**
- * Remembers which bindings were used, and by what, until they expire: a binding runs one request, once.
+ * Records which bindings were used, and for which request, until they expire, so that a binding
+ * runs one request once.
  *
- * One ledger belongs to one process life. It forgets an entry only at its binding's expiry, by the very
- * clock by which it takes bindings, so that no binding is ever both forgotten and still good. When it is
- * full it takes no new binding rather than forget one.
+ * A ledger belongs to one incarnation of the process. It removes an entry only when its binding
+ * expires, by the same clock that decides whether a binding is accepted. A binding that were
+ * removed while still valid could run its request a second time. For the same reason a full
+ * ledger accepts no new binding rather than remove one.
  */
 
-/** What ties a binding to its request. */
+/** A use of a binding: the binding and the request that it is used for. */
 export interface BindingUse {
   readonly bindingId: string;
   readonly clientAccount: string;
-  /** Digest of what is to run; the same binding with another request is a mistake of the caller. */
+  /**
+   * Digest of the request; using the binding with a different request is an error of the caller.
+   */
   readonly digest: string;
-  /** When the binding expires, on the ledger's clock. */
+  /** When the binding expires, in milliseconds on the ledger's clock. */
   readonly expiresAt: number;
 }
 
-/** What a use of a binding comes to. */
+/** Result of using a binding. */
 export type LedgerVerdict<Run> =
   /** The first use: the request runs now, and never again. */
   | { readonly kind: 'first'; readonly run: Run }
-  /** A repeat: the one run is under way, or has ended. */
+  /** A repeat: the single run is in progress or has ended. */
   | { readonly kind: 'repeat'; readonly run: Run }
   /** The binding was used for another request. */
   | { readonly kind: 'other_request' }
-  /** Nobody can know any more whether it was used. */
+  /** The binding has expired, so it is no longer known whether it was used. */
   | { readonly kind: 'expired' }
-  /** No room; the binding stays unused and good. */
+  /** The ledger is full; the binding remains unused and valid. */
   | { readonly kind: 'full'; readonly retryAfterMilliseconds: number };
 
 /** Options of a {@link BindingLedger}. */
 export interface BindingLedgerOptions<Run> {
   maximumBindings?: number;
-  /** So that one account cannot fill the ledger for all others. */
+  /** Limit for each client account, so that one account cannot fill the ledger for all others. */
   maximumBindingsPerAccount?: number;
-  /** Called when an entry is forgotten. */
+  /** Called with the run of an entry that is removed because its binding expired. */
   onForget?: (run: Run) => void;
 }
 
@@ -48,7 +52,10 @@
   readonly run: Run;
 }
 
-/** See the module's comment. Times are milliseconds of one clock that never goes back. */
+/**
+ * Holds the used bindings of this incarnation. All times are milliseconds of one clock that never
+ * goes back.
+ */
 export class BindingLedger<Run> {
   private readonly maximumBindings: number;
 
@@ -58,13 +65,13 @@
 
   private readonly entries = new Map<string, Entry<Run>>();
 
-  /** Entries in the order of their expiry, the soonest first. */
+  /** Entries ordered by expiry, earliest first. */
   private byExpiry: Entry<Run>[] = [];
 
   private readonly countByAccount = new Map<string, number>();
 
   /**
-   * @param options - the bounds.
+   * @param options - the limits, and what to call when an entry is removed.
    */
   constructor({
     maximumBindings = DEFAULT_MAXIMUM_BINDINGS,
@@ -77,77 +84,80 @@
   }
 
   /**
-   * Uses a binding.
+   * Uses a binding for a request.
    *
-   * @param now - the ledger's clock.
+   * @param now - the time on the ledger's clock, in milliseconds.
    * @param use - the binding and its request.
-   * @param start - called for the first use only; what it returns is the one run.
-   * @returns What the use comes to.
+   * @param start - starts the run; called for the first use only.
+   * @returns Whether this is the first use, a repeat or a refusal, with the run if there is one.
    */
   use(now: number, use: BindingUse, start: () => Run): LedgerVerdict<Run> {
-    this.forgetExpired(now);
+    this.removeExpired(now);
     if (now >= use.expiresAt) return { kind: 'expired' };
-    const known = this.entries.get(use.bindingId);
-    if (known) {
-      if (known.digest !== use.digest) return { kind: 'other_request' };
-      return { kind: 'repeat', run: known.run };
+    const existing = this.entries.get(use.bindingId);
+    if (existing) {
+      if (existing.digest !== use.digest) return { kind: 'other_request' };
+      return { kind: 'repeat', run: existing.run };
     }
-    if (!this.hasRoom(use.clientAccount)) return this.full(now, use.clientAccount);
+    if (!this.hasCapacityFor(use.clientAccount)) return this.fullResult(now, use.clientAccount);
     const entry = { ...use, run: start() };
-    this.remember(entry);
+    this.insert(entry);
     return { kind: 'first', run: entry.run };
   }
 
   /**
-   * @param now - the ledger's clock.
-   * @param clientAccount - an account.
+   * @param now - the time on the ledger's clock, in milliseconds.
+   * @param clientAccount - a client account.
    * @returns Whether a new binding of the account could be used now.
    */
   canTake(now: number, clientAccount: string): boolean {
-    this.forgetExpired(now);
-    return this.hasRoom(clientAccount);
+    this.removeExpired(now);
+    return this.hasCapacityFor(clientAccount);
   }
 
   /**
-   * @param now - the ledger's clock.
-   * @param clientAccount - an account without room.
-   * @returns Milliseconds until an entry in the way is forgotten.
+   * @param now - the time on the ledger's clock, in milliseconds.
+   * @param clientAccount - a client account that has no capacity left.
+   * @returns Milliseconds until the first entry that blocks the account expires.
    */
   retryAfter(now: number, clientAccount: string): number {
-    const own = this.countOf(clientAccount) >= this.maximumBindingsPerAccount;
-    const soonest = this.byExpiry.find((entry) => !own || entry.clientAccount === clientAccount);
-    return soonest ? Math.ceil(soonest.expiresAt - now) : 0;
+    const isAccountFull = this.countOf(clientAccount) >= this.maximumBindingsPerAccount;
+    const firstToExpire = this.byExpiry.find(
+      (entry) => !isAccountFull || entry.clientAccount === clientAccount,
+    );
+    return firstToExpire ? Math.ceil(firstToExpire.expiresAt - now) : 0;
   }
 
-  /** @returns Bindings remembered. */
+  /** @returns Number of bindings in the ledger. */
   size(): number {
     return this.entries.size;
   }
 
-  private full(now: number, clientAccount: string): LedgerVerdict<Run> {
+  private fullResult(now: number, clientAccount: string): LedgerVerdict<Run> {
     return { kind: 'full', retryAfterMilliseconds: this.retryAfter(now, clientAccount) };
   }
 
-  private hasRoom(clientAccount: string): boolean {
-    const roomInAll = this.entries.size < this.maximumBindings;
-    return roomInAll && this.countOf(clientAccount) < this.maximumBindingsPerAccount;
+  private hasCapacityFor(clientAccount: string): boolean {
+    const hasTotalCapacity = this.entries.size < this.maximumBindings;
+    return hasTotalCapacity && this.countOf(clientAccount) < this.maximumBindingsPerAccount;
   }
 
   private countOf(clientAccount: string): number {
     return this.countByAccount.get(clientAccount) ?? 0;
   }
 
-  private remember(entry: Entry<Run>): void {
+  private insert(entry: Entry<Run>): void {
     this.entries.set(entry.bindingId, entry);
     this.countByAccount.set(entry.clientAccount, this.countOf(entry.clientAccount) + 1);
-    // Bindings live equally long and are used soon after they are issued: nearly always at the end.
-    const place = this.byExpiry.findLastIndex((other) => other.expiresAt <= entry.expiresAt);
-    this.byExpiry.splice(place + 1, 0, entry);
+    // All bindings have the same lifetime and are used soon after they are issued, so the new
+    // entry nearly always belongs at the end.
+    const index = this.byExpiry.findLastIndex((other) => other.expiresAt <= entry.expiresAt);
+    this.byExpiry.splice(index + 1, 0, entry);
   }
 
-  private forgetExpired(now: number): void {
-    const kept = this.byExpiry.findIndex((entry) => entry.expiresAt > now);
-    const expired = this.byExpiry.splice(0, kept === -1 ? this.byExpiry.length : kept);
+  private removeExpired(now: number): void {
+    const firstKept = this.byExpiry.findIndex((entry) => entry.expiresAt > now);
+    const expired = this.byExpiry.splice(0, firstKept === -1 ? this.byExpiry.length : firstKept);
     for (const entry of expired) {
       this.entries.delete(entry.bindingId);
       const count = this.countOf(entry.clientAccount) - 1;
--- a/src/requests/BoundAnswer.spec.ts
+++ b/src/requests/BoundAnswer.spec.ts
@@ -22,7 +22,7 @@
 }
 
 describe(BoundAnswer.name, () => {
-  it('gives every reader the whole answer, whenever it comes', async () => {
+  it('gives every reader the full answer, whenever it starts to read', async () => {
     const answer = answerOf(10_000);
     const early = collect(answer.read());
     answer.append(chunk('one '));
@@ -34,9 +34,10 @@
     }
   });
 
-  // Symptom: one stuck reader holds up the run of a reservation, and all who wait for its outcome.
-  // Sequence: an answer too large to remember; one reader reads on, another does not; the run ends.
-  // Cause: the run waits for its slowest reader for ever.
+  // Guards against one reader that does not read and thereby holds up the run, and all others
+  // that wait for its outcome. Here the answer is too large to be kept, one reader reads and
+  // another does not, and the run ends. It happens if the run waits for its slowest reader
+  // without limit.
   it('waits for a slow reader only until the run has ended', async () => {
     const answer = answerOf(0);
     const stuck = answer.read();
@@ -59,7 +60,7 @@
     expect(endsOf(await collect(answer.read()))).toEqual(['cannot_resume']);
   });
 
-  it('shares one memory with the other answers, and gives it back', () => {
+  it('shares a memory budget with the other answers, and returns what it reserved', () => {
     const memory = new AnswerMemory(1_000);
     const [first, second] = [answerOf(10_000, memory), answerOf(10_000, memory)];
     first.append(chunk('x'.repeat(700)));
@@ -69,7 +70,7 @@
     expect(memory.take(1_000)).toEqual(true);
   });
 
-  it('tells the outcome of a failed run even when its answer is forgotten', async () => {
+  it('reports the outcome of a failed run even when its answer is not kept', async () => {
     const answer = answerOf(0);
     answer.append(chunk('x'));
     answer.append({ kind: 'failed', code: 'stream_cut', notRun: false, message: 'cut' });
--- a/src/requests/BoundAnswer.ts
+++ b/src/requests/BoundAnswer.ts
@@ -1,26 +1,29 @@
 /**
- * The answer of a request that runs once but may be asked for several times: kept from its first event, so
- * that a repeat gets the same answer; bounded, so that a large answer does not stay in memory.
+ * The answer of a bound request, which runs once but may be requested several times. It is kept
+ * from its first event, so that a repeat gets the same answer, and its size is limited, so that a
+ * large answer does not stay in memory.
  */
 import { bytesOfEvent, isLast } from './CallerEventQueue.js';
 import type { CallerEvent } from './requestTypes.js';
 
-/** Bytes that all remembered answers of a daemon share. */
+/** Limits the bytes that all kept answers of a daemon use together. */
 export class AnswerMemory {
   private readonly maximumBytes: number;
 
   private usedBytes = 0;
 
   /**
-   * @param maximumBytes - for all answers together.
+   * @param maximumBytes - limit for all answers together.
    */
   constructor(maximumBytes: number) {
     this.maximumBytes = maximumBytes;
   }
 
   /**
-   * @param bytes - how much more is wanted.
-   * @returns Whether it was there, and is taken.
+   * Reserves memory if the limit allows it.
+   *
+   * @param bytes - number of bytes to reserve.
+   * @returns Whether the bytes were reserved.
    */
   take(bytes: number): boolean {
     if (this.usedBytes + bytes > this.maximumBytes) return false;
@@ -29,7 +32,9 @@
   }
 
   /**
-   * @param bytes - how much is given back.
+   * Frees reserved memory.
+   *
+   * @param bytes - number of bytes to free.
    */
   give(bytes: number): void {
     this.usedBytes -= bytes;
@@ -39,26 +44,29 @@
 /** Options of a {@link BoundAnswer}. */
 export interface BoundAnswerOptions {
   memory: AnswerMemory;
-  /** Bytes of this one answer that are remembered. */
+  /** Bytes of this answer that are kept for repeats. */
   maximumRememberedBytes: number;
-  /** Bytes that wait for the slowest reader once the answer is too large to remember. */
+  /** Bytes that may wait for the slowest reader once the answer is too large to be kept. */
   maximumBufferedBytes: number;
 }
 
-/** What a repeat is told when the answer is no longer there from its start. */
-const FORGOTTEN: CallerEvent = Object.freeze({
+/** Event for a repeat when the start of the answer is no longer kept. */
+const ANSWER_NOT_KEPT: CallerEvent = Object.freeze({
   kind: 'failed',
   code: 'cannot_resume',
   notRun: false,
-  message: 'The request ran once; its answer is too large to be repeated.',
+  message: 'The request ran once; its answer is too large to be kept for a repeat.',
 });
 
-/** A place in the answer. */
+/** Position of one reader in the answer. */
 interface Reader {
-  next: number;
+  nextIndex: number;
 }
 
-/** One producer, any number of readers. */
+/**
+ * Buffers the answer of one run for any number of readers, and keeps it for repeats while it fits
+ * into the limits.
+ */
 export class BoundAnswer {
   private readonly memory: AnswerMemory;
 
@@ -68,25 +76,25 @@
 
   private events: CallerEvent[] = [];
 
-  /** Number of the first event that is still kept. */
+  /** Index of the first event that is still kept. */
   private firstKept = 0;
 
   private keptBytes = 0;
 
-  private takenBytes = 0;
+  private reservedBytes = 0;
 
   private tooLarge = false;
 
-  private lifted = false;
+  private isBackPressureRemoved = false;
 
-  private last: CallerEvent | undefined;
+  private lastEvent: CallerEvent | undefined;
 
   private readonly readers = new Set<Reader>();
 
-  private waiting: (() => void)[] = [];
+  private waiters: (() => void)[] = [];
 
   /**
-   * @param options - the bounds.
+   * @param options - the shared memory budget and the limits of this answer.
    */
   constructor({ memory, maximumRememberedBytes, maximumBufferedBytes }: BoundAnswerOptions) {
     this.memory = memory;
@@ -94,109 +102,119 @@
     this.maximumBufferedBytes = maximumBufferedBytes;
   }
 
-  /** @returns The last event, once there is one. */
+  /** @returns The last event of the answer, once it has arrived. */
   outcome(): CallerEvent | undefined {
-    return this.last;
+    return this.lastEvent;
   }
 
   /**
+   * Adds an event to the answer and wakes its readers.
+   *
    * @param event - the next event of the run.
    */
   append(event: CallerEvent): void {
     const bytes = bytesOfEvent(event);
     this.events.push(event);
     this.keptBytes += bytes;
-    if (isLast(event)) this.last = event;
-    if (!this.tooLarge && !this.rememberMore(bytes)) this.tooLarge = true;
-    this.dropRead();
+    if (isLast(event)) this.lastEvent = event;
+    if (!this.tooLarge && !this.reserveBytes(bytes)) this.tooLarge = true;
+    this.dropConsumedEvents();
     this.wakeAll();
   }
 
-  /** @returns When the run may go on: only an answer too large to remember waits for its readers. */
+  /**
+   * Applies back-pressure: only an answer that is too large to be kept waits for its readers.
+   *
+   * @returns When the run may add the next event.
+   */
   async room(): Promise<void> {
-    while (this.mustWait()) await this.change();
+    while (this.mustWait()) await this.nextChange();
   }
 
   /**
-   * The run has ended and only what it had buffered is to come: a reader that is stuck must not keep the
-   * last event from the others, nor the run from ending.
+   * Removes the back-pressure because the run has ended and only buffered events are still to
+   * come. Otherwise a reader that does not read would keep the last event from the other readers,
+   * and the run from ending.
    */
   lift(): void {
-    this.lifted = true;
+    this.isBackPressureRemoved = true;
     this.wakeAll();
   }
 
-  /** @yields The answer from its first event, to its last. */
+  /** @yields The answer from its first to its last event. */
   async *read(): AsyncGenerator<CallerEvent, void, undefined> {
     if (this.firstKept > 0) {
-      yield this.last?.kind === 'failed' ? this.last : FORGOTTEN;
+      yield this.lastEvent?.kind === 'failed' ? this.lastEvent : ANSWER_NOT_KEPT;
       return;
     }
-    const reader: Reader = { next: 0 };
+    const reader: Reader = { nextIndex: 0 };
     this.readers.add(reader);
     try {
       for (;;) {
-        const event = this.events[reader.next - this.firstKept];
+        const event = this.events[reader.nextIndex - this.firstKept];
         if (event) {
-          reader.next += 1;
-          this.dropRead();
+          reader.nextIndex += 1;
+          this.dropConsumedEvents();
           this.wakeAll();
           yield event;
           if (isLast(event)) return;
         } else {
-          await this.change();
+          await this.nextChange();
         }
       }
     } finally {
       this.readers.delete(reader);
-      this.dropRead();
+      this.dropConsumedEvents();
       this.wakeAll();
     }
   }
 
-  /** The binding has expired: gives the memory back. Readers that are still reading go on. */
+  /**
+   * Frees the reserved memory once the binding has expired. Readers that are still reading can
+   * finish.
+   */
   release(): void {
-    this.memory.give(this.takenBytes);
-    this.takenBytes = 0;
+    this.memory.give(this.reservedBytes);
+    this.reservedBytes = 0;
     this.tooLarge = true;
-    this.dropRead();
+    this.dropConsumedEvents();
     this.wakeAll();
   }
 
   private mustWait(): boolean {
-    if (!this.tooLarge || this.lifted || this.readers.size === 0) return false;
+    if (!this.tooLarge || this.isBackPressureRemoved || this.readers.size === 0) return false;
     return this.keptBytes >= this.maximumBufferedBytes;
   }
 
-  private rememberMore(bytes: number): boolean {
-    if (this.takenBytes + bytes > this.maximumRememberedBytes || !this.memory.take(bytes)) {
-      this.memory.give(this.takenBytes);
-      this.takenBytes = 0;
+  private reserveBytes(bytes: number): boolean {
+    if (this.reservedBytes + bytes > this.maximumRememberedBytes || !this.memory.take(bytes)) {
+      this.memory.give(this.reservedBytes);
+      this.reservedBytes = 0;
       return false;
     }
-    this.takenBytes += bytes;
+    this.reservedBytes += bytes;
     return true;
   }
 
-  /** Drops what all readers have; nothing as long as the answer is remembered. */
-  private dropRead(): void {
+  /** Drops the events that all readers have read. While the answer is kept, nothing is dropped. */
+  private dropConsumedEvents(): void {
     if (!this.tooLarge) return;
     const end = this.firstKept + this.events.length;
-    const slowest = Math.min(end, ...[...this.readers].map(({ next }) => next));
+    const slowest = Math.min(end, ...[...this.readers].map(({ nextIndex }) => nextIndex));
     const dropped = this.events.splice(0, slowest - this.firstKept);
     this.firstKept = slowest;
     for (const event of dropped) this.keptBytes -= bytesOfEvent(event);
   }
 
-  private change(): Promise<void> {
+  private nextChange(): Promise<void> {
     return new Promise((resolve) => {
-      this.waiting.push(resolve);
+      this.waiters.push(resolve);
     });
   }
 
   private wakeAll(): void {
-    const woken = this.waiting;
-    this.waiting = [];
+    const woken = this.waiters;
+    this.waiters = [];
     for (const wake of woken) wake();
   }
 }
--- a/src/requests/BoundRequests.spec.ts
+++ b/src/requests/BoundRequests.spec.ts
@@ -32,7 +32,7 @@
   yield* healthy(attempt);
 };
 
-/** Carries calls to one owner; cuts each as often as told, after so many events. */
+/** Relays calls to one owner, and cuts each call after the next number of events in `cuts`. */
 class CuttingLink extends PeerLink {
   cuts: number[] = [];
 
@@ -46,18 +46,18 @@
   }
 
   override to(): Client<typeof PeerService> {
-    const runBound = (message: RunBoundRequest) => this.carry(message);
+    const runBound = (message: RunBoundRequest) => this.relayCall(message);
     return { runBound } as unknown as Client<typeof PeerService>;
   }
 
   override close(): void {}
 
-  private async *carry(message: RunBoundRequest): AsyncGenerator<ExecuteEvent> {
+  private async *relayCall(message: RunBoundRequest): AsyncGenerator<ExecuteEvent> {
     this.calls += 1;
-    let left = this.cuts.shift() ?? Infinity;
+    let remaining = this.cuts.shift() ?? Infinity;
     for await (const event of this.owner.runBound(message)) {
-      if (left === 0) throw new Error('cut');
-      left -= 1;
+      if (remaining === 0) throw new Error('cut');
+      remaining -= 1;
       yield event;
     }
   }
@@ -65,7 +65,7 @@
 
 describe(BoundRequests.name, () => {
   it(
-    'joins repeats to the one run, also while it is under way and after its caller left',
+    'joins repeats to the single run, also while it is in progress and after its caller disconnected',
     withHarness(async ({ bind, gates, owner, runners, time }) => {
       const request = await bind(RESERVATION);
       gates.follow(slow);
@@ -84,11 +84,12 @@
     }),
   );
 
-  // Symptom: a caller is told "not run", asks for a new binding, and its first copy runs after all.
-  // Sequence: two copies of a request; the gate refuses the first, the second arrives a little later.
-  // Cause: a refused run leaves its binding unused. It must be used up by the refusal.
+  // Guards against a request that runs after its caller was told "not run" and asked for a new
+  // binding. Here two copies of a request arrive one after the other, and the gate refuses the
+  // first. It happens if a refused run leaves its binding unused, so the refusal has to use the
+  // binding up.
   it(
-    'never runs a binding after "not run" was said of it',
+    'never runs a binding after it was reported as "not run"',
     withHarness(async ({ bind, gates, run, runners }) => {
       const request = await bind(RESERVATION);
       gates.follow(async function* refuses(attempt) {
@@ -102,7 +103,7 @@
   );
 
   it(
-    'tells misuse apart, and says "not run" only where that is sure',
+    'distinguishes kinds of misuse, and reports "not run" only where that is certain',
     withHarness(
       async (harness) => {
         const request = await harness.bind(RESERVATION);
@@ -129,7 +130,7 @@
   );
 
   it(
-    'repeats an outcome, but not an answer too large to remember',
+    'repeats an outcome, but not an answer too large to be kept',
     withHarness(
       async ({ bind, run, runners }) => {
         const request = await bind(RESERVATION);
@@ -141,11 +142,12 @@
     ),
   );
 
-  // Symptom: a reservation that its caller gave up long ago is made when a paused daemon wakes.
-  // Sequence: a request reaches the daemon's socket, the daemon stands still for 30 s, wakes and reads it.
-  // Cause: deadlines between daemons are durations, so the request claims to have all its time left.
+  // Guards against a reservation that is made when a paused daemon resumes, long after its caller
+  // gave up. Here a request reaches the daemon's socket, the daemon is paused for 30 s, resumes
+  // and reads it. It happens because deadlines between daemons are durations, so the request
+  // claims its full time.
   it(
-    'runs nothing that ran out while the daemon was paused',
+    'does not run a request whose deadline passed while the daemon was paused',
     withHarness(async (harness) => {
       const { bind, gates, owner, runners, time } = harness;
       const handedOver = await bind(RESERVATION);
@@ -166,7 +168,7 @@
   );
 
   it(
-    'asks the binding’s daemon again after a cut, and passes each chunk on once',
+    'calls the binding’s daemon again after a cut, and passes each chunk on once',
     withHarness(async (harness) => {
       const { gates, owner, runners, time } = harness;
       const link = new CuttingLink(owner);
@@ -180,11 +182,12 @@
     }),
   );
 
-  // Symptom: a confirmation is sent twice, or its half answer passes for a whole one.
-  // Sequence: the binding's daemon dies in the middle of an answer that goes through another daemon.
-  // Cause: the other daemon runs the request itself, or ends the stream as if it were whole.
+  // Guards against a confirmation that is sent twice, or a partial answer that is taken for a
+  // complete one. Here the binding's daemon dies during an answer that goes through another
+  // daemon. It happens if the other daemon runs the request itself, or ends the stream as if it
+  // were complete.
   it(
-    'reads the rest at the runner when the binding’s daemon dies in the middle',
+    'reads the rest from the runner when the binding’s daemon dies during the answer',
     withHarness(async (harness) => {
       const { daemons, gates, owner, runners, time } = harness;
       const link = new CuttingLink(owner);
@@ -205,7 +208,7 @@
   );
 
   it(
-    'issues nothing on a daemon that is leaving',
+    'issues no binding on a daemon that is leaving',
     withHarness(async (harness) => {
       const { daemons } = harness;
       daemons[1]!.state = 'leaving';
--- a/src/requests/BoundRequests.ts
+++ b/src/requests/BoundRequests.ts
@@ -1,6 +1,6 @@
 /**
- * Non-idempotent requests: issues bindings, runs each bound request once, and answers repeats from memory.
- * `docs/design/at-most-once.md` holds the argument.
+ * Runs non-idempotent requests at most once: issues bindings, runs each bound request once, and
+ * answers repeats from memory. `docs/design/at-most-once.md` explains why this is safe.
  */
 import { randomBytes, randomUUID } from 'node:crypto';
 
@@ -27,13 +27,16 @@
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 import { SteadyCalendar } from './SteadyCalendar.js';
 
-/** Bytes of the number that tells one process life from another. */
+/** Size of the random number that identifies an incarnation of this process, in bytes. */
 const INCARNATION_BYTES = 8;
 
-/** Retry-After of a daemon that is leaving: another one can be asked at once. */
+/**
+ * Retry-After of a daemon that is leaving, in milliseconds: short, because another daemon can be
+ * asked at once.
+ */
 const LEAVING_RETRY_AFTER_MILLISECONDS = 100;
 
-/** Bounds of bindings. */
+/** Limits of bindings and of the answers kept for them. */
 export interface BindingSettings {
   readonly bindingLifetimeMilliseconds: number;
   readonly maximumBindings: number;
@@ -47,7 +50,7 @@
 export interface BoundRequestsOptions {
   ports: RequestPorts;
   settings: BindingSettings;
-  /** Hands a request to the daemon of its binding. */
+  /** Forwards a request to the daemon that issued its binding. */
   forward: (
     request: CallerRequest,
     token: BindingToken,
@@ -56,13 +59,13 @@
   ) => AsyncIterable<CallerEvent>;
 }
 
-/** One run of a bound request. */
+/** The single run of a bound request. */
 export interface BoundRun {
   readonly answer: BoundAnswer;
   readonly task: RequestTask;
 }
 
-/** Holds this process life's ledger. */
+/** Issues bindings of this incarnation, and runs each bound request at most once. */
 export class BoundRequests extends BindingIssuer {
   private readonly ports: RequestPorts;
 
@@ -77,16 +80,17 @@
   private readonly calendar: SteadyCalendar;
 
   /**
-   * Random rather than the member's incarnation, which may be raised while the process lives, and may come
-   * again after a clock was set back: then a new process would take a binding whose outcome only the old one
-   * knew.
+   * Identifies this incarnation in its bindings. It is random rather than the incarnation number
+   * of the membership, which may be raised while the process runs, and may be used again after
+   * the clock was set back: a new process would then accept a binding whose outcome only the old
+   * one knew.
    */
   private readonly incarnation = randomBytes(INCARNATION_BYTES).readBigUInt64BE();
 
   private runsInProgress = 0;
 
   /**
-   * @param options - ports and bounds.
+   * @param options - the dependencies, the limits and the forwarding function.
    */
   constructor({ ports, settings, forward }: BoundRequestsOptions) {
     super();
@@ -120,16 +124,17 @@
     return { token, address: callerAddress, expiresInMilliseconds: bindingLifetimeMilliseconds };
   }
 
-  /** @returns Runs that have not ended. */
+  /** @returns Number of runs that have not ended. */
   inProgress(): number {
     return this.runsInProgress;
   }
 
   /**
-   * The answer to a non-idempotent request that brought no binding.
+   * Answers a non-idempotent request without a binding: issues a binding for it, or refuses if
+   * none can be issued.
    *
-   * @param clientAccount - its account.
-   * @returns The one event; nothing ran.
+   * @param clientAccount - the client account of the request.
+   * @returns The only event of the answer; nothing was run.
    */
   refuseUnbound(clientAccount: string): CallerEvent {
     const binding = this.issue(clientAccount);
@@ -142,78 +147,84 @@
   }
 
   /**
-   * Runs a bound request wherever its binding says.
+   * Runs a bound request at the daemon that issued its binding, which may be this one.
    *
    * @param request - the request, with its binding.
-   * @param signal - aborted when the caller has gone; the run itself goes on.
-   * @param cancellation - for cancelling the run.
-   * @yields The answer of the one run.
+   * @param signal - aborted when the caller has disconnected; the run itself continues.
+   * @param cancellation - receives the action that cancels the run.
+   * @yields The answer of the single run.
    */
   async *run(
     request: CallerRequest,
     signal: AbortSignal,
     cancellation: Cancellation,
   ): AsyncGenerator<CallerEvent, void> {
-    const token = this.open(request.binding ?? '');
+    const token = this.openBinding(request.binding ?? '');
     if (!token) {
-      yield this.refused(request, unreadableBinding(), 'unreadable');
+      yield this.logRefusal(request, unreadableBinding(), 'unreadable');
     } else if (token.clientAccount !== request.clientAccount) {
-      yield this.refused(request, foreignBinding(), 'foreign');
+      yield this.logRefusal(request, foreignBinding(), 'foreign');
     } else if (token.daemonId !== this.ports.fleet.self().daemonId) {
       yield* this.forward(request, token, signal, cancellation);
     } else {
-      yield* this.runHere(request, token, cancellation);
+      yield* this.runLocally(request, token, cancellation);
     }
   }
 
   /**
-   * Runs a bound request that another daemon handed over; never hands it on.
+   * Runs a bound request that another daemon forwarded; never forwards it again.
    *
    * @param request - the request, with its binding.
-   * @yields The answer of the one run.
+   * @yields The answer of the single run.
    */
   async *serve(request: CallerRequest): AsyncGenerator<CallerEvent, void> {
-    const token = this.open(request.binding ?? '');
+    const token = this.openBinding(request.binding ?? '');
     if (!token || token.clientAccount !== request.clientAccount) {
-      yield this.refused(request, unreadableBinding(), 'unreadable');
+      yield this.logRefusal(request, unreadableBinding(), 'unreadable');
     } else if (token.daemonId !== this.ports.fleet.self().daemonId) {
-      yield this.refused(request, outcomeUnknown('The binding is of another daemon.'), 'elsewhere');
+      yield this.logRefusal(
+        request,
+        outcomeUnknown('The binding was issued by another daemon.'),
+        'elsewhere',
+      );
     } else {
-      yield* this.runHere(request, token);
+      yield* this.runLocally(request, token);
     }
   }
 
-  private async *runHere(
+  private async *runLocally(
     request: CallerRequest,
     token: BindingToken,
     cancellation?: Cancellation,
   ): AsyncGenerator<CallerEvent, void> {
     if (token.incarnation !== this.incarnation) {
-      const unknown = outcomeUnknown('The daemon of the binding was restarted.');
-      yield this.refused(request, unknown, 'other_incarnation');
+      const unknown = outcomeUnknown('The daemon that issued the binding was restarted.');
+      yield this.logRefusal(request, unknown, 'other_incarnation');
       return;
     }
     const expiresAt = Number(token.expiresAtMilliseconds);
     const { bindingId, clientAccount } = token;
     const use = { bindingId, clientAccount, digest: requestDigest(request), expiresAt };
-    const verdict = this.ledger.use(this.calendar.now(), use, () => this.start(request, expiresAt));
-    if (verdict.kind === 'expired') {
-      yield this.refused(request, outcomeUnknown('The binding has expired.'), 'expired');
-    } else if (verdict.kind === 'other_request') {
-      yield this.refused(request, otherRequest(), 'other_request');
-    } else if (verdict.kind === 'full') {
-      yield this.refused(request, ledgerFull(verdict.retryAfterMilliseconds), 'ledger_full');
+    const usage = this.ledger.use(this.calendar.now(), use, () =>
+      this.startRun(request, expiresAt),
+    );
+    if (usage.kind === 'expired') {
+      yield this.logRefusal(request, outcomeUnknown('The binding has expired.'), 'expired');
+    } else if (usage.kind === 'other_request') {
+      yield this.logRefusal(request, otherRequest(), 'other_request');
+    } else if (usage.kind === 'full') {
+      yield this.logRefusal(request, ledgerFull(usage.retryAfterMilliseconds), 'ledger_full');
     } else {
-      if (verdict.kind === 'repeat') this.logJoined(request);
-      const { answer, task } = verdict.run;
+      if (usage.kind === 'repeat') this.logRepeat(request);
+      const { answer, task } = usage.run;
       cancellation?.onCancel(() => task.send({ kind: 'cancel' }));
       yield* answer.read();
     }
   }
 
-  /** From here on the binding is used up, whatever becomes of the run. */
-  private start(request: CallerRequest, expiresAt: number): BoundRun {
-    const deadlineMilliseconds = this.deadlineOf(request, expiresAt);
+  /** Starts the single run. From here on the binding is used, whatever the outcome of the run. */
+  private startRun(request: CallerRequest, expiresAt: number): BoundRun {
+    const deadlineMilliseconds = this.remainingForRun(request, expiresAt);
     const work = { kind: 'new', request: { ...request, deadlineMilliseconds } } as const;
     const answer = new BoundAnswer({ memory: this.memory, ...this.settings });
     const task = new RequestTask({
@@ -222,20 +233,27 @@
       onEnd: () => answer.lift(),
     });
     this.runsInProgress += 1;
-    // The run belongs to the binding, not to the connection that brought it: callers may go and come back.
+    // The run belongs to the binding, not to the connection that started it: callers may
+    // disconnect and come back.
     const events = task.start(new AbortController().signal);
-    void this.collect(events, answer);
+    void this.collectEvents(events, answer);
     return { answer, task };
   }
 
-  /** What is left for the run: never past the binding, and nothing if the binding may have expired. */
-  private deadlineOf({ deadlineMilliseconds }: CallerRequest, expiresAt: number): number {
+  /**
+   * Returns the time left for the run in milliseconds: never beyond the expiry of the binding,
+   * and 0 if the binding may have expired.
+   */
+  private remainingForRun({ deadlineMilliseconds }: CallerRequest, expiresAt: number): number {
     if (this.calendar.mayHavePassed(expiresAt)) return 0;
     const reserve = this.ports.timings.hopReserveMilliseconds;
     return Math.min(deadlineMilliseconds - reserve, expiresAt - this.calendar.now());
   }
 
-  private async collect(events: AsyncIterable<CallerEvent>, answer: BoundAnswer): Promise<void> {
+  private async collectEvents(
+    events: AsyncIterable<CallerEvent>,
+    answer: BoundAnswer,
+  ): Promise<void> {
     for await (const event of events) {
       answer.append(event);
       await answer.room();
@@ -243,7 +261,7 @@
     this.runsInProgress -= 1;
   }
 
-  private open(token: string): BindingToken | undefined {
+  private openBinding(token: string): BindingToken | undefined {
     return this.ports.tokens.open('binding', BindingTokenSchema, token);
   }
 
@@ -251,11 +269,11 @@
     return this.ports.fleet.self().state === 'leaving';
   }
 
-  private logJoined({ requestId, clientAccount }: CallerRequest): void {
+  private logRepeat({ requestId, clientAccount }: CallerRequest): void {
     this.ports.log.write(LOG_EVENTS.bindingJoined, { requestId, clientAccount });
   }
 
-  private refused<Event extends CallerEvent>(request: CallerRequest, event: Event, why: string) {
+  private logRefusal<Event extends CallerEvent>(request: CallerRequest, event: Event, why: string) {
     const { requestId, clientAccount } = request;
     this.ports.log.write(LOG_EVENTS.bindingRefused, { requestId, clientAccount, why });
     return event;
--- a/src/requests/CallerEventQueue.ts
+++ b/src/requests/CallerEventQueue.ts
@@ -1,15 +1,16 @@
 /**
- * Events on their way to a caller who reads at its own pace: bounded, with back-pressure to the producer.
+ * Bounded queue of events for one caller, with back-pressure to the producer.
  *
- * Without the bound a slow reader's answer would pile up in the daemon's memory; one would see memory grow
- * with the number of slow callers. The producer therefore waits for room before it reads on.
+ * Without the limit, the answer of a slow reader would accumulate in the daemon's memory, and
+ * memory would grow with the number of slow callers. The producer therefore waits until the queue
+ * is below its limit before it reads on.
  */
 import type { CallerEvent } from './requestTypes.js';
 
-/** Bytes that may wait for one caller before its runner's stream is read no further. */
+/** Bytes that may wait for one caller before the stream of its runner is paused. */
 export const DEFAULT_MAXIMUM_BUFFERED_BYTES = 65_536;
 
-/** What an event costs in memory besides its text and data, in bytes; a round estimate. */
+/** Memory used by an event besides its text and data, in bytes; an estimate. */
 const EVENT_OVERHEAD_BYTES = 128;
 
 /** Options of a {@link CallerEventQueue}. */
@@ -19,7 +20,7 @@
 
 /**
  * @param event - an event.
- * @returns Whether no other event follows it.
+ * @returns Whether it is the last event of an answer.
  */
 export function isLast(event: CallerEvent): boolean {
   return event.kind === 'completed' || event.kind === 'failed';
@@ -27,14 +28,14 @@
 
 /**
  * @param event - an event.
- * @returns Bytes that it keeps in memory.
+ * @returns Bytes of memory that it uses.
  */
 export function bytesOfEvent(event: CallerEvent): number {
   if (event.kind !== 'chunk') return EVENT_OVERHEAD_BYTES;
   return EVENT_OVERHEAD_BYTES + event.eventId.length + event.data.byteLength;
 }
 
-/** Single producer, single reader. */
+/** Queue of events between one producer and one reader. */
 export class CallerEventQueue {
   private readonly maximumBufferedBytes: number;
 
@@ -49,7 +50,7 @@
   private readonly wakeProducers: (() => void)[] = [];
 
   /**
-   * @param options - the bound.
+   * @param options - the limit.
    */
   constructor({
     maximumBufferedBytes = DEFAULT_MAXIMUM_BUFFERED_BYTES,
@@ -58,8 +59,8 @@
   }
 
   /**
-   * Appends an event; the last one closes the queue. After that, or after {@link CallerEventQueue.discard},
-   * events are dropped.
+   * Appends an event; the last event of the answer closes the queue. After that, or after
+   * {@link CallerEventQueue.discard}, events are dropped.
    *
    * @param event - the event.
    */
@@ -71,7 +72,10 @@
     this.wakeReader?.();
   }
 
-  /** The reader has gone: nothing is kept and the producer is not held up any more. */
+  /**
+   * Drops all events and closes the queue because the reader has disconnected; the producer is
+   * not held up any more.
+   */
   discard(): void {
     this.events.length = 0;
     this.bufferedBytes = 0;
@@ -79,7 +83,7 @@
     this.wakeReader?.();
   }
 
-  /** @returns When there is room, or nobody reads any more. */
+  /** @returns When the queue is below its limit or has been closed. */
   async room(): Promise<void> {
     while (!this.closed && this.bufferedBytes >= this.maximumBufferedBytes) {
       await new Promise<void>((resolve) => {
@@ -88,7 +92,7 @@
     }
   }
 
-  /** @yields Events in order until the last one. */
+  /** @yields The events in order, up to the last one. */
   async *read(): AsyncGenerator<CallerEvent, void, undefined> {
     for (;;) {
       const event = this.events.shift();
--- a/src/requests/Cancellation.ts
+++ b/src/requests/Cancellation.ts
@@ -1,19 +1,26 @@
 /**
- * The cancel handle of one call: what a cancel does changes while the request finds its way.
+ * Cancellation of one call: the action that cancels a request changes as the request moves from
+ * one stage to the next.
  */
 
-/** Does what was set last, at most once. */
+/** Runs the action that was set last, at most once. */
 export class Cancellation {
   private action: (() => void) | undefined;
 
   /**
-   * @param action - what a cancel has to do from now on.
+   * Replaces the action that cancels the request.
+   *
+   * @param action - called by the next {@link Cancellation.cancel}.
    */
   onCancel(action: () => void): void {
     this.action = action;
   }
 
-  /** @returns Whether there was something to cancel. */
+  /**
+   * Runs and clears the current action.
+   *
+   * @returns Whether there was an action to run.
+   */
   cancel(): boolean {
     const { action } = this;
     this.action = undefined;
--- a/src/requests/Chooser.ts
+++ b/src/requests/Chooser.ts
@@ -1,35 +1,38 @@
 /**
- * How the owner of a request asks where to send it: the narrow side of the routing decisions.
+ * Port through which the owner of a request asks the routing decisions for a runner.
  */
 import type { WarmRunner } from '../generated/baobabdock/v1/peers_pb.js';
 import type { LogFields } from '../logging/Log.js';
 import type { AttemptPurpose, TriedRunner } from './requestDecisionTypes.js';
 import type { CallerRequest } from './requestTypes.js';
 
-/** What the choice is made from, besides what the chooser knows of the fleet. */
+/** Input of a choice, besides what the chooser knows about the fleet. */
 export interface ChooserQuestion {
   readonly request: CallerRequest;
-  /** Where the chat is warm, as its home said. */
+  /** Runners that have a prefix of the chat cached, as reported by the chat's home. */
   readonly warm: readonly WarmRunner[];
-  /** Gates that have been asked, in order. */
+  /** Runners that have been tried, in order. */
   readonly tried: readonly TriedRunner[];
   readonly purpose: AttemptPurpose;
-  /** Time that is left, in milliseconds. */
+  /** Time left for the request, in milliseconds. */
   readonly deadlineMilliseconds: number;
 }
 
-/** Where the request goes, or why nowhere. */
+/** The runner for a request, or the reason why none was found. */
 export type ChooserAnswer =
   | {
       readonly kind: 'chosen';
       readonly runnerId: string;
-      /** What is believed to be cached there, in tokens. */
+      /** Prompt tokens that are assumed to be cached at the runner. */
       readonly cachedTokens: number;
-      /** Highest load as a multiple of the mean. */
+      /** Maximum load of a runner, as a multiple of the pool's mean load. */
       readonly bound: number;
-      /** The gate queues rather than refuses for the bound: there is nobody else. */
+      /**
+       * Whether the gate has to queue the request instead of refusing it for the bound, because
+       * no other runner is left.
+       */
       readonly lastChoice: boolean;
-      /** What was chosen, what was passed over and why, for the log line. */
+      /** Log fields: what was chosen, which runners were passed over, and why. */
       readonly explanation: LogFields;
     }
   | {
@@ -39,10 +42,10 @@
       readonly explanation: LogFields;
     };
 
-/** Chooses a runner. */
+/** Chooses the runner for an attempt. */
 export abstract class Chooser {
   /**
-   * @param question - the request, what its home said and what was tried.
+   * @param question - the request, the warm runners and the runners tried so far.
    * @returns The runner, or why there is none.
    */
   abstract choose(question: ChooserQuestion): ChooserAnswer;
--- a/src/requests/EventIds.spec.ts
+++ b/src/requests/EventIds.spec.ts
@@ -14,10 +14,10 @@
 };
 
 const tokens = new SignedTokens({ secrets: ['a secret of the whole fleet'] });
-const others = new SignedTokens({ secrets: ['a secret of another fleet'] });
+const otherFleetTokens = new SignedTokens({ secrets: ['a secret of another fleet'] });
 
 describe(EventIds.name, () => {
-  it('says of each chunk which stream and which number it has', () => {
+  it('identifies the stream and the number of each chunk', () => {
     const [ids, reader] = [new EventIds(tokens, STREAM), new EventIdReader(tokens)];
     for (const sequence of [1, 2, 999_999_999]) {
       const opened = reader.open(ids.of(sequence));
@@ -26,9 +26,10 @@
     }
   });
 
-  // Symptom: a caller reads a stream that is not its own, or has a runner asked for chunks that never came.
-  // Sequence: it sends an event id of another form, another secret or another stream.
-  // Cause: a part of the id is not checked, or is taken from the id that was opened before.
+  // Guards against a caller that reads another account's stream, or has a runner asked for chunks
+  // that were never sent. Here it sends an event id of another form, another secret or another
+  // stream. It happens if a part of the id is not checked, or is taken from the id that was
+  // verified before.
   const id = new EventIds(tokens, STREAM).of(7);
   const [token = '', , tag = ''] = id.split('.');
   const changed = `${token.slice(0, 20)}${token[20] === 'A' ? 'B' : 'A'}${token.slice(21)}`;
@@ -42,7 +43,7 @@
     'a longer tag': `${id}A`,
     'another number under the same tag': `${token}.8.${tag}`,
     'a tag of another purpose': `${token}.7.${tokens.tag('resume', `${token}.7`)}`,
-    'a tag of another fleet': `${token}.7.${others.tag('resume-event', `${token}.7`)}`,
+    'a tag of another fleet': `${token}.7.${otherFleetTokens.tag('resume-event', `${token}.7`)}`,
     'chunk 0': tagged(`${token}.0`),
     'a leading zero': tagged(`${token}.07`),
     'a number beyond all chunks': tagged(`${token}.1000000000`),
@@ -50,7 +51,7 @@
     'no token': tagged('.7'),
     'a changed token': `${changed}.7.${tag}`,
     'a changed token under a tag': tagged(`${changed}.7`),
-    'another fleet': new EventIds(others, STREAM).of(7),
+    'another fleet': new EventIds(otherFleetTokens, STREAM).of(7),
   };
   for (const [name, text] of Object.entries(refused)) {
     it(`refuses ${name}, also after an id that is good`, () => {
--- a/src/requests/EventIds.ts
+++ b/src/requests/EventIds.ts
@@ -1,39 +1,42 @@
 /**
- * Event ids of a stream: one signed token for the whole stream, then the chunk's number and its tag.
+ * Event ids of a stream: one signed token for the whole stream, followed by the chunk's number
+ * and an authentication tag for that number.
  *
- * The number has a tag because a caller could otherwise name a chunk that never came: the runner would be
- * read in vain again and again, and counted as failing. One would notice healthy runners being passed over.
- * A tag costs an eighth of a token, and chunks are what a daemon handles most.
+ * Without the tag a caller could name a chunk that was never sent. The runner would then be read
+ * in vain again and again and counted as failing; the symptom would be that healthy runners are
+ * passed over. A tag costs an eighth of a token, which matters because chunks are the most
+ * frequent events in a daemon.
  */
 import type { ResumeToken } from '../generated/baobabdock/v1/peers_pb.js';
 import { ResumeTokenSchema } from '../generated/baobabdock/v1/peers_pb.js';
 import type { SignedTokens } from '../peers/SignedTokens.js';
 
-/** A stream: whose it is, and where it is to be found. */
+/** Identifies a stream: its owner, and the attempt and runner that produce it. */
 export type IdentifiedStream = Pick<
   ResumeToken,
   'attemptId' | 'runnerId' | 'service' | 'clientAccount' | 'requestId'
 >;
 
-/** What an event id says. */
+/** Contents of a verified event id. */
 export interface OpenedEventId {
   readonly token: ResumeToken;
-  /** Number of the chunk that it came with, from 1. */
+  /** Number of the chunk that the id belongs to, from 1. */
   readonly sequence: number;
 }
 
-/** The one form of an event id; numbers have no leading zeros, so that each chunk has one id only. */
-const FORM = /^(?<tagged>(?<token>[\w-]+)\.(?<sequence>[1-9]\d{0,8}))\.(?<tag>[\w-]+)$/u;
+/** Format of an event id. Numbers have no leading zeros, so that each chunk has exactly one id. */
+const EVENT_ID_PATTERN =
+  /^(?<tagged>(?<token>[\w-]+)\.(?<sequence>[1-9]\d{0,8}))\.(?<tag>[\w-]+)$/u;
 
-/** Makes the ids of one attempt's chunks. */
+/** Creates the event ids of one attempt's chunks. */
 export class EventIds {
   private readonly tokens: SignedTokens;
 
   private readonly prefix: string;
 
   /**
-   * @param tokens - what signs.
-   * @param stream - whose stream it is, and where it is to be found.
+   * @param tokens - signs the token and the tags.
+   * @param stream - the stream that the ids belong to.
    */
   constructor(tokens: SignedTokens, stream: IdentifiedStream) {
     this.tokens = tokens;
@@ -42,7 +45,7 @@
 
   /**
    * @param sequence - the chunk's number, from 1.
-   * @returns Its event id.
+   * @returns The event id of the chunk.
    */
   of(sequence: number): string {
     const tagged = this.prefix + String(sequence);
@@ -50,37 +53,41 @@
   }
 }
 
-/** Opens event ids; those of the stream that was opened last without checking its token again. */
+/**
+ * Verifies event ids. The token of the last verified id is cached, so that further ids of the
+ * same stream only need their tag checked.
+ */
 export class EventIdReader {
   private readonly tokens: SignedTokens;
 
-  private lastText = '';
+  private lastTokenText = '';
 
   private lastToken: ResumeToken | undefined;
 
   /**
-   * @param tokens - what signed.
+   * @param tokens - verifies tokens and tags.
    */
   constructor(tokens: SignedTokens) {
     this.tokens = tokens;
   }
 
   /**
-   * @param eventId - what somebody sent.
-   * @returns What it says, or `undefined` when it has another form or is not ours.
+   * @param eventId - the id sent by a caller or another daemon.
+   * @returns The contents of the id, or `undefined` if it is malformed or was not signed by this
+   *   fleet.
    */
   open(eventId: string): OpenedEventId | undefined {
-    const groups = FORM.exec(eventId)?.groups;
+    const groups = EVENT_ID_PATTERN.exec(eventId)?.groups;
     if (!groups || !this.tokens.isTag('resume-event', groups.tagged!, groups.tag!))
       return undefined;
-    const token = this.tokenOf(groups.token!);
+    const token = this.openToken(groups.token!);
     return token && { token, sequence: Number(groups.sequence) };
   }
 
-  private tokenOf(text: string): ResumeToken | undefined {
-    if (text === this.lastText) return this.lastToken;
+  private openToken(text: string): ResumeToken | undefined {
+    if (text === this.lastTokenText) return this.lastToken;
     this.lastToken = this.tokens.open('resume', ResumeTokenSchema, text);
-    this.lastText = text;
+    this.lastTokenText = text;
     return this.lastToken;
   }
 }
--- a/src/requests/ForwardedAnswer.ts
+++ b/src/requests/ForwardedAnswer.ts
@@ -1,6 +1,6 @@
 /**
- * The answer of a bound request on its way through a second daemon: in order, without repeats, and with
- * what is needed to read on at the runner when the first daemon dies.
+ * The answer of a bound request that is relayed by a second daemon: puts events in order, drops
+ * repeats, and keeps what is needed to resume at the runner when the first daemon dies.
  */
 import { match, P } from 'ts-pattern';
 
@@ -25,7 +25,7 @@
   request: CallerRequest;
 }
 
-/** Takes the events of one or more `RunBound` calls for the same binding. */
+/** Merges the events of one or more `RunBound` calls for the same binding into one answer. */
 export class ForwardedAnswer {
   private readonly tokens: SignedTokens;
 
@@ -37,42 +37,47 @@
 
   private eventIds: EventIds | undefined;
 
-  private last = false;
+  private hasEnded = false;
 
   /**
-   * @param options - what signs event ids, and whose answer it is.
+   * @param options - what signs event ids, and the request that is answered.
    */
   constructor({ tokens, request }: ForwardedAnswerOptions) {
     this.tokens = tokens;
     this.request = request;
   }
 
-  /** @returns Whether the last event was passed on. */
+  /** @returns Whether the last event was passed on to the caller. */
   ended(): boolean {
-    return this.last;
+    return this.hasEnded;
   }
 
   /**
-   * @param event - what the binding's daemon says; a second call starts from the beginning.
-   * @returns What the caller gets, or `undefined` for what it has already.
+   * Processes an event from the binding's daemon; a repeated call sends its events from the
+   * beginning again.
+   *
+   * @param event - the event.
+   * @returns The event for the caller, or `undefined` if the caller already has it.
    */
   take({ event }: ExecuteEvent): CallerEvent | undefined {
     return match(event)
       .returnType<CallerEvent | undefined>()
-      .with({ case: 'started' }, ({ value }) => this.takeHead(value))
-      .with({ case: 'chunk' }, ({ value }) => this.takeChunk(value))
-      .with({ case: 'completed' }, ({ value }) => this.takeEnd(value))
-      .with({ case: 'failed' }, ({ value }) => this.takeFailure(value))
+      .with({ case: 'started' }, ({ value }) => this.acceptHead(value))
+      .with({ case: 'chunk' }, ({ value }) => this.acceptChunk(value))
+      .with({ case: 'completed' }, ({ value }) => this.acceptEnd(value))
+      .with({ case: 'failed' }, ({ value }) => this.acceptFailure(value))
       .with({ case: 'refused' }, () =>
-        this.endWith(outcomeUnknown('The answer was not understood.')),
+        this.endWith(
+          outcomeUnknown('The daemon that issued the binding sent an unexpected refusal.'),
+        ),
       )
       .with({ case: P.nullish }, () => undefined)
       .exhaustive();
   }
 
   /**
-   * @param deadlineMilliseconds - how long the caller still waits.
-   * @returns How to read on at the runner, when the answer had started.
+   * @param deadlineMilliseconds - how long the caller still waits, in milliseconds.
+   * @returns The stream to resume at the runner, or `undefined` if the answer has not started.
    */
   continuation(deadlineMilliseconds: number): ResumedStream | undefined {
     if (!this.head) return undefined;
@@ -90,13 +95,13 @@
     };
   }
 
-  private takeHead(head: Started): CallerEvent | undefined {
+  private acceptHead(head: Started): CallerEvent | undefined {
     if (this.head) return undefined;
     this.head = head;
     return startedEventOf(head, head.runnerId);
   }
 
-  private takeChunk({ attemptId, sequence, data }: Chunk): CallerEvent | undefined {
+  private acceptChunk({ attemptId, sequence, data }: Chunk): CallerEvent | undefined {
     const { head } = this;
     if (!head || head.attemptId !== attemptId) return undefined;
     if (this.cursor.take(sequence) !== 'next') return undefined;
@@ -110,15 +115,18 @@
     return new EventIds(this.tokens, stream);
   }
 
-  /** An end that names a chunk which did not come is no end: the daemon is asked again. */
-  private takeEnd(completed: Completed): CallerEvent | undefined {
-    const whole = this.cursor.isWholeAt(completed.lastSequence);
-    if (!this.head || this.head.attemptId !== completed.attemptId || !whole) return undefined;
+  /**
+   * Ignores a `completed` event that names a chunk which was not received: the daemon is called
+   * again.
+   */
+  private acceptEnd(completed: Completed): CallerEvent | undefined {
+    const isComplete = this.cursor.isWholeAt(completed.lastSequence);
+    if (!this.head || this.head.attemptId !== completed.attemptId || !isComplete) return undefined;
     const { promptTokens, generatedTokens, cachedTokens } = completed;
     return this.endWith({ kind: 'completed', promptTokens, generatedTokens, cachedTokens });
   }
 
-  private takeFailure({ code, notRun, message, ...failed }: Failed): CallerEvent {
+  private acceptFailure({ code, notRun, message, ...failed }: Failed): CallerEvent {
     const { retryAfterMilliseconds, resumable } = failed;
     return this.endWith({
       kind: 'failed',
@@ -131,7 +139,7 @@
   }
 
   private endWith(event: CallerEvent): CallerEvent {
-    this.last = true;
+    this.hasEnded = true;
     return event;
   }
 }
--- a/src/requests/GateReading.ts
+++ b/src/requests/GateReading.ts
@@ -1,20 +1,21 @@
 /**
- * Reads one stream of gate events at the pace of the caller, until it is given up.
+ * Reads one stream of events from a gate at the pace of the caller, until the stream ends or
+ * reading is stopped.
  */
 import type { ExecuteEvent } from '../generated/baobabdock/v1/peers_pb.js';
 
 /** Options of a {@link GateReading}. */
 export interface GateReadingOptions {
   attemptId: string;
-  /** The daemon that it goes through, as far as known. */
+  /** The daemon that holds the gate, if it was known when the reading was opened. */
   gateDaemonId: string | undefined;
   /** Opens the stream. */
   open: (signal: AbortSignal) => AsyncIterable<ExecuteEvent>;
   /** Called for each event. */
   onEvent: (event: ExecuteEvent) => void;
-  /** Called at most once: the stream broke, or ended without saying how. */
+  /** Called at most once, when the stream breaks or ends without a final event. */
   onLost: (message: string) => void;
-  /** Waited for before the next event is read. */
+  /** Awaited before the next event is read; applies the caller's back-pressure. */
   room: () => Promise<void>;
 }
 
@@ -22,7 +23,10 @@
   return error instanceof Error ? error.message : String(error);
 }
 
-/** A stream that can be left without cancelling its attempt, or aborted. */
+/**
+ * One stream of gate events. {@link GateReading.abandon} leaves its attempt running,
+ * {@link GateReading.abort} cancels it.
+ */
 export class GateReading {
   readonly attemptId: string;
 
@@ -34,10 +38,10 @@
 
   private iterator: AsyncIterator<ExecuteEvent> | undefined;
 
-  private givenUp = false;
+  private isStopped = false;
 
   /**
-   * @param options - the stream and where its events go.
+   * @param options - the stream and the callbacks for its events.
    */
   constructor(options: GateReadingOptions) {
     this.options = options;
@@ -45,35 +49,36 @@
     this.gateDaemonId = options.gateDaemonId;
   }
 
-  /** Reads until the stream ends or is given up; never rejects. */
+  /** Reads until the stream ends or reading is stopped; never rejects. */
   async run(): Promise<void> {
     try {
       this.iterator = this.options.open(this.controller.signal)[Symbol.asyncIterator]();
-      await this.pump(this.iterator);
-      if (!this.givenUp) this.options.onLost('The gate ended the stream without saying how.');
+      await this.readEvents(this.iterator);
+      if (!this.isStopped) this.options.onLost('The gate closed the stream without a final event.');
     } catch (error) {
-      if (!this.givenUp) this.options.onLost(messageOf(error));
+      if (!this.isStopped) this.options.onLost(messageOf(error));
     }
   }
 
-  /** Stops reading; the attempt goes on. */
+  /** Stops reading; the attempt continues. */
   abandon(): void {
-    if (this.givenUp) return;
-    this.givenUp = true;
-    // A stream through a frozen daemon may never answer this; nothing waits for it.
+    if (this.isStopped) return;
+    this.isStopped = true;
+    // A stream through an unresponsive daemon may never settle this promise, so nothing waits for
+    // it.
     void this.iterator?.return?.().catch(() => {});
   }
 
-  /** Stops reading; of a reading that started the attempt, this cancels it. */
+  /** Stops reading and aborts the call; if the call started the attempt, this cancels it. */
   abort(): void {
-    this.givenUp = true;
+    this.isStopped = true;
     this.controller.abort();
   }
 
-  private async pump(iterator: AsyncIterator<ExecuteEvent>): Promise<void> {
-    while (!this.givenUp) {
+  private async readEvents(iterator: AsyncIterator<ExecuteEvent>): Promise<void> {
+    while (!this.isStopped) {
       const step = await iterator.next();
-      if (step.done || this.givenUp) return;
+      if (step.done || this.isStopped) return;
       this.options.onEvent(step.value);
       await this.options.room();
     }
--- a/src/requests/PauseDetector.ts
+++ b/src/requests/PauseDetector.ts
@@ -1,18 +1,20 @@
 /**
- * Notices that this process stood still, so that messages which may have waited meanwhile count as older.
+ * Detects that this process was paused, so that messages which may have waited during the pause
+ * count as older.
  *
- * Deadlines between daemons are durations, for clocks need not agree. A daemon that was paused for five
- * seconds finds requests in its sockets which claim to have all their time left; it would start work that
- * nobody waits for any more. A heartbeat shows the gap, and the gap is taken off for a while after it.
+ * Deadlines between daemons are durations, because their clocks need not agree. A daemon that was
+ * paused for five seconds finds requests in its sockets which still claim their full time; it
+ * would start work whose caller has stopped waiting. A heartbeat measures the gap, and the gap is
+ * subtracted from deadlines for a while after the pause.
  */
 
 /** Options of a {@link PauseDetector}. */
 export interface PauseDetectorOptions {
-  /** How often {@link PauseDetector.beat} is called, in milliseconds. */
+  /** Interval between calls of {@link PauseDetector.beat}, in milliseconds. */
   beatMilliseconds?: number;
-  /** A gap between beats that counts as a pause, in milliseconds. */
+  /** Gap between heartbeats that counts as a pause, in milliseconds. */
   pauseMilliseconds?: number;
-  /** How long after a pause messages from its time may still turn up, in milliseconds. */
+  /** How long after a pause messages from before its end may still arrive, in milliseconds. */
   settleMilliseconds?: number;
 }
 
@@ -22,20 +24,20 @@
 const DEFAULT_PAUSE_MILLISECONDS = 1_000;
 const DEFAULT_SETTLE_MILLISECONDS = 1_000;
 
-/** Fed with monotonic milliseconds. */
+/** Computes pauses from the gaps between heartbeats, in monotonic milliseconds. */
 export class PauseDetector {
   private readonly pauseMilliseconds: number;
 
   private readonly settleMilliseconds: number;
 
-  private lastBeat: number | undefined;
+  private lastHeartbeatAt: number | undefined;
 
-  private pauseLength = 0;
+  private pauseDuration = 0;
 
-  private settledAt = 0;
+  private pauseCountsUntil = 0;
 
   /**
-   * @param options - thresholds.
+   * @param options - heartbeat interval and thresholds.
    */
   constructor({
     beatMilliseconds = DEFAULT_BEAT_MILLISECONDS,
@@ -47,30 +49,31 @@
   }
 
   /**
-   * Called at every beat.
+   * Records a heartbeat.
    *
    * @param now - monotonic milliseconds.
-   * @returns The length of the pause that this beat shows, 0 for none.
+   * @returns The length of the pause that ended with this heartbeat in milliseconds, 0 for none.
    */
   beat(now: number): number {
-    const gap = this.lastBeat === undefined ? 0 : now - this.lastBeat;
-    this.lastBeat = now;
+    const gap = this.lastHeartbeatAt === undefined ? 0 : now - this.lastHeartbeatAt;
+    this.lastHeartbeatAt = now;
     if (gap < this.pauseMilliseconds) return 0;
-    this.pauseLength = gap;
-    this.settledAt = now + this.settleMilliseconds;
+    this.pauseDuration = gap;
+    this.pauseCountsUntil = now + this.settleMilliseconds;
     return gap;
   }
 
   /**
-   * How long a message that is read now may have waited for this process. After a pause the sockets may be
-   * served before the beat, so the gap that no beat has shown yet counts too.
+   * Returns how long a message that is read now may have waited for this process. After a pause,
+   * sockets may be served before the heartbeat timer, so a gap that no heartbeat has recorded yet
+   * counts too.
    *
    * @param now - monotonic milliseconds.
-   * @returns Milliseconds to take off its deadline.
+   * @returns Milliseconds to subtract from the message's deadline.
    */
   possibleWait(now: number): number {
-    const gap = this.lastBeat === undefined ? 0 : now - this.lastBeat;
+    const gap = this.lastHeartbeatAt === undefined ? 0 : now - this.lastHeartbeatAt;
     if (gap >= this.pauseMilliseconds) return gap;
-    return now < this.settledAt ? this.pauseLength : 0;
+    return now < this.pauseCountsUntil ? this.pauseDuration : 0;
   }
 }
--- a/src/requests/PlacementChooser.spec.ts
+++ b/src/requests/PlacementChooser.spec.ts
@@ -40,7 +40,7 @@
 const REFUSED = { load: 900, mean: 300, retryAfterMilliseconds: 400, lastChoice: false };
 
 describe(PlacementChooser.name, () => {
-  it('puts the fleet, the warm runners and the refusals before the routing decisions', () => {
+  it('passes the fleet, the warm runners and the refusals to the routing decisions', () => {
     const fleet = new FleetOfRunners({ a: 'live', b: 'live', c: 'leaving' });
     const chooser = new PlacementChooser({ fleet });
     const warm = [create(WarmRunnerSchema, { runnerId: 'b', cachedTokens: 1_900 })];
@@ -53,7 +53,7 @@
     );
   });
 
-  it('asks nobody again who was lost, and says when to come back', () => {
+  it('does not choose a runner whose attempt was lost, and returns a Retry-After', () => {
     const chooser = new PlacementChooser({ fleet: new FleetOfRunners({ a: 'live', b: 'live' }) });
     const lost = { runnerId: 'a', why: 'lost' as const, ...REFUSED };
     expect(chooser.choose(questionOf({ tried: [lost] }))).toEqual(
--- a/src/requests/PlacementChooser.ts
+++ b/src/requests/PlacementChooser.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses by the routing decisions, from what this daemon believes of the fleet.
+ * Chooses runners by the routing decisions, from this daemon's view of the fleet.
  */
 import type { FleetRunner, FleetView } from '../fleet/FleetView.js';
 import { accountRunnerCount } from '../gates/accountShare.js';
@@ -23,8 +23,11 @@
   placement?: PlacementDecisions;
 }
 
-/** A runner that was lost counts as down for this request, one that has a hedge as taken. */
-function reasonOf({ why }: TriedRunner): RefusalReason {
+/**
+ * Maps a tried runner to a refusal reason: a runner whose attempt was lost or hedged counts as
+ * down for this request.
+ */
+function refusalReasonOf({ why }: TriedRunner): RefusalReason {
   return why === 'lost' || why === 'hedged' ? 'runner_down' : why;
 }
 
@@ -33,7 +36,7 @@
   return { bound, warmChoices, coldChoices, reuseWeight, overflow: overflow as Overflow };
 }
 
-function answerOf(action: PlacementAction, bound: number): ChooserAnswer {
+function choiceOf(action: PlacementAction, bound: number): ChooserAnswer {
   const passedOver = action.passedOver.map(({ runnerId, reason }) => ({ runnerId, reason }));
   if (action.kind === 'give_up') {
     const { reason, retryAfterMilliseconds } = action;
@@ -56,13 +59,13 @@
   };
 }
 
-/** See the module's comment. */
+/** Translates between a request's choice and the routing decisions. */
 export class PlacementChooser extends Chooser {
   private readonly fleet: FleetView;
 
   private readonly placement: PlacementDecisions;
 
-  /** Worked out once for each list of runners; a request would otherwise copy hundreds of them. */
+  /** Cached for each list of runners; otherwise every request would copy hundreds of them. */
   private readonly candidateLists = new WeakMap<
     readonly FleetRunner[],
     readonly PlacementCandidate[]
@@ -80,7 +83,7 @@
   override choose(question: ChooserQuestion): ChooserAnswer {
     const placement = this.questionOf(question);
     const action = this.placement.place(placement);
-    return answerOf(action, placement.policy.bound);
+    return choiceOf(action, placement.policy.bound);
   }
 
   private questionOf({ request, warm, tried, deadlineMilliseconds }: ChooserQuestion) {
@@ -103,13 +106,17 @@
       warm,
       mean,
       lightest,
-      refusals: tried.map((runner) => ({ ...runner, reason: reasonOf(runner) })),
+      refusals: tried.map((runner) => ({ ...runner, reason: refusalReasonOf(runner) })),
       accountRunners: this.accountRunners(clientAccount, candidates.length),
     };
     return question;
   }
 
-  /** An account with limits uses few runners, or its share at each of them would be below one request. */
+  /**
+   * Returns the number of runners that the account may use, or `undefined` if it has no limits.
+   * With all runners of a large pool, the account's share at each of them would be below one
+   * request.
+   */
   private accountRunners(clientAccount: string, poolRunners: number): number | undefined {
     const account = this.fleet.clientAccount(clientAccount);
     const { maximumConcurrentRequests = 0, maximumTokensPerMinute = 0 } = account ?? {};
@@ -119,8 +126,8 @@
   }
 
   private candidatesOf(runners: readonly FleetRunner[]): readonly PlacementCandidate[] {
-    const known = this.candidateLists.get(runners);
-    if (known) return known;
+    const cached = this.candidateLists.get(runners);
+    if (cached) return cached;
     const candidates = runners.map(({ id, state, record }) => ({
       id,
       state,
--- a/src/requests/RequestContext.ts
+++ b/src/requests/RequestContext.ts
@@ -1,6 +1,6 @@
 /**
- * What the phases of one request share: its state in the chart, its open readings, what is known of its
- * attempts, and the actions of the current step.
+ * State shared by the phases of one request: its state in the chart, its open readings, what is
+ * known about its attempts, and the actions of the current step.
  */
 import { ChartInterpreter } from '../charts/ChartInterpreter.js';
 import type { EventOf, StateOf } from '../charts/chartTypes.js';
@@ -22,7 +22,7 @@
 /** Events of `request.chart.json`. */
 export type RequestEvent = EventOf<typeof chart>;
 
-/** One kind of message. */
+/** The messages of one kind. */
 export type MessageOf<Kind extends RequestMessage['kind']> = Extract<
   RequestMessage,
   { kind: Kind }
@@ -30,7 +30,7 @@
 
 const CHART = new ChartInterpreter<RequestState, RequestEvent>({ chart });
 
-const NOT_BEGUN: RequestFacts = Object.freeze({
+const INITIAL_FACTS: RequestFacts = Object.freeze({
   payer: { clientAccount: '', service: '' },
   deadline: Infinity,
   idempotent: false,
@@ -38,16 +38,16 @@
   attemptSeed: '',
 });
 
-/** State of one request, for the phases only. */
+/** Holds the state of one request for its phases; nothing else uses it. */
 export class RequestContext {
   readonly timings: RequestTimings;
 
-  /** Set once, by the first message. */
-  facts: RequestFacts = NOT_BEGUN;
+  /** Properties of the request, set once by the first message. */
+  facts: RequestFacts = INITIAL_FACTS;
 
   now = 0;
 
-  /** Whether the caller has seen a part of the answer. */
+  /** Whether the caller has received a part of the answer. */
   delivered = false;
 
   readonly readings = new Map<number, Reading>();
@@ -60,18 +60,18 @@
 
   private attemptsOpened = 0;
 
-  /** Attempts that were not refused: each of them may have run. */
-  private unexplainedAttempts = 0;
+  /** Number of attempts that were not refused; each of them may have run. */
+  private attemptsThatMayHaveRun = 0;
 
   /**
-   * @param timings - times and numbers.
+   * @param timings - timeouts, pauses and limits.
    */
   constructor(timings: RequestTimings) {
     this.timings = timings;
   }
 
   /**
-   * Starts a step.
+   * Starts a step: sets the time and clears the actions.
    *
    * @param now - monotonic milliseconds.
    */
@@ -80,34 +80,38 @@
     this.actions = [];
   }
 
-  /** @returns The actions of the step. */
+  /** @returns The actions of the current step. */
   endStep(): readonly RequestAction[] {
     return this.actions;
   }
 
   /**
+   * Adds an action to the current step.
+   *
    * @param action - what the owner has to do.
    */
   act(action: RequestAction): void {
     this.actions.push(action);
   }
 
-  /** @returns Whether the last event was decided. */
+  /** @returns Whether the request has ended. */
   ended(): boolean {
     return CHART.isFinal(this.state);
   }
 
   /**
    * @param states - states of the chart.
-   * @returns Whether the request is in one of them.
+   * @returns Whether the request is in one of these states.
    */
   isIn(...states: readonly RequestState[]): boolean {
     return states.includes(this.state);
   }
 
   /**
+   * Moves the request to the next state if the chart accepts the event in the current one.
+   *
    * @param event - an event of the chart.
-   * @returns Whether the request's state accepts it; the request is in the next state then.
+   * @returns Whether the event was accepted.
    */
   advance(event: RequestEvent): boolean {
     const { state, accepted } = CHART.next(this.state, event);
@@ -115,21 +119,27 @@
     return accepted;
   }
 
-  /** @returns What may be said of the request if it ended now. */
+  /**
+   * @returns What is known about the execution of the request, for the event that would end it
+   *   now.
+   */
   knowledge(): RequestKnowledge {
     return {
-      notRun: this.unexplainedAttempts === 0,
+      notRun: this.attemptsThatMayHaveRun === 0,
       idempotent: this.facts.idempotent,
       delivered: this.delivered,
     };
   }
 
-  /** @returns Attempts opened so far. */
+  /** @returns Number of attempts opened so far. */
   attempts(): number {
     return this.attemptsOpened;
   }
 
-  /** @returns Milliseconds to pass on to the next hop; zero or less when it is too late to ask. */
+  /**
+   * @returns The deadline for the next hop in milliseconds; zero or less when no time is left for
+   *   it.
+   */
   remainingForHop(): number {
     return Math.floor(this.facts.deadline - this.now - this.timings.hopReserveMilliseconds);
   }
@@ -137,12 +147,12 @@
   /**
    * Opens the next attempt.
    *
-   * @param chosen - where it goes.
-   * @param purpose - why.
+   * @param chosen - the runner of the attempt, as chosen.
+   * @param purpose - why the attempt is opened.
    */
   openAttempt(chosen: MessageOf<'chosen'>, purpose: AttemptPurpose): void {
     this.attemptsOpened += 1;
-    this.unexplainedAttempts += 1;
+    this.attemptsThatMayHaveRun += 1;
     const attemptId = `${this.facts.attemptSeed}-${this.attemptsOpened}`;
     const { runnerId, cachedTokens, bound, lastChoice } = chosen;
     const reading = this.openReading(attemptId, runnerId, 'attempt', lastChoice);
@@ -160,13 +170,13 @@
   }
 
   /**
-   * Notes a reading.
+   * Adds an open reading.
    *
-   * @param attemptId - the attempt that it reads.
-   * @param runnerId - where the attempt is.
-   * @param mode - whether it started the attempt.
+   * @param attemptId - the attempt whose events are read.
+   * @param runnerId - the runner of the attempt.
+   * @param mode - whether the reading starts the attempt or resumes it.
    * @param lastChoice - whether the gate was asked to queue the attempt.
-   * @returns The reading's number.
+   * @returns The number of the reading.
    */
   openReading(
     attemptId: string,
@@ -190,22 +200,26 @@
     return number;
   }
 
-  /** A stream that was continued by `Last-Event-ID` has one attempt, and it surely reached a runner. */
+  /**
+   * Counts the attempt of a stream that the caller resumes with `Last-Event-ID`; this attempt has
+   * certainly reached a runner.
+   */
   adoptAttempt(): void {
-    this.unexplainedAttempts += 1;
+    this.attemptsThatMayHaveRun += 1;
   }
 
-  /** The gate says that an attempt did not run. */
+  /** Records that an attempt did not run, as its gate reported. */
   explainRefused(): void {
-    this.unexplainedAttempts -= 1;
+    this.attemptsThatMayHaveRun -= 1;
   }
 
   /**
-   * Finds the reading of a message and notes that it spoke. A reading that was given up may still speak;
-   * what it says is dropped, because another one has taken its place.
+   * Finds the reading that a message belongs to and updates the time of its last event. A reading
+   * that was abandoned may still deliver events; they are dropped, because another reading has
+   * replaced it.
    *
    * @param message - the message.
-   * @returns The reading, or `undefined` when the message has to be dropped.
+   * @returns The reading, or `undefined` if the message has to be dropped.
    */
   readingOf(message: RequestMessage & { readonly reading: number }): Reading | undefined {
     const reading = this.readings.get(message.reading);
@@ -219,11 +233,11 @@
   }
 
   /**
-   * As {@link RequestContext.readingOf}, for messages that echo their attempt: an echo of another attempt
-   * is somebody else's answer.
+   * Like {@link RequestContext.readingOf}, for messages that carry an attempt id: a message with
+   * the id of another attempt belongs to the answer of another request and is dropped.
    *
    * @param message - the message.
-   * @returns The reading, or `undefined` when the message has to be dropped.
+   * @returns The reading, or `undefined` if the message has to be dropped.
    */
   ownReadingOf(
     message: RequestMessage & { readonly reading: number; readonly attemptId: string },
@@ -237,7 +251,7 @@
   /**
    * Stops reading and cancels the attempt at its runner.
    *
-   * @param reading - the reading.
+   * @param reading - the reading to stop.
    */
   cancelReading({ number, attemptId, runnerId }: Reading): void {
     this.readings.delete(number);
@@ -245,9 +259,9 @@
   }
 
   /**
-   * Stops reading; the attempt goes on.
+   * Stops reading; the attempt continues.
    *
-   * @param reading - the reading.
+   * @param reading - the reading to stop.
    */
   abandonReading({ number }: Reading): void {
     this.readings.delete(number);
@@ -255,11 +269,12 @@
   }
 
   /**
-   * Ends the request; what is still open at gates is cancelled. What may not be repeated is only left,
-   * unless its caller cancels: the gate drops it while it waits and lets it finish when it runs, for stopping
-   * it half done would be worse than an answer that nobody reads.
+   * Ends the request and cancels the attempts that are still open. The attempt of a
+   * non-idempotent request is only abandoned, unless its caller cancels: the gate drops it while
+   * it is queued and lets it finish once it runs, because stopping it half done would be worse
+   * than an answer that is not read.
    *
-   * @param failure - its last event.
+   * @param failure - the last event of the request.
    */
   fail(failure: RequestFailure): void {
     const stops = this.facts.idempotent || failure.code === 'cancelled';
@@ -271,7 +286,7 @@
     this.act({ kind: 'fail', failure });
   }
 
-  /** Ends the request at its deadline. */
+  /** Ends the request because its deadline has passed. */
   expire(): void {
     this.fail(deadlineFailure(this.knowledge()));
   }
--- a/src/requests/RequestDecisions.ts
+++ b/src/requests/RequestDecisions.ts
@@ -1,8 +1,9 @@
 /**
- * The life of one request: where it goes, when it is sent on again, how a cut stream goes on, how it ends.
+ * Decides the course of one request: which runner gets it, when it is retried, how a cut stream
+ * is resumed, and how it ends.
  *
- * One object for each request. Requests share nothing but the retry budget, so a session file tells the
- * story of one request, and the memory of a request goes with it.
+ * There is one object for each request. Requests share only the retry budget, so that a recorded
+ * session covers exactly one request, and the memory of a request is freed with it.
  */
 import { match } from 'ts-pattern';
 
@@ -36,18 +37,25 @@
   timings?: RequestTimings;
 }
 
-/** Ends that are still told after the deadline, because they are known. */
-const KNOWN_ENDS: ReadonlySet<RequestMessage['kind']> = new Set(['completed', 'refused', 'failed']);
+/**
+ * Final gate messages that are still processed after the deadline, because they report a known
+ * outcome.
+ */
+const FINAL_GATE_MESSAGES: ReadonlySet<RequestMessage['kind']> = new Set([
+  'completed',
+  'refused',
+  'failed',
+]);
 
-/** Codes of a gate that would not change at another runner. */
-const FINAL_CODES: ReadonlySet<string> = new Set([
+/** Failure codes that every other runner would report too, so the request is not retried. */
+const NON_RETRYABLE_CODES: ReadonlySet<string> = new Set([
   'cancelled',
   'deadline_exceeded',
   'invalid_request',
   'account_limit',
 ]);
 
-/** See the module's comment. */
+/** Decisions of one request: dispatches its messages to the attempt phase and the stream phase. */
 export class RequestDecisions extends Decisions<RequestMessage, RequestAction> {
   private readonly context: RequestContext;
 
@@ -55,8 +63,11 @@
 
   private readonly stream: StreamPhase;
 
-  /** Whether the caller has a part from an earlier request and came back for the rest. */
-  private isCallersResume = false;
+  /**
+   * Whether the caller has received a part of the answer by an earlier request and resumes the
+   * stream.
+   */
+  private isResumedByCaller = false;
 
   /**
    * @param options - the shared retry budget and the timings.
@@ -68,7 +79,7 @@
     this.stream = new StreamPhase(this.context);
   }
 
-  /** @returns Whether the last event was decided. */
+  /** @returns Whether the request has ended. */
   ended(): boolean {
     return this.context.ended();
   }
@@ -77,10 +88,11 @@
     const { context } = this;
     context.beginStep(now);
     if (context.ended()) return context.endStep();
-    // A daemon that was paused wakes with whatever message comes first. Past the deadline only an end that
-    // is already known is told; without this check the woken daemon would send the request on.
-    const late = now >= context.facts.deadline && !KNOWN_ENDS.has(message.kind);
-    if (late) context.expire();
+    // After a pause the daemon may process any message first. Past the deadline only a known
+    // outcome is passed on; without this check the daemon would send the request to another
+    // runner after its deadline.
+    const isExpired = now >= context.facts.deadline && !FINAL_GATE_MESSAGES.has(message.kind);
+    if (isExpired) context.expire();
     else this.handle(message);
     return context.endStep();
   }
@@ -93,13 +105,13 @@
       this.attempts.nextWake() ?? Infinity,
       this.stream.nextWake() ?? Infinity,
     );
-    // Asked after each chunk, so without new arrays.
+    // Called after each chunk, so it allocates no arrays.
     for (const { checkAt } of context.readings.values()) earliest = Math.min(earliest, checkAt);
     return Number.isFinite(earliest) ? earliest : undefined;
   }
 
   private handle(message: RequestMessage): void {
-    // Nearly all messages are chunks; each pattern that is tried costs some of their time.
+    // Nearly all messages are chunks; matching them against the patterns below would cost time.
     if (message.kind === 'chunk') {
       this.onChunk(message);
       return;
@@ -148,7 +160,7 @@
       streaming: true,
       attemptSeed: stream.attemptId,
     };
-    this.isCallersResume = true;
+    this.isResumedByCaller = true;
     this.context.advance('resume');
     this.stream.beginResume({ deadlineMilliseconds, clientAccount, service, ...stream });
   }
@@ -156,9 +168,11 @@
   private onRefused(refused: MessageOf<'refused'>): void {
     const reading = this.context.readingOf(refused);
     if (!reading) return;
-    // A refused resume says only that the stream cannot be read there now. The attempt itself was sent
-    // before; taking this for "not run" would be a lie that makes a caller run it twice.
-    if (reading.mode === 'resume') this.cut(reading, `The gate refused: ${refused.reason}.`);
+    // A refused resume only means that the stream can't be read there now. Its attempt was sent
+    // before, so reporting "not run" would be wrong and could make the caller run the request
+    // twice.
+    if (reading.mode === 'resume')
+      this.onStreamCut(reading, `The gate refused: ${refused.reason}.`);
     else this.attempts.onRefused(reading, refused);
   }
 
@@ -183,12 +197,12 @@
     if (!reading) return;
     const { code, message, retryAfterMilliseconds, resumable } = failed;
     const failure = reportedFailure(context.knowledge(), code, message, retryAfterMilliseconds);
-    if (resumable) this.cut(reading, message);
-    else if (FINAL_CODES.has(code)) context.fail(failure);
-    else if (this.maySendAgain()) this.sendAgain(reading, message);
+    if (resumable) this.onStreamCut(reading, message);
+    else if (NON_RETRYABLE_CODES.has(code)) context.fail(failure);
+    else if (this.mayRetry()) this.retryElsewhere(reading, message);
     else if (context.delivered) {
       context.abandonReading(reading);
-      context.fail(this.brokenFailure(code, message));
+      context.fail(this.failureOfCutStream(code, message));
     } else context.fail(failure);
   }
 
@@ -196,16 +210,21 @@
     const { context } = this;
     const reading = context.readingOf(lost);
     if (!reading) return;
-    // Before the answer started there is nothing to continue; an idempotent request is quicker elsewhere.
-    const elsewhere = this.maySendAgain() && !this.stream.isHeadKnown();
-    if (elsewhere) this.sendAgain(reading, lost.message);
-    else this.cut(reading, lost.message);
+    // Before the answer starts there is nothing to resume; an idempotent request is faster on
+    // another runner.
+    const shouldRetryElsewhere = this.mayRetry() && !this.stream.isHeadKnown();
+    if (shouldRetryElsewhere) this.retryElsewhere(reading, lost.message);
+    else this.onStreamCut(reading, lost.message);
   }
 
   private onGateChecked({ reading: number, alive }: MessageOf<'gate_checked'>): void {
     const reading = this.context.readings.get(number);
     if (!reading || alive) return;
-    this.onLost({ kind: 'lost', reading: number, message: 'The daemon of the gate is gone.' });
+    this.onLost({
+      kind: 'lost',
+      reading: number,
+      message: 'The daemon that holds the gate is dead or has left the fleet.',
+    });
   }
 
   private onCancel(): void {
@@ -215,42 +234,48 @@
   private onTick(): void {
     this.attempts.onTick();
     if (!this.context.ended()) this.stream.onTick();
-    if (!this.context.ended()) this.checkReadings();
+    if (!this.context.ended()) this.checkIdleReadings();
   }
 
-  /** Silence alone proves nothing; silence through a dead daemon, or for very long, is a cut. */
-  private checkReadings(): void {
+  /**
+   * Looks up the daemon of each idle reading. A stream without events is not a failure by itself;
+   * it counts as cut if the daemon is dead, or after the idle timeout.
+   */
+  private checkIdleReadings(): void {
     const { context } = this;
     const { gateCheckMilliseconds, streamIdleMilliseconds } = context.timings;
     for (const reading of [...context.readings.values()]) {
       if (context.now < reading.checkAt) continue;
       reading.checkAt = context.now + gateCheckMilliseconds;
-      const idle = context.now - reading.lastEventAt >= streamIdleMilliseconds;
-      if (idle && this.stream.isHeadKnown())
-        this.cut(reading, 'The stream was silent for too long.');
+      const isIdle = context.now - reading.lastEventAt >= streamIdleMilliseconds;
+      if (isIdle && this.stream.isHeadKnown())
+        this.onStreamCut(reading, 'The stream delivered no event within the idle timeout.');
       else context.act({ kind: 'check_gate', reading: reading.number });
     }
   }
 
-  /** A caller that came back for the rest has to hear that there is none, or it comes back for ever. */
-  private brokenFailure(code: string, message: string): RequestFailure {
-    if (this.isCallersResume && code === 'cannot_resume') return restGoneFailure(message);
+  /**
+   * Returns the failure for a stream that can't be resumed. A caller that resumed the stream must
+   * be told that the rest is lost, otherwise it would resume again and again.
+   */
+  private failureOfCutStream(code: string, message: string): RequestFailure {
+    if (this.isResumedByCaller && code === 'cannot_resume') return restGoneFailure(message);
     return cutFailure(this.context.knowledge(), message, false);
   }
 
-  private maySendAgain(): boolean {
+  private mayRetry(): boolean {
     return this.context.facts.idempotent && !this.context.delivered;
   }
 
-  private sendAgain(reading: Reading, message: string): void {
+  private retryElsewhere(reading: Reading, message: string): void {
     const failure = cutFailure(this.context.knowledge(), message, false);
     this.stream.forget();
     this.attempts.onBroken(reading, failure);
   }
 
-  private cut(reading: Reading, message: string): void {
+  private onStreamCut(reading: Reading, message: string): void {
     if (this.stream.cut(reading, message) === 'resuming') return;
-    if (!this.maySendAgain()) this.stream.failCut(true);
-    else this.sendAgain(reading, message);
+    if (!this.mayRetry()) this.stream.failCut(true);
+    else this.retryElsewhere(reading, message);
   }
 }
--- a/src/requests/RequestOwner.spec.ts
+++ b/src/requests/RequestOwner.spec.ts
@@ -13,26 +13,26 @@
 type Fault = 'kill' | 'cut' | 'freeze' | 'late';
 type Step = 'home' | 'gate' | 'queued' | 'running' | 'head' | 'stream' | 'end';
 
-/** What a gate does up to a step; then the fault strikes. */
-function scriptOf(step: Step, strike: (attempt: FakeAttempt) => Promise<void>): GateScript {
+/** A gate that works up to a step, at which the fault is applied. */
+function scriptOf(step: Step, applyFault: (attempt: FakeAttempt) => Promise<void>): GateScript {
   return async function* script(attempt): AsyncGenerator<ExecuteEvent> {
-    if (step === 'gate') await strike(attempt);
+    if (step === 'gate') await applyFault(attempt);
     if (step === 'queued') await attempt.wait(100);
-    if (step === 'queued') await strike(attempt);
+    if (step === 'queued') await applyFault(attempt);
     attempt.run();
-    if (step === 'running') await strike(attempt);
+    if (step === 'running') await applyFault(attempt);
     yield attempt.head();
-    if (step === 'head') await strike(attempt);
+    if (step === 'head') await applyFault(attempt);
     for (const [index] of ANSWER.entries()) {
       yield attempt.chunk(index + 1);
-      if (step === 'stream' && index === 0) await strike(attempt);
+      if (step === 'stream' && index === 0) await applyFault(attempt);
     }
-    if (step === 'end') await strike(attempt);
+    if (step === 'end') await applyFault(attempt);
     yield attempt.completed();
   };
 }
 
-const STRIKES: Record<Fault, (attempt: FakeAttempt) => Promise<void>> = {
+const FAULT_ACTIONS: Record<Fault, (attempt: FakeAttempt) => Promise<void>> = {
   kill: async (attempt) => {
     attempt.forget();
     throw new Error('connection reset');
@@ -46,12 +46,15 @@
 
 function inject(harness: Harness, step: Step, fault: Fault): void {
   if (step === 'home') harness.homes.freeze();
-  else harness.gates.follow(scriptOf(step, STRIKES[fault]));
+  else harness.gates.follow(scriptOf(step, FAULT_ACTIONS[fault]));
   if (fault === 'freeze') harness.declareDead(3_000);
 }
 
 describe(RequestOwner.name, () => {
-  /** Step, fault, then for idempotent and non-idempotent requests: the end and the number of runs. */
+  /**
+   * Step, fault, and then the end and the number of runs, first for idempotent and then for
+   * non-idempotent requests.
+   */
   const faults: [Step, Fault, string, number, string, number][] = [
     ['home', 'freeze', 'completed', 1, 'completed', 1],
     ['gate', 'kill', 'completed', 1, 'outcome_unknown', 0],
@@ -80,9 +83,10 @@
     ['end', 'late', 'completed', 1, 'completed', 1],
   ];
   for (const [step, fault, idempotentEnd, idempotentRuns, boundEnd, boundRuns] of faults) {
-    // Symptom: an answer is missing, doubled or cut without a word, or a reservation is made twice.
-    // Sequence: the daemon of the gate is killed, cut off, frozen or late at this step of a request.
-    // Cause: whoever waits for it takes silence for an end, or a lost answer for a request that did not run.
+    // Guards against an answer that is missing, doubled or cut without an error, and against a
+    // reservation that is made twice. Here the daemon of the gate is killed, cut off, frozen or
+    // late at this step of a request. It happens if a missing event is taken for the end of the
+    // answer, or a lost answer for a request that did not run.
     it(
       `idempotent, ${fault} at ${step}: ${idempotentEnd}`,
       withHarness(async (harness) => {
--- a/src/requests/RequestOwner.ts
+++ b/src/requests/RequestOwner.ts
@@ -1,5 +1,5 @@
 /**
- * Owns the requests that came to this daemon, from their check to their last event.
+ * Owns the requests that arrive at this daemon, from their validation to their last event.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -44,12 +44,12 @@
   clock: Clock;
   log: Log;
   settings?: RequestSettings;
-  /** For recording sessions; called for each step of each request. */
+  /** Records a session; called for each step of each request. */
   record?: (requestId: string, step: DecisionStep<RequestMessage, RequestAction>) => void;
 }
 
-/** A call of a caller, for as long as it lasts. */
-interface Call {
+/** A call of a caller that has not ended. */
+interface ActiveCall {
   readonly clientAccount: string;
   readonly requestId: string;
   readonly cancellation: Cancellation;
@@ -59,13 +59,13 @@
   kind: 'failed',
   code: 'cannot_resume',
   notRun: false,
-  message: 'No stream of this account goes by that event id.',
+  message: 'The event id does not belong to a stream of this client account.',
   resumable: false,
 });
 
-/** See the module's comment. */
+/** Runs, resumes and cancels requests of callers, and runs bound requests for other daemons. */
 export class RequestOwner extends RequestPort {
-  /** Issues bindings to this process life. */
+  /** Issues bindings of this incarnation. */
   readonly bindings: BindingIssuer;
 
   private readonly ports: RequestPorts;
@@ -78,10 +78,10 @@
 
   private readonly tasks = new Set<RequestTask>();
 
-  private readonly calls = new Set<Call>();
+  private readonly calls = new Set<ActiveCall>();
 
   /**
-   * @param options - the ports, the settings and a recorder.
+   * @param options - the dependencies, the settings and an optional recorder.
    */
   constructor({
     peers,
@@ -99,20 +99,20 @@
       forward: (...call) => forwarder.forward(...call),
     });
     this.bindings = this.bound;
-    this.heartbeat = setInterval(() => this.beat(), DEFAULT_BEAT_MILLISECONDS);
+    this.heartbeat = setInterval(() => this.checkForPause(), DEFAULT_BEAT_MILLISECONDS);
     this.heartbeat.unref();
   }
 
   override async *run(request: CallerRequest, signal: AbortSignal): AsyncGenerator<CallerEvent> {
     if (request.binding !== undefined) {
-      yield* this.tracked(request, (cancellation) => {
+      yield* this.withCancellation(request, (cancellation) => {
         const events = this.bound.run(request, signal, cancellation);
         return untilDeadline(events, request.deadlineMilliseconds, signal);
       });
     } else if (!request.idempotent) {
       yield this.bound.refuseUnbound(request.clientAccount);
     } else {
-      yield* this.work({ kind: 'new', request, idempotent: true }, signal);
+      yield* this.runTask({ kind: 'new', request, idempotent: true }, signal);
     }
   }
 
@@ -123,7 +123,8 @@
     signal: AbortSignal,
   ): AsyncGenerator<CallerEvent> {
     const opened = new EventIdReader(this.ports.tokens).open(lastEventId);
-    // Another account's stream is answered like an unknown one: its existence is nobody else's business.
+    // A stream of another client account is answered like an unknown one, so that its existence
+    // is not disclosed.
     if (!opened || opened.token.clientAccount !== clientAccount) {
       yield { ...CANNOT_RESUME };
       return;
@@ -139,14 +140,16 @@
       runnerId,
       afterSequence,
     };
-    yield* this.work({ kind: 'resumed', stream }, signal);
+    yield* this.runTask({ kind: 'resumed', stream }, signal);
   }
 
   override async cancel(clientAccount: string, requestId: string): Promise<boolean> {
-    const own = [...this.calls].filter(
+    const matchingCalls = [...this.calls].filter(
       (call) => call.clientAccount === clientAccount && call.requestId === requestId,
     );
-    return own.map(({ cancellation }) => cancellation.cancel()).some((known) => known);
+    return matchingCalls
+      .map(({ cancellation }) => cancellation.cancel())
+      .some((wasActive) => wasActive);
   }
 
   override inProgress(): number {
@@ -154,10 +157,10 @@
   }
 
   /**
-   * Answers another daemon that handed over a bound request.
+   * Runs a bound request that another daemon forwarded.
    *
    * @param message - the binding and the request.
-   * @returns The answer of the one run; the run goes on when the other daemon stops reading.
+   * @returns The answer of the single run; the run continues when the other daemon stops reading.
    */
   async *runBound({ binding, request }: RunBoundRequest): AsyncGenerator<ExecuteEvent> {
     const now = this.ports.clock.monotonicMilliseconds();
@@ -169,26 +172,29 @@
     }
   }
 
-  /** Releases the timer; requests in progress go on. */
+  /** Stops the heartbeat timer; requests in progress continue. */
   stop(): void {
     clearInterval(this.heartbeat);
   }
 
-  private async *work(work: RequestWork, signal: AbortSignal): AsyncGenerator<CallerEvent> {
+  private async *runTask(work: RequestWork, signal: AbortSignal): AsyncGenerator<CallerEvent> {
     const task: RequestTask = new RequestTask({
       ports: this.ports,
       work,
       onEnd: () => this.tasks.delete(task),
     });
     this.tasks.add(task);
-    yield* this.tracked(work.kind === 'new' ? work.request : work.stream, (cancellation) => {
-      cancellation.onCancel(() => task.send({ kind: 'cancel' }));
-      return task.start(signal);
-    });
+    yield* this.withCancellation(
+      work.kind === 'new' ? work.request : work.stream,
+      (cancellation) => {
+        cancellation.onCancel(() => task.send({ kind: 'cancel' }));
+        return task.start(signal);
+      },
+    );
   }
 
-  /** Makes a call known to {@link RequestOwner.cancel} while it lasts. */
-  private async *tracked(
+  /** Registers a call for {@link RequestOwner.cancel} while it is in progress. */
+  private async *withCancellation(
     { clientAccount, requestId }: Pick<CallerRequest, 'clientAccount' | 'requestId'>,
     open: (cancellation: Cancellation) => AsyncIterable<CallerEvent>,
   ): AsyncGenerator<CallerEvent> {
@@ -201,7 +207,7 @@
     }
   }
 
-  private beat(): void {
+  private checkForPause(): void {
     const pause = this.pauses.beat(this.ports.clock.monotonicMilliseconds());
     if (pause > 0) this.ports.log.write(LOG_EVENTS.paused, { milliseconds: Math.round(pause) });
   }
--- a/src/requests/RequestPort.ts
+++ b/src/requests/RequestPort.ts
@@ -1,26 +1,28 @@
 /**
- * How the callers' interface hands a request to its owner.
+ * Port through which the callers' interface hands a request to its owner.
  */
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 
-/** Owns requests from their check to their last event. */
+/** Owns requests from their validation to their last event. */
 export abstract class RequestPort {
   /**
-   * Runs a request. Never throws: whatever goes wrong is a `failed` event, which is then the last.
+   * Runs a request. Never throws: every error is reported by a `failed` event, which is then the
+   * last one.
    *
-   * @param request - the checked request.
-   * @param signal - aborted when the caller has gone; an idempotent stream then stays resumable for a while.
+   * @param request - the validated request.
+   * @param signal - aborted when the caller has disconnected; an idempotent stream then stays
+   *   resumable for a while.
    * @returns Events in order, ended by `completed` or `failed`.
    */
   abstract run(request: CallerRequest, signal: AbortSignal): AsyncIterable<CallerEvent>;
 
   /**
-   * Continues a stream after the event that the caller saw last.
+   * Continues a stream after the last event that the caller received.
    *
-   * @param clientAccount - who asks; only the stream's own account may.
+   * @param clientAccount - the account that asks; only the stream's own account may resume it.
    * @param lastEventId - the opaque id from a `chunk` event.
-   * @param deadlineMilliseconds - how long the caller still waits.
-   * @param signal - aborted when the caller has gone.
+   * @param deadlineMilliseconds - how long the caller still waits, in milliseconds.
+   * @param signal - aborted when the caller has disconnected.
    * @returns Events in order, ended by `completed` or `failed`.
    */
   abstract resume(
@@ -31,14 +33,14 @@
   ): AsyncIterable<CallerEvent>;
 
   /**
-   * Cancels a request of this account that this daemon owns; idempotent.
+   * Cancels a request of this client account that this daemon owns. Repeated calls are harmless.
    *
-   * @param clientAccount - who asks.
+   * @param clientAccount - the account that asks.
    * @param requestId - the request.
-   * @returns Whether it was known and not yet ended.
+   * @returns Whether the request was in progress.
    */
   abstract cancel(clientAccount: string, requestId: string): Promise<boolean>;
 
-  /** @returns Requests in progress, for a graceful stop. */
+  /** @returns Number of requests in progress, for a graceful stop. */
   abstract inProgress(): number;
 }
--- a/src/requests/RequestPorts.ts
+++ b/src/requests/RequestPorts.ts
@@ -1,5 +1,6 @@
 /**
- * What every request of a daemon uses: the ports to the other features, and what all requests share.
+ * Dependencies that all requests of a daemon share: the ports to other features, the retry budget
+ * and the settings.
  */
 import type { DecisionStep } from '../decisions/DecisionTask.js';
 import type { FleetView } from '../fleet/FleetView.js';
@@ -13,7 +14,7 @@
 import type { RequestTimings } from './requestTimings.js';
 import type { RetryBudget } from './RetryBudget.js';
 
-/** What every request of a daemon uses. */
+/** Dependencies shared by all requests of a daemon. */
 export interface RequestPorts {
   readonly gates: GatePort;
   readonly homes: HomePort;
@@ -25,6 +26,6 @@
   readonly budget: RetryBudget;
   readonly timings: RequestTimings;
   readonly maximumBufferedBytes: number;
-  /** For recording sessions; called for each step of each request. */
+  /** Records a session; called for each step of each request. */
   readonly record?: (requestId: string, step: DecisionStep<RequestMessage, RequestAction>) => void;
 }
--- a/src/requests/RequestTask.ts
+++ b/src/requests/RequestTask.ts
@@ -1,5 +1,6 @@
 /**
- * Runs one request: asks its home, opens attempts and resumes at gates, and passes on the answer.
+ * Runs one request by its decisions: asks the home of the chat, opens attempts and resumes at
+ * gates, and passes the answer on to the caller.
  */
 import { randomUUID } from 'node:crypto';
 
@@ -26,7 +27,7 @@
 import type { RequestPorts } from './RequestPorts.js';
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 
-/** What a task works on: a new request, or a stream that a caller continues. */
+/** The work of a task: a new request, or a stream that a caller resumes. */
 export type RequestWork =
   | { readonly kind: 'new'; readonly request: CallerRequest; readonly idempotent: boolean }
   | { readonly kind: 'resumed'; readonly stream: ResumedStream };
@@ -35,13 +36,13 @@
 export interface RequestTaskOptions {
   ports: RequestPorts;
   work: RequestWork;
-  /** Called once, with the last event decided. */
+  /** Called once, when the last event has been queued for the caller. */
   onEnd?: () => void;
 }
 
 type ActionOf<Kind extends RequestAction['kind']> = Extract<RequestAction, { kind: Kind }>;
 
-/** Owns the readings and the queue of one request. */
+/** Performs the actions of one request's decisions; owns its readings and its event queue. */
 export class RequestTask extends DecisionTask<RequestMessage, RequestAction> {
   private readonly ports: RequestPorts;
 
@@ -57,17 +58,20 @@
 
   private warm: readonly WarmRunner[] = [];
 
-  /** Where the answer comes from, once it has started. */
+  /** Runner of the answer, once the answer has started. */
   private runnerId: string | undefined;
 
-  /** Once a chunk was passed on, all others are of the same attempt. */
+  /**
+   * Event ids of the answer. Created with its first chunk; all later chunks belong to the same
+   * attempt.
+   */
   private eventIds: EventIds | undefined;
 
-  /** The event that is being decided; its bytes stay out of the decisions. */
-  private arriving: ExecuteEvent | undefined;
+  /** The gate event that is being decided; its data is not passed to the decisions. */
+  private currentGateEvent: ExecuteEvent | undefined;
 
   /**
-   * @param options - the ports and the request.
+   * @param options - the dependencies and the request.
    */
   constructor({ ports, work, onEnd = () => {} }: RequestTaskOptions) {
     const { requestId } = work.kind === 'new' ? work.request : work.stream;
@@ -86,15 +90,15 @@
   /**
    * Starts the request.
    *
-   * @param signal - aborted when the caller has gone.
-   * @returns Its events, ended by the last one.
+   * @param signal - aborted when the caller has disconnected.
+   * @returns The events for the caller, up to the last one.
    */
   start(signal: AbortSignal): AsyncGenerator<CallerEvent, void, undefined> {
-    const gone = (): void => this.send({ kind: 'caller_gone' });
+    const onCallerGone = (): void => this.send({ kind: 'caller_gone' });
     this.send(this.firstMessage());
-    if (signal.aborted) gone();
-    else signal.addEventListener('abort', gone, { once: true });
-    return this.events(() => signal.removeEventListener('abort', gone));
+    if (signal.aborted) onCallerGone();
+    else signal.addEventListener('abort', onCallerGone, { once: true });
+    return this.events(() => signal.removeEventListener('abort', onCallerGone));
   }
 
   protected override perform(action: RequestAction): void {
@@ -146,7 +150,8 @@
       yield* this.queue.read();
     } finally {
       release();
-      // A reader that stops early is a caller that has gone; after the last event this changes nothing.
+      // A reader that stops early is a caller that has disconnected; after the last event this
+      // has no effect.
       this.send({ kind: 'caller_gone' });
       this.queue.discard();
     }
@@ -158,16 +163,16 @@
     try {
       this.warm = await this.ports.homes.ask(chat, service);
     } catch {
-      // A home that cannot be asked costs cache reuse, never an answer.
+      // A home that doesn't answer costs cache reuse only; the request continues without it.
       this.warm = [];
     }
     this.send({ kind: 'home_answered', warmRunners: this.warm.length });
   }
 
-  private choose({ kind, ...known }: ActionOf<'choose'>): void {
+  private choose({ kind, ...choice }: ActionOf<'choose'>): void {
     if (this.work.kind !== 'new') return;
-    const { purpose } = known;
-    const question = { ...known, request: this.work.request, warm: this.warm };
+    const { purpose } = choice;
+    const question = { ...choice, request: this.work.request, warm: this.warm };
     const { explanation, ...answer } = this.ports.chooser.choose(question);
     this.log(answer.kind === 'chosen' ? 'placed' : 'nobody', { purpose, ...explanation });
     this.send(answer);
@@ -178,12 +183,12 @@
     const { request } = this.work;
     const account = this.ports.fleet.clientAccount(request.clientAccount);
     const execute = executeRequestOf(request, account, attempt);
-    this.read(attempt, (signal) => this.ports.gates.execute(execute, signal));
+    this.openReading(attempt, (signal) => this.ports.gates.execute(execute, signal));
   }
 
   private resume(resume: ActionOf<'resume'>): void {
     const { attemptId, runnerId, afterSequence, deadlineMilliseconds, tries, why } = resume;
-    const { clientAccount, service } = this.subject();
+    const { clientAccount, service } = this.requestIdentity();
     const request = create(ResumeRequestSchema, {
       attemptId,
       runnerId,
@@ -193,10 +198,10 @@
       service,
     });
     this.log('resumed', { attemptId, runnerId, afterSequence, tries, why });
-    this.read(resume, (signal) => this.ports.gates.resume(request, signal));
+    this.openReading(resume, (signal) => this.ports.gates.resume(request, signal));
   }
 
-  private read(
+  private openReading(
     { reading, attemptId, runnerId }: ActionOf<'attempt'> | ActionOf<'resume'>,
     open: (signal: AbortSignal) => AsyncIterable<ExecuteEvent>,
   ): void {
@@ -207,7 +212,7 @@
       onEvent: (event) => this.onGateEvent(reading, event),
       onLost: (message) => {
         this.log('lost', { attemptId, runnerId, why: message });
-        // The error names addresses of the fleet, which are no business of callers.
+        // The error contains addresses of the fleet, which callers must not see.
         this.send({ kind: 'lost', reading, message: 'The connection to the gate broke.' });
       },
       room: () => this.queue.room(),
@@ -217,13 +222,13 @@
   }
 
   private onGateEvent(reading: number, event: ExecuteEvent): void {
-    this.keepHead(reading, event);
+    this.storeHead(reading, event);
     if (event.event.case === 'refused') this.log('refused', { reason: event.event.value.reason });
     const message = messageOfGateEvent(reading, event);
     if (!message) return;
-    this.arriving = event;
+    this.currentGateEvent = event;
     this.send(message);
-    this.arriving = undefined;
+    this.currentGateEvent = undefined;
   }
 
   private checkGate(reading: number): void {
@@ -248,11 +253,13 @@
     });
   }
 
-  /** The head of a crossed answer must not replace the right one. */
-  private keepHead(reading: number, { event }: ExecuteEvent): void {
+  /**
+   * Keeps the `started` event of a reading for the caller, unless it belongs to another attempt.
+   */
+  private storeHead(reading: number, { event }: ExecuteEvent): void {
     if (event.case !== 'started') return;
-    const own = this.readings.get(reading)?.attemptId === event.value.attemptId;
-    if (own) this.heads.set(reading, event.value);
+    const isOwnAttempt = this.readings.get(reading)?.attemptId === event.value.attemptId;
+    if (isOwnAttempt) this.heads.set(reading, event.value);
   }
 
   private deliverStarted({ reading, runnerId }: ActionOf<'deliver_started'>): void {
@@ -261,12 +268,12 @@
   }
 
   private deliverChunk({ attemptId, runnerId, sequence }: ActionOf<'deliver_chunk'>): void {
-    if (this.arriving?.event.case !== 'chunk') return;
-    const { requestId, clientAccount, service } = this.subject();
+    if (this.currentGateEvent?.event.case !== 'chunk') return;
+    const { requestId, clientAccount, service } = this.requestIdentity();
     const stream = { attemptId, runnerId, service, clientAccount, requestId };
     this.eventIds ??= new EventIds(this.ports.tokens, stream);
     const eventId = this.eventIds.of(sequence);
-    this.queue.push({ kind: 'chunk', data: this.arriving.event.value.data, eventId });
+    this.queue.push({ kind: 'chunk', data: this.currentGateEvent.event.value.data, eventId });
   }
 
   private complete(tokens: Omit<ActionOf<'complete'>, 'kind'>): void {
@@ -285,12 +292,12 @@
     this.onEnd();
   }
 
-  private subject(): Pick<CallerRequest, 'requestId' | 'clientAccount' | 'service'> {
+  private requestIdentity(): Pick<CallerRequest, 'requestId' | 'clientAccount' | 'service'> {
     return this.work.kind === 'new' ? this.work.request : this.work.stream;
   }
 
   private log(event: keyof typeof LOG_EVENTS, fields: LogFields): void {
-    const { requestId, clientAccount, service } = this.subject();
+    const { requestId, clientAccount, service } = this.requestIdentity();
     this.ports.log.write(LOG_EVENTS[event], { requestId, clientAccount, service, ...fields });
   }
 }
--- a/src/requests/RetryBudget.spec.ts
+++ b/src/requests/RetryBudget.spec.ts
@@ -8,12 +8,14 @@
 const SERVICE = 'tile-sales';
 
 describe(RetryBudget.name, () => {
-  // Symptom: the retries of one surging account leave none for the others, or amplify its own traffic.
-  // Sequence: one account's requests pay into the pool's bucket, another's retries empty it.
-  // Cause: only the pool's bucket, or only the account's, is looked at.
+  // Guards against one account whose retries leave none for the others, or amplify its own
+  // traffic. Here the requests of one account add to the pool's bucket, and the retries of
+  // another empty it. It happens if only the bucket of the pool, or only that of the account, is
+  // checked.
   it('bounds the retries of each account and of each pool', () => {
     const accounts = fc.constantFrom('a', 'b', 'c');
-    // All accounts fail, or one alone: then what the others pay in must not be spent by it.
+    // Either all accounts fail, or only one: that one must not use up what the requests of the
+    // others added.
     const step = fc.record({ account: accounts, retries: fc.nat({ max: 4 }) });
     const failing = fc.constantFrom('abc', 'a');
     fc.assert(
@@ -27,13 +29,13 @@
           const taken = { all: 0, a: 0, b: 0, c: 0 };
           const requests = { all: 0, a: 0, b: 0, c: 0 };
           for (const { account, retries } of steps) {
-            const payer = { clientAccount: account, service: SERVICE };
-            budget.recordRequest(payer);
+            const scope = { clientAccount: account, service: SERVICE };
+            budget.recordRequest(scope);
             requests.all += 1;
             requests[account] += 1;
             const wanted = failingAccounts.includes(account) ? retries : 0;
             for (let retry = 0; retry < wanted; retry += 1) {
-              if (!budget.takeRetry(payer)) break;
+              if (!budget.takeRetry(scope)) break;
               taken.all += 1;
               taken[account] += 1;
             }
@@ -47,21 +49,22 @@
     );
   });
 
-  it('gives a retry for every tenth request at a ratio of 0.1, exactly', () => {
+  it('allows exactly one retry for every tenth request at a ratio of 0.1', () => {
     const budget = new RetryBudget({ ratio: 0.1, burst: 1 });
-    const payer = { clientAccount: 'a', service: SERVICE };
-    expect([budget.takeRetry(payer), budget.takeRetry(payer)]).toEqual([true, false]);
-    for (let request = 0; request < 9; request += 1) budget.recordRequest(payer);
-    expect(budget.takeRetry(payer)).toEqual(false);
-    budget.recordRequest(payer);
-    expect([budget.takeRetry(payer), budget.takeRetry(payer)]).toEqual([true, false]);
+    const scope = { clientAccount: 'a', service: SERVICE };
+    expect([budget.takeRetry(scope), budget.takeRetry(scope)]).toEqual([true, false]);
+    for (let request = 0; request < 9; request += 1) budget.recordRequest(scope);
+    expect(budget.takeRetry(scope)).toEqual(false);
+    budget.recordRequest(scope);
+    expect([budget.takeRetry(scope), budget.takeRetry(scope)]).toEqual([true, false]);
   });
 
-  it('remembers a bounded number of accounts', () => {
+  it('keeps a bounded number of buckets', () => {
     const budget = new RetryBudget({ ratio: 0, burst: 1, maximumBuckets: 3 });
     const take = (clientAccount: string) => budget.takeRetry({ clientAccount, service: 'x' });
     expect([take('a'), take('a')]).toEqual([true, false]);
-    // The pool's bucket is used by all of them, so it is never the one that is forgotten.
+    // All accounts use the pool's bucket, so it is never the least recently used one that is
+    // dropped.
     expect([take('b'), take('c'), take('d')]).toEqual([false, false, false]);
   });
 });
--- a/src/requests/RetryBudget.ts
+++ b/src/requests/RetryBudget.ts
@@ -1,45 +1,56 @@
 /**
- * Keeps retries from amplifying a failure: each request pays a fraction of a retry into its account's and
- * its pool's bucket, each retry or hedge takes a whole one from both.
+ * Retry budget that keeps retries from amplifying a failure: each request adds a fraction of a
+ * retry to the token buckets of its client account and of its pool; each retry or hedge takes a
+ * whole retry from both.
  *
- * Without it: a pool that fails gets every request several times just when it can serve none; one would see
- * attempts grow as requests fail. With it attempts stay below (1 + ratio) × requests + burst, for each
- * account and each pool. No time enters, so that the bound holds for any period.
+ * Without it a failing pool would get every request several times just when it can serve none;
+ * the symptom is that attempts increase as requests fail. With it, attempts stay below (1 +
+ * ratio) × requests + burst for each account and each pool. The budget does not depend on time,
+ * so the limit holds for any period.
  */
 
 /** Options of a {@link RetryBudget}. */
 export interface RetryBudgetOptions {
-  /** Retries that one request pays for, 0 to 1. */
+  /** Retries that one request adds to each of its buckets, 0 to 1. */
   ratio?: number;
-  /** Retries that a bucket holds at most, and at first. */
+  /** Maximum number of retries in a bucket, and the initial number. */
   burst?: number;
-  /** Accounts and pools remembered; the one unused for longest is forgotten, and would start anew. */
+  /**
+   * Maximum number of buckets; the least recently used one is dropped, and would start with the
+   * burst again.
+   */
   maximumBuckets?: number;
 }
 
-/** Default of {@link RetryBudgetOptions.ratio}: one dead daemon of seven costs 14 % of the first attempts. */
+/**
+ * Default of {@link RetryBudgetOptions.ratio}: one dead daemon of seven costs 14 % of the first
+ * attempts, which this covers.
+ */
 export const DEFAULT_RETRY_RATIO = 0.2;
 
 /** Default of {@link RetryBudgetOptions.burst}. */
 export const DEFAULT_RETRY_BURST = 10;
 
-/** Default of {@link RetryBudgetOptions.maximumBuckets}: above the accounts of the largest site. */
+/**
+ * Default of {@link RetryBudgetOptions.maximumBuckets}: more than the number of accounts of the
+ * largest site.
+ */
 export const DEFAULT_MAXIMUM_BUCKETS = 10_000;
 
-/** Buckets count thousandths, so that adding and taking stay exact. */
+/** Buckets count thousandths of a retry, so that additions and subtractions are exact. */
 const UNITS_PER_RETRY = 1_000;
 
-/** Who pays: the buckets of one request. */
+/** The client account and the service whose buckets a request uses. */
 export interface RetryPayer {
   readonly clientAccount: string;
   readonly service: string;
 }
 
-function keysOf({ clientAccount, service }: RetryPayer): readonly string[] {
+function bucketKeysOf({ clientAccount, service }: RetryPayer): readonly string[] {
   return [`account:${clientAccount}`, `pool:${service}`];
 }
 
-/** Token buckets by account and by pool. */
+/** Token buckets for retries, one for each account and each pool. */
 export class RetryBudget {
   private readonly ratio: number;
 
@@ -47,11 +58,11 @@
 
   private readonly maximumBuckets: number;
 
-  /** In the order of last use, for forgetting. */
+  /** Bucket levels by key, least recently used first, for eviction. */
   private readonly buckets = new Map<string, number>();
 
   /**
-   * @param options - ratio, burst and memory.
+   * @param options - ratio, burst and number of buckets.
    */
   constructor({
     ratio = DEFAULT_RETRY_RATIO,
@@ -64,26 +75,27 @@
   }
 
   /**
-   * Counts a request, once however often it is sent on.
+   * Adds a request's fraction of a retry to its buckets. Called once for each request, regardless
+   * of its attempts.
    *
-   * @param payer - its account and service.
+   * @param scope - the request's account and service.
    */
-  recordRequest(payer: RetryPayer): void {
-    for (const key of keysOf(payer)) {
-      this.store(key, Math.min(this.burst, this.levelOf(key) + this.ratio));
+  recordRequest(scope: RetryPayer): void {
+    for (const key of bucketKeysOf(scope)) {
+      this.setLevel(key, Math.min(this.burst, this.levelOf(key) + this.ratio));
     }
   }
 
   /**
-   * Takes one retry, or nothing when either bucket has less.
+   * Takes one retry from both buckets, or nothing if either of them has less than one.
    *
-   * @param payer - the request's account and service.
+   * @param scope - the request's account and service.
    * @returns Whether the retry may be sent.
    */
-  takeRetry(payer: RetryPayer): boolean {
-    const keys = keysOf(payer);
+  takeRetry(scope: RetryPayer): boolean {
+    const keys = bucketKeysOf(scope);
     if (keys.some((key) => this.levelOf(key) < UNITS_PER_RETRY)) return false;
-    for (const key of keys) this.store(key, this.levelOf(key) - UNITS_PER_RETRY);
+    for (const key of keys) this.setLevel(key, this.levelOf(key) - UNITS_PER_RETRY);
     return true;
   }
 
@@ -91,7 +103,7 @@
     return this.buckets.get(key) ?? this.burst;
   }
 
-  private store(key: string, level: number): void {
+  private setLevel(key: string, level: number): void {
     this.buckets.delete(key);
     this.buckets.set(key, level);
     if (this.buckets.size <= this.maximumBuckets) return;
--- a/src/requests/SteadyCalendar.ts
+++ b/src/requests/SteadyCalendar.ts
@@ -1,13 +1,15 @@
 /**
- * A calendar that never goes back within one process life: the wall clock at the start plus monotonic time.
+ * Calendar time that never goes back within one incarnation of the process: the wall clock at the
+ * start plus monotonic time.
  *
- * Bindings carry their expiry through other processes and come back. If it were wall time, a clock set back
- * could make a binding good again after its outcome was forgotten, and its request would run twice. Only
- * the process that issued a binding reads its expiry, so its own steady calendar is enough.
+ * The expiry of a binding travels through other processes and comes back. If it were wall time, a
+ * clock that is set back could make a binding valid again after its outcome was dropped, and its
+ * request would run twice. Only the process that issued a binding reads its expiry, so a calendar
+ * of that process is sufficient.
  */
 import type { Clock } from '../time/Clock.js';
 
-/** See the module's comment. */
+/** Calendar of one process, in milliseconds since 1970. */
 export class SteadyCalendar {
   private readonly clock: Clock;
 
@@ -21,17 +23,18 @@
     this.offset = Math.floor(clock.wallMilliseconds() - clock.monotonicMilliseconds());
   }
 
-  /** @returns Milliseconds since 1970, as this process counts them. */
+  /** @returns Milliseconds since 1970, by this calendar. */
   now(): number {
     return this.offset + this.clock.monotonicMilliseconds();
   }
 
   /**
-   * Whether a time has passed by either clock: the monotonic one may stand still while an instance is
-   * suspended, the wall clock may be set back. Good for refusing to start, never for forgetting.
+   * Returns whether a time has passed by either clock: the monotonic clock may stand still while
+   * an instance is suspended, and the wall clock may be set back. Use it to refuse to start a
+   * run, never to drop an entry.
    *
    * @param time - milliseconds since 1970 on this calendar.
-   * @returns Whether it may have passed.
+   * @returns Whether the time may have passed.
    */
   mayHavePassed(time: number): boolean {
     return this.now() >= time || this.clock.wallMilliseconds() >= time;
--- a/src/requests/StreamCursor.ts
+++ b/src/requests/StreamCursor.ts
@@ -1,48 +1,52 @@
 /**
- * Where a stream stands: tells the next chunk from a repeated one and from one after a gap.
+ * Position in a stream: distinguishes the next chunk from a repeated one and from one after a
+ * gap.
  */
 
-/** What a chunk or an end is, seen from what came before. */
+/** Relation of a chunk to the chunks that were accepted before it. */
 export type SequenceVerdict = 'next' | 'repeated' | 'gap';
 
-/** Sequences start at 1 and have no gaps; each one is passed on once. */
+/**
+ * Tracks the last chunk that was passed on. Sequence numbers start at 1 and have no gaps; each
+ * chunk is passed on once.
+ */
 export class StreamCursor {
-  /** The last sequence that was passed on; 0 before the first. */
-  private last: number;
+  /** Sequence number of the last chunk that was accepted; 0 before the first. */
+  private lastAccepted: number;
 
   /**
-   * @param afterSequence - the last chunk that the reader already has.
+   * @param afterSequence - sequence number of the last chunk that the reader already has.
    */
   constructor(afterSequence = 0) {
-    this.last = afterSequence;
+    this.lastAccepted = afterSequence;
   }
 
-  /** @returns The last sequence that was passed on. */
+  /** @returns The sequence number of the last chunk that was accepted. */
   position(): number {
-    return this.last;
+    return this.lastAccepted;
   }
 
   /**
-   * Judges a chunk and moves on when it is the next.
+   * Compares a chunk with the position, and moves the position if the chunk is the next one.
    *
-   * @param sequence - the chunk's.
-   * @returns What it is.
+   * @param sequence - the chunk's sequence number.
+   * @returns Whether the chunk is the next one, a repeat, or one after a gap.
    */
   take(sequence: number): SequenceVerdict {
-    if (sequence <= this.last) return 'repeated';
-    if (sequence > this.last + 1) return 'gap';
-    this.last = sequence;
+    if (sequence <= this.lastAccepted) return 'repeated';
+    if (sequence > this.lastAccepted + 1) return 'gap';
+    this.lastAccepted = sequence;
     return 'next';
   }
 
   /**
-   * A stream is whole only when its end names the last chunk: a connection that closes early and tidily
-   * looks like an end otherwise.
+   * Returns whether the stream is complete. Its `completed` event has to name the last chunk,
+   * because a connection that is closed early without an error looks like the end of the stream.
    *
-   * @param lastSequence - as the end says.
-   * @returns Whether nothing is missing.
+   * @param lastSequence - sequence number of the last chunk, from the `completed` event.
+   * @returns Whether no chunk is missing.
    */
   isWholeAt(lastSequence: number): boolean {
-    return lastSequence === this.last;
+    return lastSequence === this.lastAccepted;
   }
 }
--- a/src/requests/StreamPhase.spec.ts
+++ b/src/requests/StreamPhase.spec.ts
@@ -10,11 +10,13 @@
 import { ANSWER, gateEvent } from './testGates.js';
 import { STAYS, withHarness } from './testHarness.js';
 
-/** A gate that says these things and then cuts the connection. */
-function saying(say: (attempt: Parameters<GateScript>[0]) => ExecuteEvent[]): GateScript {
+/** A gate that sends the given events and then closes the connection. */
+function sendingThenCut(
+  eventsOf: (attempt: Parameters<GateScript>[0]) => ExecuteEvent[],
+): GateScript {
   return async function* script(attempt) {
     attempt.run();
-    yield* say(attempt);
+    yield* eventsOf(attempt);
   };
 }
 
@@ -24,28 +26,49 @@
 
 function lastEventId(events: readonly CallerEvent[]): string {
   const last = events.findLast((event) => event.kind === 'chunk');
-  if (last?.kind !== 'chunk') throw new Error('no chunk came');
+  if (last?.kind !== 'chunk') throw new Error('expected a chunk event');
   return last.eventId;
 }
 
 describe(StreamPhase.name, () => {
   const streams: [string, GateScript, number][] = [
-    ['whole', saying((a) => [a.head(), a.chunk(1), a.chunk(2), a.chunk(3), a.completed()]), 0],
-    ['doubled chunk', saying((a) => [a.head(), a.chunk(1), a.chunk(1), a.chunk(2), a.chunk(3)]), 1],
-    ['late chunk', saying((a) => [a.head(), a.chunk(1), a.chunk(2), a.chunk(1), a.chunk(3)]), 1],
-    ['missing chunk', saying((a) => [a.head(), a.chunk(1), a.chunk(3), a.completed()]), 1],
-    ['missing tail', saying((a) => [a.head(), a.chunk(1), a.completed(3)]), 1],
-    ['end before the end', saying((a) => [a.head(), a.chunk(1), a.chunk(2), a.completed(1)]), 1],
-    ['crossed chunk', saying((a) => [a.head(), a.chunk(1, 'other'), a.chunk(1), a.chunk(2)]), 1],
-    ['crossed end', saying((a) => [a.head(), crossedEnd(), a.chunk(1)]), 1],
-    ['chunk before the head', saying((a) => [a.chunk(1), a.head(), a.chunk(1)]), 1],
-    ['no end', saying((a) => [a.head(), a.chunk(1), a.chunk(2), a.chunk(3)]), 1],
+    [
+      'whole',
+      sendingThenCut((a) => [a.head(), a.chunk(1), a.chunk(2), a.chunk(3), a.completed()]),
+      0,
+    ],
+    [
+      'doubled chunk',
+      sendingThenCut((a) => [a.head(), a.chunk(1), a.chunk(1), a.chunk(2), a.chunk(3)]),
+      1,
+    ],
+    [
+      'late chunk',
+      sendingThenCut((a) => [a.head(), a.chunk(1), a.chunk(2), a.chunk(1), a.chunk(3)]),
+      1,
+    ],
+    ['missing chunk', sendingThenCut((a) => [a.head(), a.chunk(1), a.chunk(3), a.completed()]), 1],
+    ['missing tail', sendingThenCut((a) => [a.head(), a.chunk(1), a.completed(3)]), 1],
+    [
+      'end before the end',
+      sendingThenCut((a) => [a.head(), a.chunk(1), a.chunk(2), a.completed(1)]),
+      1,
+    ],
+    [
+      'crossed chunk',
+      sendingThenCut((a) => [a.head(), a.chunk(1, 'other'), a.chunk(1), a.chunk(2)]),
+      1,
+    ],
+    ['crossed end', sendingThenCut((a) => [a.head(), crossedEnd(), a.chunk(1)]), 1],
+    ['chunk before the head', sendingThenCut((a) => [a.chunk(1), a.head(), a.chunk(1)]), 1],
+    ['no end', sendingThenCut((a) => [a.head(), a.chunk(1), a.chunk(2), a.chunk(3)]), 1],
   ];
 
   for (const [name, script, resumes] of streams) {
-    // Symptom: a caller gets a word twice, misses one, gets somebody else's, or half an answer as a whole.
-    // Sequence: the stream from the gate has a fault of this kind.
-    // Cause: chunks are passed on by arrival, not by attempt and number, or any end is taken for the end.
+    // Guards against a caller that gets a word twice, misses one, gets a part of another answer,
+    // or a partial answer as if it were complete. Here the stream from the gate has the named
+    // fault. It happens if chunks are passed on by arrival instead of attempt and number, or if
+    // any `completed` event ends the answer.
     it(
       `gives each chunk once and in order: ${name}`,
       withHarness(async (harness) => {
@@ -59,14 +82,15 @@
     );
   }
 
-  // Symptom: after a death of its daemon a stream is over, though its runner goes on.
-  // Sequence: the gate's daemon dies; for some seconds nobody, or the wrong one, holds the gate.
-  // Cause: one refused resume is taken for the end; or for "not run", though the runner has been at work.
+  // Guards against a stream that ends because its daemon died, although its runner continues.
+  // Here the gate's daemon dies, and for some seconds no daemon, or the wrong one, holds the
+  // gate. It happens if one refused resume is taken for the end, or for "not run" although the
+  // runner was working.
   it(
-    'resumes again and again while the gate moves, with growing pauses',
+    'resumes repeatedly while the gate moves, with growing pauses',
     withHarness(async (harness) => {
       const moving = gateEvent('refused', { reason: 'gate_not_here' });
-      harness.gates.follow(saying((attempt) => [attempt.head(), attempt.chunk(1)]));
+      harness.gates.follow(sendingThenCut((attempt) => [attempt.head(), attempt.chunk(1)]));
       harness.gates.failResumes(new Error('reset'), moving, moving, moving, moving);
       const start = harness.time.clock.monotonicMilliseconds();
       const events = await harness.run(requestOf());
@@ -76,19 +100,19 @@
       expect(harness.gates.resumed.map(({ afterSequence }) => afterSequence)).toEqual(
         Array.from({ length: 6 }, () => 1),
       );
-      // 50 + 100 + 200 + 400 + 800 ms of pauses.
+      // Pauses of 50 + 100 + 200 + 400 + 800 ms.
       expect(duration >= 1_550 && duration < 1_700).toEqual(true);
     }),
   );
 
-  // Symptom: a caller comes back for the rest of its stream again and again, and is told to come back each time.
-  // Sequence: the stream is cut, and by the time it is resumed its runner has dropped the attempt.
-  // Cause: "the rest is gone" from the gate is passed on as one more cut.
+  // Guards against a caller that resumes its stream again and again and is told each time to
+  // retry. Here the stream is cut, and by the time it is resumed its runner has dropped the
+  // attempt. It happens if the gate's "cannot resume" is passed on as another cut.
   it(
-    'says that the rest is gone where the runner has dropped the attempt',
+    'reports that the rest is lost when the runner has dropped the attempt',
     withHarness(async (harness) => {
       const gone = { attemptId: 'any', code: 'cannot_resume', resumable: false };
-      harness.gates.follow(saying((attempt) => [attempt.head(), attempt.chunk(1)]));
+      harness.gates.follow(sendingThenCut((attempt) => [attempt.head(), attempt.chunk(1)]));
       harness.gates.failResumes(gateEvent('failed', gone));
       const events = await harness.run(requestOf());
       expect(events.at(-1)).toEqual(
@@ -102,9 +126,9 @@
   );
 
   it(
-    'gives up a stream that nobody can continue, at once and in so many words',
+    'gives up a stream that no gate can resume, with an explicit failure',
     withHarness(async (harness) => {
-      harness.gates.follow(saying((attempt) => [attempt.head(), attempt.chunk(1)]));
+      harness.gates.follow(sendingThenCut((attempt) => [attempt.head(), attempt.chunk(1)]));
       harness.gates.failResumes(...Array.from({ length: 100 }, () => new Error('reset')));
       const events = await harness.run(requestOf({ deadlineMilliseconds: 60_000 }));
       expect(events.at(-1)).toEqual(
@@ -115,15 +139,16 @@
     }),
   );
 
-  // Symptom: a stream jumps back and forth between two connections of one caller, and neither gets on.
-  // Sequence: the caller comes back through another daemon while the first still holds a half-open connection.
-  // Cause: the first owner takes the take-over for a cut and resumes, and so does the second in its turn.
+  // Guards against a stream that moves back and forth between two connections of one caller, so
+  // that neither makes progress. Here the caller resumes through another daemon while the first
+  // daemon still holds a half-open connection. It happens if the first owner takes the takeover
+  // for a cut and resumes, and the second one then does the same.
   it(
-    'leaves a stream to the reader that took it over',
+    'does not resume a stream that another reader took over',
     withHarness(async (harness) => {
       const takenOver = { code: 'stream_cut', message: 'taken over', resumable: false };
       harness.gates.follow(
-        saying((a) => [a.head(), a.chunk(1), gateEvent('failed', { ...takenOver })]),
+        sendingThenCut((a) => [a.head(), a.chunk(1), gateEvent('failed', { ...takenOver })]),
       );
       const events = await harness.run(requestOf());
       expect(endsOf(events)).toEqual(['stream_cut']);
@@ -131,11 +156,12 @@
     }),
   );
 
-  // Symptom: a counter agent whose connection broke gets the whole answer again, or somebody else's.
-  // Sequence: the caller leaves after the first chunk and comes back with Last-Event-ID through another daemon.
-  // Cause: the attempt is cancelled with its connection, or the event id does not say whose stream it is.
+  // Guards against a caller that resumes after a broken connection and gets the full answer
+  // again, or the answer of another caller. Here the caller disconnects after the first chunk and
+  // resumes with Last-Event-ID through another daemon. It happens if the attempt is cancelled
+  // with its connection, or if the event id does not identify the owner of the stream.
   it(
-    'lets the stream’s own account, and nobody else, continue through another daemon',
+    'lets only the stream’s own account resume it through another daemon',
     withHarness(async (harness) => {
       const gone = new AbortController();
       harness.gates.follow(async function* waits(attempt) {
@@ -164,11 +190,11 @@
     }),
   );
 
-  // Symptom: a slow caller's answer fills the daemon's memory.
-  // Sequence: the runner generates faster than the caller reads.
-  // Cause: the gate's stream is read without regard to what the caller has taken.
+  // Guards against the answer of a slow caller that fills the daemon's memory. Here the runner
+  // generates faster than the caller reads. It happens if the gate's stream is read regardless of
+  // what the caller has read.
   it(
-    'reads no further than a slow caller’s bound',
+    'stops reading at the buffer limit of a slow caller',
     withHarness(
       async (harness) => {
         let sent = 0;
--- a/src/requests/StreamPhase.ts
+++ b/src/requests/StreamPhase.ts
@@ -1,6 +1,6 @@
 /**
- * The second phase of a request: the one attempt whose answer the caller gets, its chunks in order, and
- * the resumes that continue it after a cut.
+ * The second phase of a request: selects the attempt whose answer the caller gets, passes its
+ * chunks on in order, and resumes the stream after a cut.
  */
 import type { MessageOf, RequestContext } from './RequestContext.js';
 import type { Reading } from './requestFacts.js';
@@ -8,63 +8,64 @@
 import { cancelledFailure, cutFailure } from './requestFailures.js';
 import { StreamCursor } from './StreamCursor.js';
 
-/** The attempt whose answer the caller gets. */
-interface Winner {
+/** The attempt that was selected to answer the caller. */
+interface SelectedAttempt {
   readonly attemptId: string;
   readonly runnerId: string;
 }
 
-/** What became of a broken stream. */
+/** Whether a cut stream is being resumed or was given up. */
 export type CutResult = 'resuming' | 'given_up';
 
-/** Streams and resumes. */
+/** Passes on the stream of the selected attempt and resumes it after a cut. */
 export class StreamPhase {
   private readonly context: RequestContext;
 
-  private winner: Winner | undefined;
+  private selectedAttempt: SelectedAttempt | undefined;
 
-  /** The reading that told how the answer starts. */
+  /** Number of the reading that delivered the `started` event. */
   private startedReading: number | undefined;
 
   private headDelivered = false;
 
   private cursor = new StreamCursor();
 
-  /** Resumes since the last chunk, and in all. */
-  private resumesInARow = 0;
+  /** Number of resumes since the last chunk. */
+  private consecutiveResumes = 0;
 
-  private resumes = 0;
+  private totalResumes = 0;
 
-  private cutMessage = '';
+  private cutReason = '';
 
   private resumeAt: number | undefined;
 
   /**
-   * @param context - the shared state.
+   * @param context - the state shared by the phases of the request.
    */
   constructor(context: RequestContext) {
     this.context = context;
   }
 
   /**
-   * Continues a stream that the caller already has a part of.
+   * Resumes a stream of which the caller already has a part.
    *
-   * @param stream - as the caller's `Last-Event-ID` says.
+   * @param stream - the stream named by the caller's `Last-Event-ID`.
    */
   beginResume({ attemptId, runnerId, afterSequence }: ResumedStream): void {
     this.context.adoptAttempt();
-    this.winner = { attemptId, runnerId };
+    this.selectedAttempt = { attemptId, runnerId };
     this.cursor = new StreamCursor(afterSequence);
     this.context.delivered = true;
-    this.cutMessage = 'The caller continues the stream.';
+    this.cutReason = 'The caller continues the stream.';
     this.resume();
   }
 
   /**
-   * The runner started to answer. The head waits for the first chunk, so that a cut in between can still be
-   * mended by another attempt.
+   * Selects the attempt whose runner has started to answer, and cancels the others. The `started`
+   * event is held back until the first chunk, so that after a cut in between the request can
+   * still be retried.
    *
-   * @param reading - where that was said.
+   * @param reading - the reading that delivered the event.
    */
   onStarted(reading: Reading): void {
     const { context } = this;
@@ -77,15 +78,15 @@
     for (const other of [...context.readings.values()]) {
       if (other !== reading) context.cancelReading(other);
     }
-    this.winner = reading;
+    this.selectedAttempt = reading;
     this.startedReading = reading.number;
   }
 
   /**
-   * A chunk of the answer.
+   * Passes on a chunk of the answer; a chunk after a gap cuts the stream.
    *
-   * @param reading - where it came.
-   * @param chunk - its number.
+   * @param reading - the reading that delivered the chunk.
+   * @param chunk - the chunk's number and size.
    */
   onChunk(reading: Reading, chunk: MessageOf<'chunk'>): void {
     const { context } = this;
@@ -93,28 +94,28 @@
       context.act({ kind: 'dropped', what: 'chunk', why: 'out_of_order' });
       return;
     }
-    const verdict = this.cursor.take(chunk.sequence);
-    if (verdict === 'repeated') {
+    const order = this.cursor.take(chunk.sequence);
+    if (order === 'repeated') {
       context.act({ kind: 'dropped', what: 'chunk', why: 'repeated' });
-    } else if (verdict === 'gap') {
-      this.onMissing(reading, `Chunk ${chunk.sequence} came after ${this.cursor.position()}.`);
+    } else if (order === 'gap') {
+      this.onGap(reading, `Chunk ${chunk.sequence} came after ${this.cursor.position()}.`);
     } else {
-      this.deliver(reading, chunk.sequence);
+      this.deliverChunk(reading, chunk.sequence);
     }
   }
 
   /**
-   * The end of the answer, as the gate has it.
+   * Completes the request, unless chunks are missing.
    *
-   * @param reading - where it came.
-   * @param completed - the end.
+   * @param reading - the reading that delivered the event.
+   * @param completed - the `completed` event of the gate.
    */
   onCompleted(reading: Reading, completed: MessageOf<'completed'>): void {
     const { context } = this;
     if (!this.isHeadKnown() || !this.cursor.isWholeAt(completed.lastSequence)) {
-      this.onMissing(
+      this.onGap(
         reading,
-        `The end names chunk ${completed.lastSequence}, the last one seen is ${this.cursor.position()}.`,
+        `The completed event names chunk ${completed.lastSequence}, the last chunk received is ${this.cursor.position()}.`,
       );
       return;
     }
@@ -126,47 +127,48 @@
   }
 
   /**
-   * A stream broke. A resume runs nothing, so it is allowed for every request; it finds the attempt through
-   * whichever daemon holds the gate by then.
+   * Resumes a stream that broke. A resume runs nothing, so it is allowed for non-idempotent
+   * requests too; it finds the attempt through whichever daemon holds the gate by then.
    *
-   * @param reading - the broken one.
+   * @param reading - the broken reading.
    * @param message - what broke.
-   * @returns Whether another resume was opened or is waited for.
+   * @returns Whether another resume was opened or scheduled.
    */
   cut(reading: Reading, message: string): CutResult {
     const { context } = this;
     context.abandonReading(reading);
-    this.winner ??= reading;
-    this.cutMessage = message;
+    this.selectedAttempt ??= reading;
+    this.cutReason = message;
     const { maximumResumesInARow, maximumResumes } = context.timings;
-    if (this.resumesInARow >= maximumResumesInARow) return 'given_up';
-    if (this.resumes >= maximumResumes) return 'given_up';
+    if (this.consecutiveResumes >= maximumResumesInARow) return 'given_up';
+    if (this.totalResumes >= maximumResumes) return 'given_up';
     if (!context.advance('resume')) return 'given_up';
-    if (this.resumesInARow === 0) this.resume();
+    if (this.consecutiveResumes === 0) this.resume();
     else this.resumeAt = context.now + this.resumePause();
     return 'resuming';
   }
 
   /**
-   * Ends the request with the cut; the caller may come back for the rest.
+   * Ends the request because its stream is cut; the caller may resume it.
    *
    * @param resumable - whether the gate may still know the attempt.
    */
   failCut(resumable: boolean): void {
-    const { context, cutMessage } = this;
-    context.fail(cutFailure(context.knowledge(), cutMessage, resumable));
+    const { context, cutReason } = this;
+    context.fail(cutFailure(context.knowledge(), cutReason, resumable));
   }
 
-  /** Forgets the attempt: another one takes its place. */
+  /** Clears the selected attempt, because another attempt replaces it. */
   forget(): void {
-    this.winner = undefined;
+    this.selectedAttempt = undefined;
     this.startedReading = undefined;
-    this.resumesInARow = 0;
+    this.consecutiveResumes = 0;
   }
 
   /**
-   * The caller has gone. A stream that it may continue is left to the gate, which keeps it for a while and
-   * hands it to whoever resumes it, through any daemon; everything else is cancelled.
+   * Ends the request of a caller that has disconnected. A stream that the caller may resume is
+   * left to its gate, which keeps it for a while so that it can be resumed through any daemon;
+   * everything else is cancelled.
    */
   onCallerGone(): void {
     const { context } = this;
@@ -175,34 +177,37 @@
       return;
     }
     for (const reading of [...context.readings.values()]) context.abandonReading(reading);
-    context.fail(cutFailure(context.knowledge(), 'The caller has gone.', true));
+    context.fail(cutFailure(context.knowledge(), 'The caller disconnected.', true));
   }
 
-  /** Looks after the next resume. */
+  /** Opens the scheduled resume when it is due. */
   onTick(): void {
     if (this.resumeAt === undefined || this.context.now < this.resumeAt) return;
     this.resumeAt = undefined;
     this.resume();
   }
 
-  /** @returns When this phase has to be woken, in monotonic milliseconds. */
+  /** @returns When the next timer of this phase is due, in monotonic milliseconds. */
   nextWake(): number | undefined {
     return this.resumeAt;
   }
 
-  /** @returns Whether an answer has started, here or where the caller got its first part. */
+  /**
+   * @returns Whether the answer has started, in this request or in the one that the caller
+   *   resumes.
+   */
   isHeadKnown(): boolean {
     return this.startedReading !== undefined || this.context.delivered;
   }
 
-  private onMissing(reading: Reading, message: string): void {
+  private onGap(reading: Reading, message: string): void {
     if (this.cut(reading, message) === 'given_up') this.failCut(true);
   }
 
-  private deliver(reading: Reading, sequence: number): void {
+  private deliverChunk(reading: Reading, sequence: number): void {
     const { context } = this;
     const { attemptId, runnerId } = reading;
-    this.resumesInARow = 0;
+    this.consecutiveResumes = 0;
     context.advance('stream');
     this.deliverHead(reading);
     context.act({ kind: 'deliver_chunk', reading: reading.number, attemptId, runnerId, sequence });
@@ -218,20 +223,20 @@
 
   private resumePause(): number {
     const { resumePauseMilliseconds, maximumResumePauseMilliseconds } = this.context.timings;
-    const pause = resumePauseMilliseconds * 2 ** (this.resumesInARow - 1);
+    const pause = resumePauseMilliseconds * 2 ** (this.consecutiveResumes - 1);
     return Math.min(pause, maximumResumePauseMilliseconds);
   }
 
   private resume(): void {
-    const { context, winner } = this;
-    if (!winner) return;
+    const { context, selectedAttempt } = this;
+    if (!selectedAttempt) return;
     if (context.remainingForHop() <= 0) {
       context.expire();
       return;
     }
-    this.resumesInARow += 1;
-    this.resumes += 1;
-    const { attemptId, runnerId } = winner;
+    this.consecutiveResumes += 1;
+    this.totalResumes += 1;
+    const { attemptId, runnerId } = selectedAttempt;
     const reading = context.openReading(attemptId, runnerId, 'resume');
     context.act({
       kind: 'resume',
@@ -239,8 +244,8 @@
       attemptId,
       runnerId,
       afterSequence: this.cursor.position(),
-      tries: this.resumesInARow,
-      why: this.cutMessage,
+      tries: this.consecutiveResumes,
+      why: this.cutReason,
       deadlineMilliseconds: context.remainingForHop(),
     });
   }
--- a/src/requests/atMostOnce.spec.ts
+++ b/src/requests/atMostOnce.spec.ts
@@ -42,11 +42,12 @@
 );
 
 describe('at most once', () => {
-  // Symptom: a board is reserved twice; or a caller is told "not run", and the board is reserved after all.
-  // Sequence: a caller repeats a bound request through several daemons at once while links lose, double and
-  // delay messages, answers get lost, gates die, daemons restart, pause and are wrongly declared dead.
-  // Cause: any place that takes a lost answer for a request that did not run, or forgets one that may have.
-  it('holds in every interleaving that was searched', async () => {
+  // Guards against a board that is reserved twice, or reserved after its caller was told "not
+  // run". Here a caller repeats a bound request through several daemons at once while links lose,
+  // double and delay messages, answers get lost, gates die, and daemons restart, pause and are
+  // wrongly declared dead. It happens if any part takes a lost answer for a request that did not
+  // run, or drops the record of one that may have run.
+  it('holds in every generated sequence of operations and faults', async () => {
     const gateFaultNames = Object.keys(GATE_FAULTS) as (keyof typeof GATE_FAULTS)[];
     const resumeFaultNames = Object.keys(RESUME_FAULTS) as (keyof typeof RESUME_FAULTS)[];
     await fc.assert(
--- a/src/requests/boundEvents.ts
+++ b/src/requests/boundEvents.ts
@@ -1,5 +1,6 @@
 /**
- * Turns the answer of a bound run into what goes to the daemon that handed the request over.
+ * Converts between a forwarded bound request and the caller's form of it: the request on its way
+ * in, and the events of its answer on their way back to the daemon that forwarded it.
  */
 import { create } from '@bufbuild/protobuf';
 import { match } from 'ts-pattern';
@@ -12,9 +13,9 @@
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 
 /**
- * @param request - as another daemon sent it.
- * @param binding - the binding that came with it.
- * @returns The caller's request.
+ * @param request - the request as another daemon sent it.
+ * @param binding - the binding that came with the request.
+ * @returns The request in the form in which callers' requests are run.
  */
 export function callerRequestOf(request: ExecuteRequest, binding: string): CallerRequest {
   const { requestId, clientAccount, service, chat, deadlineMilliseconds } = request;
@@ -38,7 +39,7 @@
   };
 }
 
-/** The head of an answer, held until its attempt is known from the first chunk. */
+/** The `started` event of an answer, held back until the first chunk names its attempt. */
 type Head = Extract<CallerEvent, { kind: 'started' }>;
 
 /** Options of {@link BoundEvents}. */
@@ -46,7 +47,7 @@
   tokens: SignedTokens;
 }
 
-/** One answer's way back. */
+/** Converts the events of one answer for the daemon that forwarded the request. */
 export class BoundEvents {
   private readonly eventIds: EventIdReader;
 
@@ -57,7 +58,7 @@
   private lastSequence = 0;
 
   /**
-   * @param options - what signed the event ids.
+   * @param options - what verifies the event ids.
    */
   constructor({ tokens }: BoundEventsOptions) {
     this.eventIds = new EventIdReader(tokens);
@@ -65,7 +66,7 @@
 
   /**
    * @param event - the next event of the answer.
-   * @returns What goes to the other daemon.
+   * @returns The events for the other daemon.
    */
   convert(event: CallerEvent): ExecuteEvent[] {
     return match(event)
@@ -83,7 +84,10 @@
       .exhaustive();
   }
 
-  /** The event id names the attempt and the chunk; nothing else of an answer does. */
+  /**
+   * Converts a chunk. Only the event id names the attempt and the chunk; no other part of an
+   * answer does.
+   */
   private chunk(data: Uint8Array, eventId: string): ExecuteEvent[] {
     const opened = this.eventIds.open(eventId);
     if (!opened) return [];
--- a/src/requests/boundFailures.ts
+++ b/src/requests/boundFailures.ts
@@ -1,8 +1,10 @@
 /**
- * What callers of non-idempotent requests are told when nothing ran for them here.
+ * The `failed` events that callers of non-idempotent requests get when this daemon ran nothing
+ * for them.
  *
- * With a binding, "not run" is a statement about the binding, and only the ledger of its daemon can make
- * it: a copy of the request may have come by another way. Everything else says `notRun: false`.
+ * For a request with a binding, "not run" is a statement about the binding, and only the ledger
+ * of the daemon that issued it can make it: a copy of the request may have arrived by another
+ * way. All other failures have `notRun: false`.
  */
 import type { IssuedBinding } from './BindingIssuer.js';
 import type { CallerEvent } from './requestTypes.js';
@@ -10,53 +12,58 @@
 type Failed = Extract<CallerEvent, { kind: 'failed' }>;
 
 /**
- * @param binding - issued for the account.
- * @returns The answer to a non-idempotent request without a binding; it did not run.
+ * @param binding - the binding that was issued for the account.
+ * @returns The answer to a non-idempotent request without a binding; the request did not run.
  */
 export function bindingRequired({ token, address }: IssuedBinding): Failed {
   return {
     kind: 'failed',
     code: 'binding_required',
     notRun: true,
-    message: 'A request that is not idempotent needs a binding; send it again with this one.',
+    message:
+      'A non-idempotent request needs a binding; repeat the request with the binding of this response.',
     binding: { token, address },
   };
 }
 
 /**
- * @param leaving - whether the daemon is leaving, or else its ledger is full.
- * @param retryAfterMilliseconds - when to come back.
- * @returns The answer to a request without a binding when none can be issued; it did not run.
+ * @param leaving - whether the daemon is leaving; otherwise its ledger is full.
+ * @param retryAfterMilliseconds - when the caller may retry, in milliseconds.
+ * @returns The answer to a request without a binding when none can be issued; the request did not
+ *   run.
  */
 export function noBindingNow(leaving: boolean, retryAfterMilliseconds: number): Failed {
   return {
     kind: 'failed',
     code: leaving ? 'draining' : 'overloaded',
     notRun: true,
-    message: leaving ? 'This daemon is leaving.' : 'This daemon takes no new bindings now.',
+    message: leaving
+      ? 'This daemon is leaving.'
+      : 'This daemon issues no new bindings now, because too many are in use.',
     retryAfterMilliseconds,
   };
 }
 
 /**
- * @param message - why nobody can know.
+ * @param message - why the outcome is unknown.
  * @returns The answer when it is not known whether the request ran.
  */
 export function outcomeUnknown(message: string): Failed {
   return { kind: 'failed', code: 'outcome_unknown', notRun: false, message };
 }
 
-/** @returns The answer to a token that nobody of this fleet signed. */
+/** @returns The answer to a binding token that is malformed or was not signed by this fleet. */
 export function unreadableBinding(): Failed {
   return {
     kind: 'failed',
     code: 'invalid_request',
     notRun: false,
-    message: 'The binding is malformed or not of this fleet; this copy of the request was not run.',
+    message:
+      'The binding is malformed or was not signed by this fleet; this copy of the request was not run.',
   };
 }
 
-/** @returns The answer to a binding of another account. */
+/** @returns The answer to a binding that was issued to another client account. */
 export function foreignBinding(): Failed {
   return {
     kind: 'failed',
@@ -66,7 +73,10 @@
   };
 }
 
-/** @returns The answer when the binding was used for something else; this request never runs under it. */
+/**
+ * @returns The answer when the binding was used for another request; this request never runs
+ *   under it.
+ */
 export function otherRequest(): Failed {
   return {
     kind: 'failed',
@@ -77,8 +87,9 @@
 }
 
 /**
- * @param retryAfterMilliseconds - when an entry is forgotten.
- * @returns The answer when the ledger is full. The binding stays good, so another copy may still run.
+ * @param retryAfterMilliseconds - when the next entry of the ledger expires, in milliseconds.
+ * @returns The answer when the ledger is full. The binding stays valid, so another copy of the
+ *   request may still run.
  */
 export function ledgerFull(retryAfterMilliseconds: number): Failed {
   return {
--- a/src/requests/executeRequest.ts
+++ b/src/requests/executeRequest.ts
@@ -1,5 +1,5 @@
 /**
- * Builds what goes to a gate from a caller's request and the fleet's record of its account.
+ * Builds the message for a gate from a caller's request and the record of its client account.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -9,14 +9,14 @@
 import type { RequestAction } from './requestDecisionTypes.js';
 import type { CallerRequest } from './requestTypes.js';
 
-/** Share in fair queues of an account that sets none. */
+/** Weight in fair queues of a client account that sets none. */
 const DEFAULT_ACCOUNT_WEIGHT = 1;
 
 /**
  * @param request - the caller's request.
- * @param account - its account's record, if it is known here.
- * @param attempt - what the decisions asked for; without it the request goes to a binding's daemon, which
- *   decides the rest.
+ * @param account - the record of the client account, if this daemon has it.
+ * @param attempt - the attempt to open. Without it the message goes to the daemon of a binding,
+ *   which chooses the attempt itself.
  * @returns The message for the gate.
  */
 export function executeRequestOf(
--- a/src/requests/gateMessages.ts
+++ b/src/requests/gateMessages.ts
@@ -1,5 +1,6 @@
 /**
- * Turns what a gate says into messages of the request's decisions, and back into what the schema carries.
+ * Converts gate events into messages for the decisions of a request, and the start of an answer
+ * into the event for the caller.
  */
 import { match, P } from 'ts-pattern';
 
@@ -12,23 +13,23 @@
 const CODES: ReadonlySet<string> = new Set(OUTCOME_CODES);
 
 /**
- * @param code - a code from another daemon, which may be of another version.
- * @returns The code when it is known, else `upstream_error`.
+ * @param code - a code from another daemon, which may run another version.
+ * @returns The code if it is known, otherwise `upstream_error`.
  */
 export function outcomeCodeOf(code: string): OutcomeCode {
   return CODES.has(code) ? (code as OutcomeCode) : 'upstream_error';
 }
 
 /**
- * @param reading - where the event came.
+ * @param reading - number of the reading that delivered the event.
  * @param event - the event.
- * @returns The message, or `undefined` for an event that this version does not know.
+ * @returns The message, or `undefined` for an event that this version doesn't know.
  */
 export function messageOfGateEvent(
   reading: number,
   { event }: ExecuteEvent,
 ): RequestMessage | undefined {
-  // Nearly all events are chunks; each pattern that is tried costs some of their time.
+  // Nearly all events are chunks; matching them against the patterns below would cost time.
   if (event.case === 'chunk') {
     const { attemptId, sequence, data } = event.value;
     return { kind: 'chunk', reading, attemptId, sequence, bytes: data.byteLength };
@@ -70,12 +71,13 @@
     .exhaustive();
 }
 
-/** Status of a continued stream: only an answer that began well can be continued. */
+/** HTTP status of a resumed stream: only an answer that started successfully can be resumed. */
 const CONTINUED_STATUS = 200;
 
 /**
- * @param head - how the answer starts; a gate that continues a stream may not know it any more.
- * @param runnerId - where the answer comes from.
+ * @param head - the `started` event of the gate; a gate that resumes a stream may not have it any
+ *   more.
+ * @param runnerId - the runner of the answer.
  * @returns The event for the caller.
  */
 export function startedEventOf(head: Started | undefined, runnerId: string): CallerEvent {
--- a/src/requests/replayedRequest.ts
+++ b/src/requests/replayedRequest.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the decisions of one request from the options of a recorded session.
+ * Creates the decisions of one request from the options of a recorded session, for its replay.
  */
 import { z } from 'zod';
 
@@ -10,8 +10,9 @@
 const optionsSchema = z.object({ settings: requestSettingsSchema.prefault({}) });
 
 /**
- * @param options - of the session's header: `settings`, as in the `requests` section of a settings file.
- * @returns New decisions with a retry budget of their own.
+ * @param options - options from the session's header: `settings`, as in the `requests` section of
+ *   a settings file.
+ * @returns New decisions with their own retry budget.
  */
 export function replayedRequest(options: Readonly<Record<string, unknown>>): RequestDecisions {
   const { settings } = optionsSchema.parse(options);
--- a/src/requests/requestDecisionTypes.ts
+++ b/src/requests/requestDecisionTypes.ts
@@ -1,26 +1,30 @@
 /**
- * Messages and actions of the life of one request. All of it is JSON data, so that a session can be
- * recorded and replayed; bytes, headers and warm lists stay with the task and are named by number here.
+ * Messages and actions of the decisions of one request. All of them are JSON data, so that a
+ * session can be recorded and replayed; data, headers and lists of warm runners stay with the
+ * task, and messages refer to them by number.
  */
 import type { Priority, RefusalReason } from '../gates/gateTypes.js';
 import type { OutcomeCode } from './requestTypes.js';
 
-/** What the decisions need to know of a request. */
+/** The properties of a request that its decisions use. */
 export interface RequestSummary {
   readonly requestId: string;
   readonly clientAccount: string;
   readonly service: string;
   readonly priority: Priority;
-  /** Milliseconds that the caller still waits. */
+  /** How long the caller still waits, in milliseconds. */
   readonly deadlineMilliseconds: number;
-  /** Whether it may be sent on again after an attempt whose end is unknown. */
+  /** Whether the request may be retried after an attempt whose outcome is unknown. */
   readonly idempotent: boolean;
   readonly streaming: boolean;
-  /** Random; attempt ids start with it. A caller may use a request id twice, an attempt id never repeats. */
+  /**
+   * Random prefix of the attempt ids. A caller may use a request id twice, but an attempt id is
+   * never repeated.
+   */
   readonly attemptSeed: string;
 }
 
-/** A stream that a caller continues with `Last-Event-ID`. */
+/** A stream that a caller resumes with `Last-Event-ID`. */
 export interface ResumedStream {
   readonly requestId: string;
   readonly clientAccount: string;
@@ -28,28 +32,29 @@
   readonly deadlineMilliseconds: number;
   readonly attemptId: string;
   readonly runnerId: string;
-  /** The last chunk that the caller has. */
+  /** Sequence number of the last chunk that the caller has. */
   readonly afterSequence: number;
 }
 
-/** A runner that was tried, with what its gate said. */
+/** A runner that was tried, with the answer of its gate. */
 export interface TriedRunner {
   readonly runnerId: string;
   readonly why: RefusalReason | 'lost' | 'hedged';
-  /** Tokens of work there and on average, 0 when its gate said nothing. */
+  /** Load of the runner and mean load of the pool, in tokens; 0 when the gate reported none. */
   readonly load: number;
   readonly mean: number;
   readonly retryAfterMilliseconds: number;
-  /** Whether its gate was asked to queue the request. */
+  /** Whether the gate was asked to queue the request. */
   readonly lastChoice: boolean;
 }
 
-/** Why an attempt or resume was opened. */
+/** Why an attempt was opened. */
 export type AttemptPurpose = 'first' | 'placement' | 'retry' | 'hedge';
 
 /**
- * What happens to a request. A `reading` is one opened stream of gate events; a stream that was given up
- * may still speak, and what it says then must not touch the one that took its place.
+ * Messages to the decisions of a request. A `reading` is the number of one opened stream of gate
+ * events. A stream that was abandoned may still deliver events; the number keeps them apart from
+ * those of the stream that replaced it.
  */
 export type RequestMessage =
   | { readonly kind: 'begin'; readonly request: RequestSummary }
@@ -60,7 +65,7 @@
       readonly runnerId: string;
       readonly cachedTokens: number;
       readonly bound: number;
-      /** The gate queues rather than refuses for the bound. */
+      /** Whether the gate has to queue the attempt instead of refusing it for the bound. */
       readonly lastChoice: boolean;
     }
   | {
@@ -106,15 +111,17 @@
       readonly retryAfterMilliseconds: number;
       readonly resumable: boolean;
     }
-  /** The stream of events broke: nobody can know what became of the attempt. */
+  /** The stream of events broke; the outcome of the attempt is unknown. */
   | { readonly kind: 'lost'; readonly reading: number; readonly message: string }
-  /** Answer to `check_gate`: whether the daemon that the reading goes through is believed alive. */
+  /**
+   * Answer to `check_gate`: whether the daemon that the reading goes through is considered alive.
+   */
   | { readonly kind: 'gate_checked'; readonly reading: number; readonly alive: boolean }
   | { readonly kind: 'caller_gone' }
   | { readonly kind: 'cancel' }
   | { readonly kind: 'tick' };
 
-/** The last event of a request that did not complete. */
+/** Last event of a request that did not complete. */
 export interface RequestFailure {
   readonly code: OutcomeCode;
   readonly notRun: boolean;
@@ -123,7 +130,7 @@
   readonly resumable?: boolean;
 }
 
-/** What the life of a request wants done. */
+/** Actions that the decisions of a request ask for. */
 export type RequestAction =
   | { readonly kind: 'ask_home' }
   | {
@@ -154,9 +161,9 @@
       readonly deadlineMilliseconds: number;
     }
   | { readonly kind: 'check_gate'; readonly reading: number }
-  /** Stop reading; the attempt goes on. */
+  /** Stop reading; the attempt continues. */
   | { readonly kind: 'abandon'; readonly reading: number }
-  /** Cancel the attempt at its gate and runner, and stop reading. */
+  /** Stop reading and cancel the attempt at its gate and runner. */
   | {
       readonly kind: 'cancel_attempt';
       readonly reading: number;
@@ -175,7 +182,7 @@
       readonly runnerId: string;
       readonly sequence: number;
     }
-  /** A late, crossed or repeated event. */
+  /** An event was dropped because it was late, repeated, out of order or of another attempt. */
   | {
       readonly kind: 'dropped';
       readonly what: RequestMessage['kind'];
--- a/src/requests/requestDigest.ts
+++ b/src/requests/requestDigest.ts
@@ -1,15 +1,16 @@
 /**
- * A fingerprint of what a bound request asks for, so that a binding never answers another request.
+ * Digest of what a bound request asks for, so that a binding can't be used for another request.
  */
 import { createHash } from 'node:crypto';
 
 import type { CallerRequest } from './requestTypes.js';
 
 /**
- * Headers are left out: a repeat through another daemon may carry others on its way.
+ * Computes the digest of a request. Headers are left out, because a repeat through another daemon
+ * may have different ones.
  *
  * @param request - the request.
- * @returns SHA-256 over service, method, path and body, base64url.
+ * @returns SHA-256 over service, method, path and body, in base64url.
  */
 export function requestDigest({ service, method, path, body }: CallerRequest): string {
   const hash = createHash('sha256');
--- a/src/requests/requestFacts.ts
+++ b/src/requests/requestFacts.ts
@@ -1,9 +1,9 @@
 /**
- * What is known of one request and of the streams that are open for it.
+ * Properties of one request, and the streams that are open for it.
  */
 import type { RetryPayer } from './RetryBudget.js';
 
-/** One opened stream of gate events. */
+/** A reading: one opened stream of gate events. */
 export interface Reading {
   readonly number: number;
   readonly attemptId: string;
@@ -13,11 +13,11 @@
   readonly lastChoice: boolean;
   readonly openedAt: number;
   lastEventAt: number;
-  /** When the daemon that the reading goes through is looked up next. */
+  /** When the daemon that the reading goes through is looked up next, in monotonic milliseconds. */
   checkAt: number;
 }
 
-/** The request as its phases need it. */
+/** The properties of a request that its phases use; the deadline is in monotonic milliseconds. */
 export interface RequestFacts {
   readonly payer: RetryPayer;
   readonly deadline: number;
