--- a/src/requests/requestFailures.ts
+++ b/src/requests/requestFailures.ts
@@ -1,5 +1,5 @@
 /**
- * Which last event a caller gets for each way in which a request can end without its answer.
+ * Chooses the last event for each way in which a request can end without a complete answer.
  */
 import { match } from 'ts-pattern';
 
@@ -7,26 +7,27 @@
 import type { RequestFailure } from './requestDecisionTypes.js';
 import type { OutcomeCode } from './requestTypes.js';
 
-/** What is known of a request when it ends. */
+/** What is known about the execution of a request when it ends. */
 export interface RequestKnowledge {
-  /** No attempt that could have reached a runner is left unexplained. */
+  /** Whether every attempt is known not to have run. */
   readonly notRun: boolean;
   readonly idempotent: boolean;
-  /** The caller has seen a part of the answer. */
+  /** Whether the caller has received a part of the answer. */
   readonly delivered: boolean;
 }
 
-/** When to come back if nobody worked out a better time, in milliseconds. */
+/** Retry-After when neither gate nor chooser computed one, in milliseconds. */
 export const DEFAULT_RETRY_AFTER_MILLISECONDS = 1_000;
 
 /**
- * The code for a failure whose end is not known: a non-idempotent request must not read as if it failed.
+ * Chooses the code of a failure whose outcome may be unknown: for a non-idempotent request that
+ * may have run, the code must not read as if the request had failed.
  *
- * @param knowledge - what is known.
- * @param code - the code when repeating does no harm.
- * @returns The code to use.
+ * @param knowledge - what is known about the execution.
+ * @param code - the code to use if repeating the request does no harm.
+ * @returns The code, or `outcome_unknown`.
  */
-function unlessUnknown(knowledge: RequestKnowledge, code: OutcomeCode): OutcomeCode {
+function codeUnlessUnknown(knowledge: RequestKnowledge, code: OutcomeCode): OutcomeCode {
   return knowledge.notRun || knowledge.idempotent ? code : 'outcome_unknown';
 }
 
@@ -42,11 +43,12 @@
 }
 
 /**
- * A gate refused and nobody else is asked.
+ * Failure after a gate's refusal, when no other runner is tried.
  *
- * @param knowledge - what is known.
+ * @param knowledge - what is known about the execution.
  * @param reason - the last refusal.
- * @param retryAfterMilliseconds - as the gate worked it out; 0 when it did not.
+ * @param retryAfterMilliseconds - as computed by the gate, in milliseconds; 0 if it computed
+ *   none.
  * @returns The last event.
  */
 export function refusedFailure(
@@ -55,10 +57,11 @@
   retryAfterMilliseconds: number,
 ): RequestFailure {
   const code = codeOfRefusal(reason);
-  // An earlier attempt of the same request was lost: then this refusal does not speak for the request.
-  const told = code === 'not_run' && !knowledge.notRun ? 'upstream_error' : code;
+  // If an earlier attempt of the request was lost, this refusal doesn't mean that the request did
+  // not run.
+  const reportedCode = code === 'not_run' && !knowledge.notRun ? 'upstream_error' : code;
   return {
-    code: unlessUnknown(knowledge, told),
+    code: codeUnlessUnknown(knowledge, reportedCode),
     notRun: knowledge.notRun,
     message: `The gate refused: ${reason}.`,
     retryAfterMilliseconds: retryAfterMilliseconds || DEFAULT_RETRY_AFTER_MILLISECONDS,
@@ -66,11 +69,11 @@
 }
 
 /**
- * Nobody could be chosen.
+ * Failure when no runner could be chosen.
  *
- * @param knowledge - what is known.
- * @param message - why.
- * @param retryAfterMilliseconds - when to come back.
+ * @param knowledge - what is known about the execution.
+ * @param message - why no runner could be chosen.
+ * @param retryAfterMilliseconds - when the caller may retry, in milliseconds.
  * @returns The last event.
  */
 export function nobodyFailure(
@@ -79,7 +82,7 @@
   retryAfterMilliseconds: number,
 ): RequestFailure {
   return {
-    code: knowledge.notRun ? 'not_run' : unlessUnknown(knowledge, 'upstream_error'),
+    code: knowledge.notRun ? 'not_run' : codeUnlessUnknown(knowledge, 'upstream_error'),
     notRun: knowledge.notRun,
     message,
     retryAfterMilliseconds: retryAfterMilliseconds || DEFAULT_RETRY_AFTER_MILLISECONDS,
@@ -87,23 +90,23 @@
 }
 
 /**
- * The deadline passed.
+ * Failure when the deadline has passed.
  *
- * @param knowledge - what is known.
+ * @param knowledge - what is known about the execution.
  * @returns The last event.
  */
 export function deadlineFailure(knowledge: RequestKnowledge): RequestFailure {
   return {
-    code: unlessUnknown(knowledge, 'deadline_exceeded'),
+    code: codeUnlessUnknown(knowledge, 'deadline_exceeded'),
     notRun: knowledge.notRun,
     message: 'The deadline passed.',
   };
 }
 
 /**
- * The caller cancelled or went away.
+ * Failure when the caller cancelled or disconnected.
  *
- * @param knowledge - what is known.
+ * @param knowledge - what is known about the execution.
  * @returns The last event.
  */
 export function cancelledFailure(knowledge: RequestKnowledge): RequestFailure {
@@ -111,11 +114,11 @@
 }
 
 /**
- * A stream broke and could not be resumed in time, or an attempt was lost.
+ * Failure when a stream broke and could not be resumed in time, or an attempt was lost.
  *
- * @param knowledge - what is known.
+ * @param knowledge - what is known about the execution.
  * @param message - what broke.
- * @param resumable - whether the caller may come back with `Last-Event-ID`.
+ * @param resumable - whether the caller may resume the stream with `Last-Event-ID`.
  * @returns The last event.
  */
 export function cutFailure(
@@ -125,7 +128,7 @@
 ): RequestFailure {
   if (!knowledge.delivered) {
     return {
-      code: unlessUnknown(knowledge, 'upstream_error'),
+      code: codeUnlessUnknown(knowledge, 'upstream_error'),
       notRun: knowledge.notRun,
       message,
       retryAfterMilliseconds: DEFAULT_RETRY_AFTER_MILLISECONDS,
@@ -141,10 +144,10 @@
 }
 
 /**
- * The caller came back for the rest of an answer, and no runner has it any more. Called one more cut, it would
- * bring the caller back for ever.
+ * Failure when a caller resumes an answer that no runner has any more. Reported as another cut,
+ * it would make the caller resume for ever.
  *
- * @param message - the gate's words.
+ * @param message - the message of the gate.
  * @returns The last event.
  */
 export function restGoneFailure(message: string): RequestFailure {
@@ -152,12 +155,13 @@
 }
 
 /**
- * The gate reported a failure after the attempt reached the runner.
+ * Failure that the gate reported after the attempt reached the runner.
  *
- * @param knowledge - what is known.
- * @param code - the gate's code.
- * @param message - the gate's words.
- * @param retryAfterMilliseconds - as the gate worked it out; 0 when it did not.
+ * @param knowledge - what is known about the execution.
+ * @param code - the code of the gate.
+ * @param message - the message of the gate.
+ * @param retryAfterMilliseconds - as computed by the gate, in milliseconds; 0 if it computed
+ *   none.
  * @returns The last event.
  */
 export function reportedFailure(
@@ -166,9 +170,12 @@
   message: string,
   retryAfterMilliseconds: number,
 ): RequestFailure {
-  const told = code === 'not_run' && !knowledge.notRun ? 'upstream_error' : code;
+  const reportedCode = code === 'not_run' && !knowledge.notRun ? 'upstream_error' : code;
   return {
-    code: knowledge.delivered || told === 'cancelled' ? told : unlessUnknown(knowledge, told),
+    code:
+      knowledge.delivered || reportedCode === 'cancelled'
+        ? reportedCode
+        : codeUnlessUnknown(knowledge, reportedCode),
     notRun: knowledge.notRun,
     message,
     ...(retryAfterMilliseconds > 0 && { retryAfterMilliseconds }),
--- a/src/requests/requestTimings.ts
+++ b/src/requests/requestTimings.ts
@@ -1,28 +1,37 @@
 /**
- * Times and numbers that bound the life of one request.
+ * Timeouts, pauses and limits of one request.
  */
 
-/** All times in milliseconds. */
+/** Timeouts, pauses and limits of one request; all times are in milliseconds. */
 export interface RequestTimings {
-  /** How long the home of a chat is waited for. */
+  /** Timeout for the answer of the chat's home. */
   readonly homeTimeoutMilliseconds: number;
-  /** Taken off the deadline for each hop, so that the inner side refuses before the outer one gives up. */
+  /**
+   * Subtracted from the deadline at each hop, so that the inner side refuses before the outer one
+   * gives up.
+   */
   readonly hopReserveMilliseconds: number;
-  /** How often one request is sent on in all: first, placement steps, retries and hedges together. */
+  /**
+   * Maximum number of attempts of one request: the first, placement steps, retries and hedges
+   * together.
+   */
   readonly maximumAttempts: number;
-  /** A second attempt is sent when an idempotent request has not started after this; 0 sends none. */
+  /** Delay after which an idempotent request that has not started is hedged; 0 disables hedging. */
   readonly hedgeAfterMilliseconds: number;
-  /** Pause before the second resume in a row; doubles from there. */
+  /** Pause before the second consecutive resume; doubles for each further one. */
   readonly resumePauseMilliseconds: number;
-  /** Longest pause between resumes. */
+  /** Maximum pause between resumes. */
   readonly maximumResumePauseMilliseconds: number;
-  /** Resumes without a new chunk before the stream counts as cut. */
+  /**
+   * Maximum number of consecutive resumes without a new chunk; after that the stream counts as
+   * cut.
+   */
   readonly maximumResumesInARow: number;
-  /** Resumes of one request in all. */
+  /** Maximum number of resumes of one request. */
   readonly maximumResumes: number;
-  /** Silence after which the daemon that a reading goes through is looked up. */
+  /** Time without an event after which the daemon that a reading goes through is looked up. */
   readonly gateCheckMilliseconds: number;
-  /** Silence of a started stream after which it is read anew. */
+  /** Time without an event after which a started stream is resumed. */
   readonly streamIdleMilliseconds: number;
 }
 
--- a/src/requests/requestTypes.ts
+++ b/src/requests/requestTypes.ts
@@ -1,9 +1,10 @@
 /**
- * A caller's request and its outcomes, as the callers' interface and the request's owner exchange them.
+ * Requests of callers and the events of their answers, as exchanged by the callers' interface and
+ * the owner of a request.
  */
 import type { Priority } from '../gates/gateTypes.js';
 
-/** What became of a request. The code of every error that a caller sees. */
+/** Outcome codes of requests. Every error that a caller gets has one of them. */
 export const OUTCOME_CODES = [
   'not_run',
   'outcome_unknown',
@@ -29,15 +30,15 @@
 /** See {@link OUTCOME_CODES}. */
 export type OutcomeCode = (typeof OUTCOME_CODES)[number];
 
-/** A checked and authenticated request. */
+/** A validated and authenticated request. */
 export interface CallerRequest {
   readonly requestId: string;
   readonly clientAccount: string;
   readonly service: string;
-  /** The chat's name: explicit, or a hash of the account and the opening of the prompt. */
+  /** Name of the chat: explicit, or a hash of the client account and the start of the prompt. */
   readonly chat: string;
   readonly priority: Priority;
-  /** Milliseconds that the caller still waits. */
+  /** How long the caller still waits, in milliseconds. */
   readonly deadlineMilliseconds: number;
   readonly idempotent: boolean;
   /** The binding token that the caller sent, if any. */
@@ -51,7 +52,7 @@
   readonly streaming: boolean;
 }
 
-/** What the owner of a request sends back to the callers' interface, in order. */
+/** Events that the owner of a request sends to the callers' interface, in order. */
 export type CallerEvent =
   | {
       readonly kind: 'started';
@@ -75,12 +76,15 @@
   | {
       readonly kind: 'failed';
       readonly code: OutcomeCode;
-      /** Whether the request provably did not run. */
+      /** Whether the request is known not to have run. */
       readonly notRun: boolean;
       readonly message: string;
       readonly retryAfterMilliseconds?: number;
-      /** With `binding_required`: the token, and the caller address that it is good at. */
+      /**
+       * With `binding_required`: the token, and the address of the daemon that may run the
+       * request.
+       */
       readonly binding?: { readonly token: string; readonly address: string };
-      /** Whether `Last-Event-ID` may continue it. */
+      /** Whether the caller may resume the stream with `Last-Event-ID`. */
       readonly resumable?: boolean;
     };
--- a/src/requests/requestsFeature.ts
+++ b/src/requests/requestsFeature.ts
@@ -1,5 +1,5 @@
 /**
- * Settings and log events of requests.
+ * Settings and log events of the requests feature.
  */
 import { z } from 'zod';
 
@@ -9,7 +9,7 @@
 import { DEFAULT_REQUEST_TIMINGS as TIMINGS } from './requestTimings.js';
 import { DEFAULT_RETRY_BURST, DEFAULT_RETRY_RATIO } from './RetryBudget.js';
 
-/** Longest time that a setting here may name, in milliseconds: one hour. */
+/** Maximum of the time settings below, in milliseconds: one hour. */
 const MAXIMUM_MILLISECONDS = 3_600_000;
 
 function milliseconds(fallback: number, description: string, minimum = 1) {
@@ -121,7 +121,7 @@
 /** Parsed `requests` section. */
 export type RequestSettings = z.infer<typeof requestSettingsSchema>;
 
-/** The feature. */
+/** The requests feature. */
 export const requestsFeature = defineFeature({
   name: 'requests',
   settings: requestSettingsSchema,
--- a/src/requests/testFakes.ts
+++ b/src/requests/testFakes.ts
@@ -1,5 +1,6 @@
 /**
- * Small fakes at the ports of requests, and readers of their events, for the specs.
+ * Small fakes of the dependencies of requests, and helpers that read the events of an answer, for
+ * the specs.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -17,23 +18,23 @@
 import { Chooser } from './Chooser.js';
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 
-/** Homes that know nothing, unless a test says otherwise. */
+/** Homes that know no warm runner and answer at once, unless they are frozen. */
 export class FakeHomes extends HomePort {
-  private silent = false;
+  private isFrozen = false;
 
-  /** From now on they do not answer. */
+  /** Makes the homes unresponsive from now on. */
   freeze(): void {
-    this.silent = true;
+    this.isFrozen = true;
   }
 
   override ask(): Promise<readonly WarmRunner[]> {
-    return this.silent ? new Promise(() => {}) : Promise.resolve([]);
+    return this.isFrozen ? new Promise(() => {}) : Promise.resolve([]);
   }
 
   override tell(): void {}
 }
 
-/** Chooses runner-1, runner-2 and so on, never one that was tried. */
+/** Chooses runner-1, runner-2 and so on, never a runner that was tried. */
 export class FakeChooser extends Chooser {
   readonly questions: ChooserQuestion[] = [];
 
@@ -52,7 +53,7 @@
   }
 }
 
-/** A fleet of daemons; a gate's daemon is the first that is alive. */
+/** A fleet of daemons; every gate is held by the first daemon that is alive. */
 export class FakeFleet extends FleetView {
   private readonly daemonId: string;
 
@@ -114,8 +115,8 @@
 }
 
 /**
- * @param daemonId - the daemon's name.
- * @returns Its record, alive.
+ * @param daemonId - the daemon's id.
+ * @returns The record of a daemon that is alive.
  */
 export function memberOf(daemonId: string): Member {
   return create(MemberSchema, {
@@ -127,8 +128,8 @@
 }
 
 /**
- * @param changes - what differs from a streamed idempotent chat.
- * @returns A request whose body says its name.
+ * @param changes - fields that differ from those of a streamed idempotent chat.
+ * @returns A request whose body is the name by which its runs are counted.
  */
 export function requestOf(changes: Partial<CallerRequest> = {}): CallerRequest {
   return {
@@ -151,8 +152,8 @@
 }
 
 /**
- * @param events - of a request.
- * @returns All of them, in order.
+ * @param events - the events of a request.
+ * @returns All events, in order.
  */
 export async function collect(events: AsyncIterable<CallerEvent>): Promise<CallerEvent[]> {
   const collected: CallerEvent[] = [];
@@ -161,8 +162,8 @@
 }
 
 /**
- * @param events - of a request.
- * @returns The answer's text.
+ * @param events - the events of a request.
+ * @returns The text of the answer.
  */
 export function textOf(events: readonly CallerEvent[]): string {
   const chunks = events.flatMap((event) => (event.kind === 'chunk' ? [event.data] : []));
@@ -170,8 +171,8 @@
 }
 
 /**
- * @param events - of a request.
- * @returns How it ended: `completed`, or the code of its failure; and how often it said so.
+ * @param events - the events of a request.
+ * @returns One entry for each final event: `completed`, or the code of the failure.
  */
 export function endsOf(events: readonly CallerEvent[]): string[] {
   return events.flatMap((event) => {
--- a/src/requests/testFleet.ts
+++ b/src/requests/testFleet.ts
@@ -1,5 +1,6 @@
 /**
- * Three daemons in memory: real owners of requests between links and gates that fail as told.
+ * Simulation of three daemons in memory: real owners of requests, with links and gates that fail
+ * as the test says.
  */
 import { mock } from 'node:test';
 
@@ -24,13 +25,16 @@
 import { FakeGates, FakeRunners, gateEvent, healthy, silent } from './testGates.js';
 import { VirtualTime } from './testTime.js';
 
-/** Names of the daemons. */
+/** Ids of the daemons. */
 export const DAEMONS = ['daemon-0', 'daemon-1', 'daemon-2'];
 
-/** Longer than any deadline, binding and chain of retries. */
+/**
+ * Virtual time at the end of a simulation, in milliseconds: longer than any deadline, binding
+ * lifetime and chain of retries.
+ */
 const SETTLE_MILLISECONDS = 300_000;
 
-/** What may happen to a call between daemons. */
+/** Faults of a call between daemons. */
 export const LINK_FAULTS = [
   'none',
   'lost',
@@ -42,35 +46,40 @@
 ] as const;
 type LinkFault = (typeof LINK_FAULTS)[number];
 
-async function lose(): Promise<never> {
+async function loseConnection(): Promise<never> {
   throw new Error('lost');
 }
 
-/** What may happen to an attempt. */
+/** Faults of an attempt at a gate. */
 export const GATE_FAULTS = {
   none: healthy,
   async *refused(attempt) {
     yield attempt.refused('runner_refused');
   },
-  /** Nobody else would say otherwise, so this ends the request as "not run". */
+  /**
+   * The refusal concerns the client account, so it ends the request as "not run" without a retry.
+   */
   async *limited(attempt) {
     yield attempt.refused('account_limit', 1_000);
   },
-  lost: silent(lose),
+  lost: silent(loseConnection),
   answerLost: silent((attempt) => {
     attempt.run();
-    return lose();
+    return loseConnection();
   }),
-  /** The nasty one: whoever asked hears of a cut, and the gate runs the request later all the same. */
+  /**
+   * The caller of the gate sees a broken connection, but the gate runs the request later all the
+   * same.
+   */
   runsLater: silent((attempt) => {
     setTimeout(() => attempt.run(), 1_500);
-    return lose();
+    return loseConnection();
   }),
   async *cut(attempt) {
     attempt.run();
     yield attempt.head();
     yield attempt.chunk(1);
-    await lose();
+    await loseConnection();
   },
   async *slow(attempt) {
     await attempt.wait(1_000);
@@ -83,25 +92,25 @@
   }),
 } satisfies Record<string, GateScript>;
 
-/** What may happen to a resume. */
+/** Faults of a resume. */
 export const RESUME_FAULTS = {
   lost: new Error('lost'),
   not_here: gateEvent('refused', { reason: 'gate_not_here' }),
   draining: gateEvent('refused', { reason: 'draining' }),
 };
 
-/** What goes wrong, each list in the order in which it strikes. */
+/** The faults of a simulation; each list is used up in its order. */
 export interface Faults {
   readonly linkFaults: readonly LinkFault[];
   readonly gateFaults: readonly (keyof typeof GATE_FAULTS)[];
   readonly resumeFaults: readonly (keyof typeof RESUME_FAULTS)[];
 }
 
-const SILENCE: AsyncIterable<never> = {
+const NO_EVENTS: AsyncIterable<never> = {
   [Symbol.asyncIterator]: () => ({ next: () => new Promise(() => {}) }),
 };
 
-/** The gates as one process sees them: a dead process sends nothing any more. */
+/** The gates as used by one process: once the process is dead it sends nothing any more. */
 class ProcessGates extends GatePort {
   alive = true;
 
@@ -113,11 +122,11 @@
   }
 
   override execute(request: ExecuteRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent> {
-    return this.alive ? this.gates.execute(request, signal) : SILENCE;
+    return this.alive ? this.gates.execute(request, signal) : NO_EVENTS;
   }
 
   override resume(request: ResumeRequest): AsyncIterable<ExecuteEvent> {
-    return this.alive ? this.gates.resume(request) : SILENCE;
+    return this.alive ? this.gates.resume(request) : NO_EVENTS;
   }
 
   override async cancel(): Promise<boolean> {
@@ -125,27 +134,27 @@
   }
 }
 
-interface Process {
+interface DaemonProcess {
   readonly owner: RequestOwner;
   readonly gates: ProcessGates;
 }
 
 interface Submission {
   readonly binding: number;
-  readonly process: Process;
+  readonly process: DaemonProcess;
   readonly events: Promise<CallerEvent[]>;
 }
 
-/** One step of a story. */
+/** One step of a simulation. */
 export type Operation =
   | { kind: 'submit'; binding: number; daemon: number; deadlineMilliseconds: number }
   | { kind: 'advance'; milliseconds: number }
-  /** Everything stands still and wakes: clocks have moved, no timer has fired. */
+  /** All processes are paused and resume: clocks have advanced, but no timer has fired. */
   | { kind: 'pause'; milliseconds: number }
   | { kind: 'restart'; daemon: number }
   | { kind: 'declare'; daemon: number; state: string };
 
-/** See the module's comment. */
+/** Runs operations on the three daemons and collects the answers of all submitted requests. */
 export class World extends PeerLink {
   readonly runners = new FakeRunners();
 
@@ -157,7 +166,7 @@
 
   private readonly members: Member[] = DAEMONS.map(memberOf);
 
-  private processes: Process[];
+  private processes: DaemonProcess[];
 
   private readonly bindings: string[];
 
@@ -175,7 +184,7 @@
   }
 
   /**
-   * @param operations - the steps; afterwards time goes on until everything has ended.
+   * @param operations - the steps; afterwards time advances until all requests have ended.
    */
   async play(operations: readonly Operation[]): Promise<void> {
     for (const operation of operations) {
@@ -189,23 +198,23 @@
     for (const { owner } of this.processes) owner.stop();
   }
 
-  /** @returns Answers that callers got: those of a killed daemon never reach them. */
+  /** @returns The answers that callers received; those of a killed daemon are left out. */
   async answers(): Promise<{ binding: number; events: CallerEvent[] }[]> {
-    const heard = this.submissions.filter(({ process }) => process.gates.alive);
+    const delivered = this.submissions.filter(({ process }) => process.gates.alive);
     return Promise.all(
-      heard.map(async ({ binding, events }) => ({ binding, events: await events })),
+      delivered.map(async ({ binding, events }) => ({ binding, events: await events })),
     );
   }
 
   override to(daemonId: string): Client<typeof PeerService> {
     const runBound = (message: RunBoundRequest): AsyncIterable<ExecuteEvent> =>
-      this.carry(daemonId, message);
+      this.relayCall(daemonId, message);
     return { runBound } as unknown as Client<typeof PeerService>;
   }
 
   override close(): void {}
 
-  private start(daemonId: string): Process {
+  private start(daemonId: string): DaemonProcess {
     const gates = new ProcessGates(this.gates);
     const owner = new RequestOwner({
       gates,
@@ -239,8 +248,8 @@
     this.submissions.push({ binding, process, events });
   }
 
-  /** One call between daemons, with the next fault of the list. */
-  private async *carry(
+  /** Carries one call between daemons, with the next fault of the list. */
+  private async *relayCall(
     daemonId: string,
     message: RunBoundRequest,
   ): AsyncGenerator<ExecuteEvent, void> {
@@ -263,7 +272,7 @@
     }
   }
 
-  private async drain({ owner }: Process, message: RunBoundRequest): Promise<void> {
+  private async drain({ owner }: DaemonProcess, message: RunBoundRequest): Promise<void> {
     const iterator = owner.runBound(message);
     for (let done = false; !done; done = (await iterator.next()).done ?? false);
   }
--- a/src/requests/testGates.ts
+++ b/src/requests/testGates.ts
@@ -1,5 +1,5 @@
 /**
- * Scripted gates over runners that count their runs, for the specs of requests.
+ * Scripted gates, and runners that count their runs, for the specs of requests.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -16,19 +16,19 @@
 type EventCase = NonNullable<ExecuteEvent['event']['case']>;
 
 /**
- * @param kind - the event's case.
- * @param value - its fields.
+ * @param kind - the case of the event.
+ * @param value - the fields of the event.
  * @returns The event.
  */
 export function gateEvent(kind: EventCase, value: object): ExecuteEvent {
   return create(ExecuteEventSchema, { event: { case: kind, value } as never });
 }
 
-/** The answer that every fake runner gives, chunk by chunk. */
+/** The answer of every fake runner, chunk by chunk. */
 export const ANSWER = ['one ', 'two ', 'three'];
 
-/** What a request's body says: the name by which runs are counted. */
-function nameOf(body: Uint8Array): string {
+/** The body of a request is the name by which its runs are counted. */
+function runNameOf(body: Uint8Array): string {
   return Buffer.from(body).toString();
 }
 
@@ -41,7 +41,7 @@
   return gateEvent('chunk', { attemptId, sequence, data });
 }
 
-/** An attempt, as a script sees it. */
+/** An attempt in the hands of a script: creates its events and runs it. */
 export class FakeAttempt {
   readonly request: ExecuteRequest;
 
@@ -55,12 +55,15 @@
     this.runners = runners;
   }
 
-  /** The runner starts it: counted, and resumable from now on. */
+  /**
+   * Runs the attempt at its runner: the run is counted, and the attempt can be resumed from now
+   * on.
+   */
   run(): void {
     this.runners.run(this.request);
   }
 
-  /** The runner forgets the attempt: nothing resumes it any more. */
+  /** Makes the runner drop the attempt, so that it can't be resumed any more. */
   forget(): void {
     this.runners.known.delete(this.request.attemptId);
   }
@@ -81,7 +84,7 @@
     return gateEvent('completed', { attemptId: this.request.attemptId, lastSequence });
   }
 
-  /** Never goes on, as a frozen process; the abort of its caller does not reach it. */
+  /** Never returns, like a frozen process; it doesn't notice that its caller aborts. */
   async freeze(): Promise<never> {
     return new Promise<never>(() => {});
   }
@@ -93,18 +96,18 @@
   }
 }
 
-/** What a gate does with an attempt. */
+/** Events that a gate sends for an attempt. */
 export type GateScript = (attempt: FakeAttempt) => AsyncIterable<ExecuteEvent>;
 
 /**
- * @param work - ends by an error, or never.
- * @returns A script that says nothing.
+ * @param work - throws or never returns.
+ * @returns A script that sends no event.
  */
 export function silent(work: (attempt: FakeAttempt) => Promise<never>): GateScript {
   return (attempt) => ({ [Symbol.asyncIterator]: () => ({ next: () => work(attempt) }) });
 }
 
-/** A whole answer without any fault. */
+/** Sends a full answer without any fault. */
 export async function* healthy(attempt: FakeAttempt): AsyncGenerator<ExecuteEvent> {
   attempt.run();
   yield attempt.head();
@@ -112,16 +115,16 @@
   yield attempt.completed();
 }
 
-/** What runners have run and still know. */
+/** Counts the runs of all runners and keeps the attempts that can be resumed. */
 export class FakeRunners {
-  /** How often each request ran, by its body. */
+  /** Number of runs of each request, by its body. */
   readonly runs = new Map<string, number>();
 
-  /** Attempts that can be resumed. */
+  /** Ids of the attempts that can be resumed. */
   readonly known = new Set<string>();
 
   run({ attemptId, body }: ExecuteRequest): void {
-    const name = nameOf(body);
+    const name = runNameOf(body);
     this.runs.set(name, this.runsOf(name) + 1);
     this.known.add(attemptId);
   }
@@ -131,7 +134,9 @@
   }
 }
 
-/** Gates that follow scripts, one for each attempt in turn, and are healthy afterwards. */
+/**
+ * Gates that use the given scripts, one for each attempt in turn, and {@link healthy} afterwards.
+ */
 export class FakeGates extends GatePort {
   readonly executed: ExecuteRequest[] = [];
 
@@ -156,12 +161,15 @@
     return script(new FakeAttempt(request, signal, this.runners));
   }
 
-  /** Says what happens to the next attempts. */
+  /** Sets the scripts of the next attempts. */
   follow(...scripts: readonly GateScript[]): void {
     this.scripts = [...scripts];
   }
 
-  /** Says what happens to the next resumes: an error that the call throws, or an event that refuses it. */
+  /**
+   * Sets the faults of the next resumes: an error that the call throws, or an event that is sent
+   * instead of the stream.
+   */
   failResumes(...faults: readonly (Error | ExecuteEvent)[]): void {
     this.resumeFaults = [...faults];
   }
--- a/src/requests/testHarness.ts
+++ b/src/requests/testHarness.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon's owner of requests between fake ports, for the specs.
+ * One daemon's owner of requests with fake dependencies, for the specs.
  */
 import { mock } from 'node:test';
 
@@ -16,10 +16,10 @@
 import { FakeGates, FakeRunners } from './testGates.js';
 import { VirtualTime } from './testTime.js';
 
-/** A signal that nobody aborts. */
+/** A signal that is never aborted. */
 export const STAYS = new AbortController().signal;
 
-/** An entry daemon, and another one that holds the gates. */
+/** An entry daemon with its owner of requests, and another daemon that holds the gates. */
 export class Harness {
   readonly time = new VirtualTime(mock.timers);
 
@@ -43,9 +43,9 @@
   }
 
   /**
-   * @param daemonId - whose.
-   * @param peers - its link to the others.
-   * @returns An owner over the same gates.
+   * @param daemonId - the daemon of the owner.
+   * @param peers - the link of that daemon to the others.
+   * @returns An owner that uses the same gates.
    */
   newOwner(daemonId = 'entry-daemon', peers = undefined as unknown as PeerLink): RequestOwner {
     const options: RequestOwnerOptions = {
@@ -63,23 +63,24 @@
   }
 
   /**
-   * @param request - to run.
-   * @returns Its events.
+   * @param request - the request to run.
+   * @returns The events of its answer.
    */
   readonly run = (request: CallerRequest): Promise<CallerEvent[]> =>
     this.time.until(collect(this.owner.run(request, STAYS)));
 
   /**
    * @param request - a non-idempotent request.
-   * @returns The request with the binding that its refusal brought.
+   * @returns The request with the binding that came with its refusal.
    */
   readonly bind = async (request: CallerRequest): Promise<CallerRequest> => {
     const [refusal] = await this.run(request);
-    if (refusal?.kind !== 'failed' || !refusal.binding) throw new Error('no binding came');
+    if (refusal?.kind !== 'failed' || !refusal.binding)
+      throw new Error('expected a refusal with a binding');
     return { ...request, binding: refusal.binding.token };
   };
 
-  /** The daemon of the gates is declared dead after a while. */
+  /** Declares the daemon of the gates dead after a delay. */
   declareDead(afterMilliseconds: number): void {
     const declare = (): void => {
       this.daemons[0]!.state = 'dead';
@@ -87,7 +88,7 @@
     setTimeout(declare, afterMilliseconds);
   }
 
-  /** Gives the mocked timers back. */
+  /** Stops the owner and restores the timers. */
   close(): void {
     this.owner.stop();
     mock.timers.reset();
@@ -95,9 +96,9 @@
 }
 
 /**
- * @param test - what to do with a harness.
- * @param settings - what differs from the defaults.
- * @returns A test function.
+ * @param test - the test, which gets a harness.
+ * @param settings - settings that differ from the defaults.
+ * @returns A test function that closes the harness at its end.
  */
 export function withHarness(
   test: (harness: Harness) => Promise<void>,
--- a/src/requests/testTime.ts
+++ b/src/requests/testTime.ts
@@ -1,19 +1,19 @@
 /**
- * Time for the specs of requests: it moves only when a test says so.
+ * Virtual time for the specs of requests: it advances only when a test asks for it.
  */
 import type { mock } from 'node:test';
 
 import { ManualClock } from '../time/ManualClock.js';
 
-/** How far virtual time moves at once, in milliseconds. */
+/** Step of virtual time, in milliseconds. */
 const STEP_MILLISECONDS = 5;
 
-/** Some moment, so that the wall clock and the monotonic clock differ. */
-const START_OF_TIME = 1_790_000_000_000;
+/** An arbitrary start of the wall clock that differs from the start of the monotonic clock. */
+const START_WALL_MILLISECONDS = 1_790_000_000_000;
 
-/** Moves the clock and the mocked timers together. */
+/** Advances the clock and the mocked timers together. */
 export class VirtualTime {
-  readonly clock = new ManualClock({ wallMilliseconds: START_OF_TIME });
+  readonly clock = new ManualClock({ wallMilliseconds: START_WALL_MILLISECONDS });
 
   private readonly timers: typeof mock.timers;
 
@@ -26,8 +26,8 @@
   }
 
   /**
-   * @param milliseconds - how far.
-   * @param step - how far at once.
+   * @param milliseconds - how far to advance.
+   * @param step - size of a step, in milliseconds.
    */
   async advance(milliseconds: number, step = STEP_MILLISECONDS): Promise<void> {
     for (let moved = 0; moved < milliseconds; moved += step) {
@@ -38,7 +38,7 @@
     await this.settle();
   }
 
-  /** Lets everything that waits for nothing but a turn have it. */
+  /** Lets all pending promise callbacks run. */
   async settle(): Promise<void> {
     await new Promise((resolve) => {
       setImmediate(resolve);
@@ -46,11 +46,11 @@
   }
 
   /**
-   * Moves on until a promise is settled.
+   * Advances time until a promise is settled.
    *
-   * @param promise - what is waited for.
-   * @param limitMilliseconds - longest virtual time.
-   * @returns Its value.
+   * @param promise - the promise.
+   * @param limitMilliseconds - maximum virtual time to advance.
+   * @returns The value of the promise.
    */
   async until<Value>(promise: Promise<Value>, limitMilliseconds = 120_000): Promise<Value> {
     let done = false;
@@ -64,6 +64,6 @@
       this.clock.advance(STEP_MILLISECONDS);
       this.timers.tick(STEP_MILLISECONDS);
     }
-    throw new Error(`not settled within ${limitMilliseconds} ms of virtual time`);
+    throw new Error(`promise not settled within ${limitMilliseconds} ms of virtual time`);
   }
 }
--- a/src/requests/untilDeadline.ts
+++ b/src/requests/untilDeadline.ts
@@ -1,37 +1,44 @@
 /**
- * Ends a caller's reading of a bound run at the caller's own deadline; the run may go on for others.
+ * Ends a caller's reading of a bound run at the caller's own deadline; the run may continue for
+ * other readers.
  */
 import { outcomeUnknown } from './boundFailures.js';
 import type { CallerEvent } from './requestTypes.js';
 
-const LATE = Symbol('late');
+const EXPIRED = Symbol('late');
 
-/** One promise for each step: a single one for all would collect a reaction for each event. */
-class Lateness {
-  private late = false;
+/**
+ * Signals the deadline by a new promise for each step. A single promise would collect one
+ * reaction for each event of the stream.
+ */
+class DeadlineSignal {
+  private isExpired = false;
 
   private wake = (): void => {};
 
-  /** From now on it is late. */
-  fire(): void {
-    this.late = true;
+  /** Marks the deadline as passed. */
+  expire(): void {
+    this.isExpired = true;
     this.wake();
   }
 
-  /** @returns When it is late; only the latest of these promises ever resolves. */
-  next(): Promise<typeof LATE> {
-    if (this.late) return Promise.resolve(LATE);
+  /** @returns When the deadline passes; only the most recent of these promises ever resolves. */
+  expiry(): Promise<typeof EXPIRED> {
+    if (this.isExpired) return Promise.resolve(EXPIRED);
     return new Promise((resolve) => {
-      this.wake = () => resolve(LATE);
+      this.wake = () => resolve(EXPIRED);
     });
   }
 }
 
 /**
+ * Relays the events of a run until the caller's deadline.
+ *
  * @param events - the answer of the run.
- * @param deadlineMilliseconds - how long the caller still waits.
- * @param signal - aborted when the caller has gone.
- * @yields The events until their last one, or until the caller need not be told any more.
+ * @param deadlineMilliseconds - how long the caller still waits, in milliseconds.
+ * @param signal - aborted when the caller has disconnected.
+ * @yields The events up to their last one, or up to the deadline, which ends them with an unknown
+ *   outcome.
  */
 export async function* untilDeadline(
   events: AsyncIterable<CallerEvent>,
@@ -39,15 +46,15 @@
   signal: AbortSignal,
 ): AsyncGenerator<CallerEvent, void> {
   const iterator = events[Symbol.asyncIterator]();
-  const lateness = new Lateness();
-  const onLate = (): void => lateness.fire();
-  if (signal.aborted) onLate();
-  const timer = setTimeout(onLate, Math.max(0, deadlineMilliseconds));
-  signal.addEventListener('abort', onLate);
+  const deadlineSignal = new DeadlineSignal();
+  const onDeadline = (): void => deadlineSignal.expire();
+  if (signal.aborted) onDeadline();
+  const timer = setTimeout(onDeadline, Math.max(0, deadlineMilliseconds));
+  signal.addEventListener('abort', onDeadline);
   try {
     for (;;) {
-      const step = await Promise.race([lateness.next(), iterator.next()]);
-      if (step === LATE) {
+      const step = await Promise.race([deadlineSignal.expiry(), iterator.next()]);
+      if (step === EXPIRED) {
         yield outcomeUnknown('The deadline passed before the outcome was known.');
         return;
       }
@@ -56,8 +63,8 @@
     }
   } finally {
     clearTimeout(timer);
-    signal.removeEventListener('abort', onLate);
-    // The answer may never come; nothing waits for it.
+    signal.removeEventListener('abort', onDeadline);
+    // The next event may never come, so nothing waits for this.
     void iterator.return?.().catch(() => {});
   }
 }
