--- a/src/requests/AttemptPhase.spec.ts
+++ b/src/requests/AttemptPhase.spec.ts
@@ -8,13 +8,13 @@
 import type { OutcomeCode } from './requestTypes.js';
 import type { GateScript } from './testGates.js';
 import { collect, endsOf, requestOf } from './testFakes.js';
-import { silent } from './testGates.js';
-import { STAYS, withHarness } from './testHarness.js';
+import { withoutEvents } from './testGates.js';
+import { NEVER_ABORTED, withHarness } from './testHarness.js';
 
 const NO_RETRIES = { retryRatio: 0, retryBurst: 0 };
-const FROZEN = silent((attempt) => attempt.freeze());
+const FROZEN = withoutEvents((attempt) => attempt.freeze());
 
-const LOST = silent(async () => {
+const LOST = withoutEvents(async () => {
   throw new Error('reset');
 });
 
@@ -42,7 +42,7 @@
     it(
       `answers refusal ${reason} with ${code} immediately`,
       withHarness(async (harness) => {
-        harness.gates.follow(...Array.from({ length: 9 }, () => refusing(reason)));
+        harness.gates.setScripts(...Array.from({ length: 9 }, () => refusing(reason)));
         const events = await harness.run(requestOf({ deadlineMilliseconds: 60_000 }));
         const retryAfter = code === 'cancelled' ? {} : { retryAfterMilliseconds: 700 };
         expect(events).toEqual([
@@ -67,7 +67,7 @@
           withHarness(
             async (harness) => {
               const { gates } = harness;
-              gates.follow(...Array.from({ length: 500 }, () => LOST));
+              gates.setScripts(...Array.from({ length: 500 }, () => LOST));
               for (const clientAccount of accounts) await harness.run(requestOf({ clientAccount }));
               const most = (1 + retryRatio) * accounts.length + retryBurst;
               expect(gates.executed.length <= most).toEqual(true);
@@ -89,7 +89,7 @@
     'does not report "not run" after an attempt was lost',
     withHarness(
       async (harness) => {
-        harness.gates.follow(LOST, refusing('runner_down'));
+        harness.gates.setScripts(LOST, refusing('runner_down'));
         const [failure] = await harness.run(requestOf());
         expect(failure).toEqual(expect.subset({ code: 'upstream_error', notRun: false }));
       },
@@ -104,7 +104,7 @@
     'hedges an unresponsive attempt once, and cancels the attempt that loses',
     withHarness(
       async (harness) => {
-        harness.gates.follow(FROZEN);
+        harness.gates.setScripts(FROZEN);
         const events = await harness.run(requestOf());
         expect(endsOf(events)).toEqual(['completed']);
         const [first, second] = harness.gates.executed;
@@ -113,7 +113,7 @@
           first!.attemptId,
         ]);
         expect(harness.time.clock.monotonicMilliseconds() < 300).toEqual(true);
-        harness.gates.follow(FROZEN, FROZEN);
+        harness.gates.setScripts(FROZEN, FROZEN);
         const late = await harness.run(requestOf({ deadlineMilliseconds: 1_000 }));
         // The only retry of the burst is spent, so the request is not hedged.
         expect([endsOf(late), harness.gates.executed.length]).toEqual([['deadline_exceeded'], 3]);
@@ -126,7 +126,7 @@
     'passes on the deadline, reduced by the time spent and the hop reserve',
     withHarness(async (harness) => {
       harness.homes.freeze();
-      harness.gates.follow(refusing('above_bound'));
+      harness.gates.setScripts(refusing('above_bound'));
       await harness.run(requestOf({ deadlineMilliseconds: 5_000 }));
       const passedOn = harness.gates.executed.map((attempt) => attempt.deadlineMilliseconds);
       expect(passedOn).toEqual([4_940, 4_940]);
@@ -136,7 +136,7 @@
   it(
     'ends at the deadline and cancels the open attempt',
     withHarness(async (harness) => {
-      harness.gates.follow(FROZEN);
+      harness.gates.setScripts(FROZEN);
       const events = await harness.run(requestOf({ deadlineMilliseconds: 1_000 }));
       expect(events).toEqual([expect.subset({ code: 'deadline_exceeded', notRun: false })]);
       expect(harness.gates.cancelled.length).toEqual(1);
@@ -150,8 +150,8 @@
     'passes a cancellation on to the gate, for the request’s own account only',
     withHarness(async (harness) => {
       const { owner, gates, time } = harness;
-      gates.follow(FROZEN, FROZEN);
-      const cancelled = collect(owner.run(requestOf(), STAYS));
+      gates.setScripts(FROZEN, FROZEN);
+      const cancelled = collect(owner.run(requestOf(), NEVER_ABORTED));
       await time.advance(20);
       expect(await owner.cancel('punkt.agents', 'request-1')).toEqual(false);
       expect(await owner.cancel('litoral.showroom', 'request-1')).toEqual(true);
--- a/src/requests/AttemptPhase.ts
+++ b/src/requests/AttemptPhase.ts
@@ -6,7 +6,7 @@
 import type { MessageOf, RequestContext } from './RequestContext.js';
 import type { Reading } from './requestFacts.js';
 import type { AttemptPurpose, RequestFailure, TriedRunner } from './requestDecisionTypes.js';
-import { cancelledFailure, nobodyFailure, refusedFailure } from './requestFailures.js';
+import { cancelledFailure, noRunnerFailure, refusedFailure } from './requestFailures.js';
 import type { RetryBudget } from './RetryBudget.js';
 
 /**
@@ -63,14 +63,14 @@
    * prefix cached.
    */
   begin(): void {
-    this.budget.recordRequest(this.context.facts.payer);
+    this.budget.recordRequest(this.context.facts.retryScope);
     this.context.advance('ask_home');
     this.homeTimeoutAt = this.context.now + this.context.timings.homeTimeoutMilliseconds;
-    this.context.act({ kind: 'ask_home' });
+    this.context.addAction({ kind: 'ask_home' });
   }
 
   /** Chooses the first runner once the home of the chat has answered or its timeout has passed. */
-  onHome(): void {
+  onHomeAnswered(): void {
     if (!this.context.isIn('asking_home')) return;
     this.homeTimeoutAt = undefined;
     this.choose('first');
@@ -94,13 +94,13 @@
    *
    * @param nobody - the chooser's answer.
    */
-  onNobody({ message, retryAfterMilliseconds }: MessageOf<'nobody'>): void {
+  onNoRunner({ message, retryAfterMilliseconds }: MessageOf<'nobody'>): void {
     const purpose = this.pendingPurpose;
     this.pendingPurpose = undefined;
     if (purpose === undefined || purpose === 'hedge') return;
-    const knowledge = this.context.knowledge();
+    const knowledge = this.context.executionStatus();
     this.context.fail(
-      this.failureOfLastAttempt ?? nobodyFailure(knowledge, message, retryAfterMilliseconds),
+      this.failureOfLastAttempt ?? noRunnerFailure(knowledge, message, retryAfterMilliseconds),
     );
   }
 
@@ -115,12 +115,12 @@
     const { context } = this;
     const { reason, retryAfterMilliseconds, load, mean } = refused;
     context.abandonReading(reading);
-    context.explainRefused();
+    context.countNotRun();
     const { runnerId, lastChoice } = reading;
     this.tried.push({ runnerId, why: reason, load, mean, retryAfterMilliseconds, lastChoice });
     if (context.readings.size > 0) return;
-    const failure = refusedFailure(context.knowledge(), reason, retryAfterMilliseconds);
-    if (reason === 'cancelled') context.fail(cancelledFailure(context.knowledge()));
+    const failure = refusedFailure(context.executionStatus(), reason, retryAfterMilliseconds);
+    if (reason === 'cancelled') context.fail(cancelledFailure(context.executionStatus()));
     else if (NON_RETRYABLE_REFUSALS.has(reason)) context.fail(failure);
     else if (reason === 'above_bound') this.placeElsewhere(failure);
     else this.retry(failure);
@@ -133,7 +133,7 @@
    * @param reading - the reading of the attempt.
    * @param failure - how the request ends when it may not be retried.
    */
-  onBroken(reading: Reading, failure: RequestFailure): void {
+  onAttemptLost(reading: Reading, failure: RequestFailure): void {
     this.context.cancelReading(reading);
     this.tried.push(triedWithoutLoad(reading, 'lost'));
     if (this.context.readings.size > 0) return;
@@ -148,11 +148,11 @@
    */
   retry(failure: RequestFailure): void {
     const { context } = this;
-    if (context.attempts() >= context.timings.maximumAttempts) {
+    if (context.attemptCount() >= context.timings.maximumAttempts) {
       this.denyRetry('attempts', failure);
     } else if (context.remainingForHop() <= 0) {
       context.expire();
-    } else if (!this.budget.takeRetry(context.facts.payer)) {
+    } else if (!this.budget.takeRetry(context.facts.retryScope)) {
       this.denyRetry('budget', failure);
     } else {
       this.failureOfLastAttempt = failure;
@@ -163,7 +163,7 @@
   /** Ends the wait for the home and sends a hedge when either is due. */
   onTick(): void {
     const { now } = this.context;
-    if (this.homeTimeoutAt !== undefined && now >= this.homeTimeoutAt) this.onHome();
+    if (this.homeTimeoutAt !== undefined && now >= this.homeTimeoutAt) this.onHomeAnswered();
     else if (now >= (this.hedgeAt() ?? Infinity)) this.hedge();
   }
 
@@ -179,7 +179,7 @@
    * load. The chooser ends the sequence by asking a gate to queue the request.
    */
   private placeElsewhere(failure: RequestFailure): void {
-    if (this.context.attempts() >= this.context.timings.maximumAttempts) {
+    if (this.context.attemptCount() >= this.context.timings.maximumAttempts) {
       this.denyRetry('attempts', failure);
       return;
     }
@@ -188,7 +188,7 @@
   }
 
   private denyRetry(why: 'budget' | 'attempts', failure: RequestFailure): void {
-    this.context.act({ kind: 'retry_denied', why });
+    this.context.addAction({ kind: 'retry_denied', why });
     this.context.fail(failure);
   }
 
@@ -196,13 +196,18 @@
     if (purpose !== 'hedge' && !this.context.advance('choose')) return;
     this.pendingPurpose = purpose;
     const deadlineMilliseconds = this.context.remainingForHop();
-    this.context.act({ kind: 'choose', purpose, tried: [...this.tried], deadlineMilliseconds });
+    this.context.addAction({
+      kind: 'choose',
+      purpose,
+      tried: [...this.tried],
+      deadlineMilliseconds,
+    });
   }
 
   private hedge(): void {
     this.hedged = true;
     if (this.context.remainingForHop() <= 0) return;
-    if (!this.budget.takeRetry(this.context.facts.payer)) return;
+    if (!this.budget.takeRetry(this.context.facts.retryScope)) return;
     const [reading] = this.context.readings.values();
     if (reading) this.tried.push(triedWithoutLoad(reading, 'hedged'));
     this.choose('hedge');
--- a/src/requests/BindingForwarder.ts
+++ b/src/requests/BindingForwarder.ts
@@ -15,7 +15,7 @@
 import { executeRequestOf } from './executeRequest.js';
 import { ForwardedAnswer } from './ForwardedAnswer.js';
 import { REQUEST_LOG_EVENTS as LOG_EVENTS } from './requestLogEvents.js';
-import type { RequestPorts } from './RequestPorts.js';
+import type { RequestDependencies } from './RequestDependencies.js';
 import { RequestTask } from './RequestTask.js';
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 
@@ -30,7 +30,7 @@
 
 /** Options of a {@link BindingForwarder}. */
 export interface BindingForwarderOptions {
-  ports: RequestPorts;
+  ports: RequestDependencies;
   peers: PeerLink;
 }
 
@@ -51,7 +51,7 @@
 
 /** Relays bound requests to the daemon that issued their binding. */
 export class BindingForwarder {
-  private readonly ports: RequestPorts;
+  private readonly ports: RequestDependencies;
 
   private readonly peers: PeerLink;
 
@@ -81,7 +81,7 @@
   ): AsyncGenerator<CallerEvent, void> {
     const deadlineAt = this.ports.clock.monotonicMilliseconds() + request.deadlineMilliseconds;
     const answer = new ForwardedAnswer({ tokens: this.ports.tokens, request });
-    cancellation.onCancel(() => this.cancel(answer));
+    cancellation.setAction(() => this.cancel(answer));
     let failureReason = 'The daemon that issued the binding is not a member of the fleet any more.';
     for (const pause of [0, ...RETRY_PAUSES_MILLISECONDS]) {
       await pauseFor(pause, signal);
@@ -112,7 +112,7 @@
    * on; before that, only the binding's daemon can cancel the run.
    */
   private cancel(answer: ForwardedAnswer): void {
-    const attempt = answer.continuation(0);
+    const attempt = answer.resumePoint(0);
     if (!attempt) return;
     const { attemptId, runnerId } = attempt;
     const request = create(CancelRequestSchema, { attemptId, runnerId });
@@ -143,7 +143,7 @@
       .to(daemonId, peerAddress)
       .runBound(message, { signal });
     for await (const event of events) {
-      const passedOn = answer.take(event);
+      const passedOn = answer.accept(event);
       if (passedOn) yield passedOn;
       if (answer.ended()) return;
     }
@@ -162,7 +162,7 @@
   ): AsyncGenerator<CallerEvent, void> {
     this.logUnreachable(request, failureReason);
     const deadlineMilliseconds = deadlineAt - this.ports.clock.monotonicMilliseconds();
-    const stream = answer.continuation(deadlineMilliseconds);
+    const stream = answer.resumePoint(deadlineMilliseconds);
     if (!stream || signal.aborted) {
       yield outcomeUnknown(failureReason);
       return;
--- a/src/requests/BindingLedger.spec.ts
+++ b/src/requests/BindingLedger.spec.ts
@@ -5,7 +5,7 @@
 
 import { ManualClock } from '../time/ManualClock.js';
 import { BindingLedger } from './BindingLedger.js';
-import { SteadyCalendar } from './SteadyCalendar.js';
+import { MonotonicCalendar } from './MonotonicCalendar.js';
 
 const LIFETIME = 1_000;
 
@@ -23,11 +23,11 @@
     expect(kindOf('d', 700, 'punkt.agents')).toEqual('first');
     expect(kindOf('e', 700, 'punkt.agents')).toEqual('full');
     expect([kindOf('a'), kindOf('b')]).toEqual(['repeat', 'repeat']);
-    expect([ledger.retryAfter(100, 'litoral.showroom'), ledger.canTake(0, 'x')]).toEqual([
+    expect([ledger.retryAfter(100, 'litoral.showroom'), ledger.canAccept(0, 'x')]).toEqual([
       900,
       false,
     ]);
-    expect([ledger.canTake(700, 'x'), ledger.size()]).toEqual([true, 2]);
+    expect([ledger.canAccept(700, 'x'), ledger.size()]).toEqual([true, 2]);
   });
 
   it('keeps the answers of different requests apart', () => {
@@ -75,7 +75,7 @@
     let wall = 1_000_000;
     const clock = new ManualClock({ wallMilliseconds: wall });
     clock.wallMilliseconds = () => wall;
-    const calendar = new SteadyCalendar(clock);
+    const calendar = new MonotonicCalendar(clock);
     const ledger = new BindingLedger<number>();
     const binding = use('a', calendar.now() + LIFETIME);
     expect(ledger.use(calendar.now(), binding, () => 1).kind).toEqual('first');
--- a/src/requests/BindingLedger.ts
+++ b/src/requests/BindingLedger.ts
@@ -21,7 +21,7 @@
 }
 
 /** Result of using a binding. */
-export type LedgerVerdict<Run> =
+export type LedgerResult<Run> =
   /** The first use: the request runs now, and never again. */
   | { readonly kind: 'first'; readonly run: Run }
   /** A repeat: the single run is in progress or has ended. */
@@ -39,7 +39,7 @@
   /** Limit for each client account, so that one account cannot fill the ledger for all others. */
   maximumBindingsPerAccount?: number;
   /** Called with the run of an entry that is removed because its binding expired. */
-  onForget?: (run: Run) => void;
+  onExpire?: (run: Run) => void;
 }
 
 /** Default of {@link BindingLedgerOptions.maximumBindings}. */
@@ -61,7 +61,7 @@
 
   private readonly maximumBindingsPerAccount: number;
 
-  private readonly onForget: (run: Run) => void;
+  private readonly onExpire: (run: Run) => void;
 
   private readonly entries = new Map<string, Entry<Run>>();
 
@@ -76,11 +76,11 @@
   constructor({
     maximumBindings = DEFAULT_MAXIMUM_BINDINGS,
     maximumBindingsPerAccount = DEFAULT_MAXIMUM_BINDINGS_PER_ACCOUNT,
-    onForget = () => {},
+    onExpire = () => {},
   }: BindingLedgerOptions<Run> = {}) {
     this.maximumBindings = maximumBindings;
     this.maximumBindingsPerAccount = maximumBindingsPerAccount;
-    this.onForget = onForget;
+    this.onExpire = onExpire;
   }
 
   /**
@@ -91,7 +91,7 @@
    * @param start - starts the run; called for the first use only.
    * @returns Whether this is the first use, a repeat or a refusal, with the run if there is one.
    */
-  use(now: number, use: BindingUse, start: () => Run): LedgerVerdict<Run> {
+  use(now: number, use: BindingUse, start: () => Run): LedgerResult<Run> {
     this.removeExpired(now);
     if (now >= use.expiresAt) return { kind: 'expired' };
     const existing = this.entries.get(use.bindingId);
@@ -110,7 +110,7 @@
    * @param clientAccount - a client account.
    * @returns Whether a new binding of the account could be used now.
    */
-  canTake(now: number, clientAccount: string): boolean {
+  canAccept(now: number, clientAccount: string): boolean {
     this.removeExpired(now);
     return this.hasCapacityFor(clientAccount);
   }
@@ -133,7 +133,7 @@
     return this.entries.size;
   }
 
-  private fullResult(now: number, clientAccount: string): LedgerVerdict<Run> {
+  private fullResult(now: number, clientAccount: string): LedgerResult<Run> {
     return { kind: 'full', retryAfterMilliseconds: this.retryAfter(now, clientAccount) };
   }
 
@@ -163,7 +163,7 @@
       const count = this.countOf(entry.clientAccount) - 1;
       if (count > 0) this.countByAccount.set(entry.clientAccount, count);
       else this.countByAccount.delete(entry.clientAccount);
-      this.onForget(entry.run);
+      this.onExpire(entry.run);
     }
   }
 }
--- a/src/requests/BoundAnswer.spec.ts
+++ b/src/requests/BoundAnswer.spec.ts
@@ -2,7 +2,7 @@
 
 import { expect } from 'earl';
 
-import { AnswerMemory, BoundAnswer } from './BoundAnswer.js';
+import { AnswerMemoryBudget, BoundAnswer } from './BoundAnswer.js';
 import type { CallerEvent } from './requestTypes.js';
 import { collect, endsOf, textOf } from './testFakes.js';
 
@@ -17,7 +17,10 @@
   cachedTokens: 0,
 };
 
-function answerOf(maximumRememberedBytes: number, memory = new AnswerMemory(10_000)): BoundAnswer {
+function answerOf(
+  maximumRememberedBytes: number,
+  memory = new AnswerMemoryBudget(10_000),
+): BoundAnswer {
   return new BoundAnswer({ memory, maximumRememberedBytes, maximumBufferedBytes: 1_000 });
 }
 
@@ -46,14 +49,14 @@
     await stuck.next();
     answer.append(chunk('y'.repeat(1_000)));
     let roomy = false;
-    const room = answer.room().then(() => {
+    const room = answer.waitForRoom().then(() => {
       roomy = true;
     });
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
     expect(roomy).toEqual(false);
-    answer.lift();
+    answer.removeBackPressure();
     await room;
     answer.append(COMPLETED);
     expect(endsOf(await reading)).toEqual(['completed']);
@@ -61,13 +64,13 @@
   });
 
   it('shares a memory budget with the other answers, and returns what it reserved', () => {
-    const memory = new AnswerMemory(1_000);
+    const memory = new AnswerMemoryBudget(1_000);
     const [first, second] = [answerOf(10_000, memory), answerOf(10_000, memory)];
     first.append(chunk('x'.repeat(700)));
     second.append(chunk('y'.repeat(700)));
-    expect(memory.take(200)).toEqual(false);
-    first.release();
-    expect(memory.take(1_000)).toEqual(true);
+    expect(memory.tryReserve(200)).toEqual(false);
+    first.releaseMemory();
+    expect(memory.tryReserve(1_000)).toEqual(true);
   });
 
   it('reports the outcome of a failed run even when its answer is not kept', async () => {
--- a/src/requests/BoundAnswer.ts
+++ b/src/requests/BoundAnswer.ts
@@ -3,11 +3,11 @@
  * from its first event, so that a repeat gets the same answer, and its size is limited, so that a
  * large answer does not stay in memory.
  */
-import { bytesOfEvent, isLast } from './CallerEventQueue.js';
+import { bytesOfEvent, isFinalEvent } from './CallerEventQueue.js';
 import type { CallerEvent } from './requestTypes.js';
 
 /** Limits the bytes that all kept answers of a daemon use together. */
-export class AnswerMemory {
+export class AnswerMemoryBudget {
   private readonly maximumBytes: number;
 
   private usedBytes = 0;
@@ -25,7 +25,7 @@
    * @param bytes - number of bytes to reserve.
    * @returns Whether the bytes were reserved.
    */
-  take(bytes: number): boolean {
+  tryReserve(bytes: number): boolean {
     if (this.usedBytes + bytes > this.maximumBytes) return false;
     this.usedBytes += bytes;
     return true;
@@ -36,14 +36,14 @@
    *
    * @param bytes - number of bytes to free.
    */
-  give(bytes: number): void {
+  free(bytes: number): void {
     this.usedBytes -= bytes;
   }
 }
 
 /** Options of a {@link BoundAnswer}. */
 export interface BoundAnswerOptions {
-  memory: AnswerMemory;
+  memory: AnswerMemoryBudget;
   /** Bytes of this answer that are kept for repeats. */
   maximumRememberedBytes: number;
   /** Bytes that may wait for the slowest reader once the answer is too large to be kept. */
@@ -68,7 +68,7 @@
  * into the limits.
  */
 export class BoundAnswer {
-  private readonly memory: AnswerMemory;
+  private readonly memory: AnswerMemoryBudget;
 
   private readonly maximumRememberedBytes: number;
 
@@ -116,7 +116,7 @@
     const bytes = bytesOfEvent(event);
     this.events.push(event);
     this.keptBytes += bytes;
-    if (isLast(event)) this.lastEvent = event;
+    if (isFinalEvent(event)) this.lastEvent = event;
     if (!this.tooLarge && !this.reserveBytes(bytes)) this.tooLarge = true;
     this.dropConsumedEvents();
     this.wakeAll();
@@ -127,7 +127,7 @@
    *
    * @returns When the run may add the next event.
    */
-  async room(): Promise<void> {
+  async waitForRoom(): Promise<void> {
     while (this.mustWait()) await this.nextChange();
   }
 
@@ -136,7 +136,7 @@
    * come. Otherwise a reader that does not read would keep the last event from the other readers,
    * and the run from ending.
    */
-  lift(): void {
+  removeBackPressure(): void {
     this.isBackPressureRemoved = true;
     this.wakeAll();
   }
@@ -157,7 +157,7 @@
           this.dropConsumedEvents();
           this.wakeAll();
           yield event;
-          if (isLast(event)) return;
+          if (isFinalEvent(event)) return;
         } else {
           await this.nextChange();
         }
@@ -173,8 +173,8 @@
    * Frees the reserved memory once the binding has expired. Readers that are still reading can
    * finish.
    */
-  release(): void {
-    this.memory.give(this.reservedBytes);
+  releaseMemory(): void {
+    this.memory.free(this.reservedBytes);
     this.reservedBytes = 0;
     this.tooLarge = true;
     this.dropConsumedEvents();
@@ -187,8 +187,11 @@
   }
 
   private reserveBytes(bytes: number): boolean {
-    if (this.reservedBytes + bytes > this.maximumRememberedBytes || !this.memory.take(bytes)) {
-      this.memory.give(this.reservedBytes);
+    if (
+      this.reservedBytes + bytes > this.maximumRememberedBytes ||
+      !this.memory.tryReserve(bytes)
+    ) {
+      this.memory.free(this.reservedBytes);
       this.reservedBytes = 0;
       return false;
     }
--- a/src/requests/BoundRequests.spec.ts
+++ b/src/requests/BoundRequests.spec.ts
@@ -17,8 +17,8 @@
 import type { CallerRequest } from './requestTypes.js';
 import type { GateScript } from './testGates.js';
 import { collect, endsOf, requestOf, textOf } from './testFakes.js';
-import { ANSWER, healthy } from './testGates.js';
-import { STAYS, withHarness } from './testHarness.js';
+import { ANSWER_CHUNKS, healthy } from './testGates.js';
+import { NEVER_ABORTED, withHarness } from './testHarness.js';
 
 const RESERVATION = requestOf({ idempotent: false, path: '/boards/7', streaming: false });
 
@@ -68,18 +68,18 @@
     'joins repeats to the single run, also while it is in progress and after its caller disconnected',
     withHarness(async ({ bind, gates, owner, runners, time }) => {
       const request = await bind(RESERVATION);
-      gates.follow(slow);
+      gates.setScripts(slow);
       const gone = new AbortController();
       const first = collect(owner.run(request, gone.signal));
-      const second = collect(owner.run(request, STAYS));
+      const second = collect(owner.run(request, NEVER_ABORTED));
       await time.advance(100);
       gone.abort();
       const answers = [
         await time.until(second),
-        await time.until(collect(owner.run(request, STAYS))),
+        await time.until(collect(owner.run(request, NEVER_ABORTED))),
       ];
       expect(endsOf(await first)).toEqual(['outcome_unknown']);
-      for (const answer of answers) expect(textOf(answer)).toEqual(ANSWER.join(''));
+      for (const answer of answers) expect(textOf(answer)).toEqual(ANSWER_CHUNKS.join(''));
       expect([runners.runsOf('request'), owner.inProgress()]).toEqual([1, 0]);
     }),
   );
@@ -92,7 +92,7 @@
     'never runs a binding after it was reported as "not run"',
     withHarness(async ({ bind, gates, run, runners }) => {
       const request = await bind(RESERVATION);
-      gates.follow(async function* refuses(attempt) {
+      gates.setScripts(async function* refuses(attempt) {
         yield attempt.refused('account_limit', 100);
       });
       const first = await run(request);
@@ -154,7 +154,7 @@
       const underWay = await bind(RESERVATION);
       harness.homes.freeze();
       await time.advance(1_000);
-      const own = collect(owner.run(underWay, STAYS));
+      const own = collect(owner.run(underWay, NEVER_ABORTED));
       await time.settle();
       time.clock.advance(30_000);
       const events: ExecuteEvent[] = [];
@@ -175,8 +175,8 @@
       const other = harness.newOwner('gate-daemon', link);
       const request = await harness.bind(requestOf({ idempotent: false }));
       link.cuts = [0, 1, 2, 3];
-      const events = await time.until(collect(other.run(request, STAYS)));
-      expect([textOf(events), endsOf(events)]).toEqual([ANSWER.join(''), ['completed']]);
+      const events = await time.until(collect(other.run(request, NEVER_ABORTED)));
+      expect([textOf(events), endsOf(events)]).toEqual([ANSWER_CHUNKS.join(''), ['completed']]);
       expect([runners.runsOf('request'), gates.executed.length]).toEqual([1, 1]);
       other.stop();
     }),
@@ -194,14 +194,14 @@
       const other = harness.newOwner('gate-daemon', link);
       const request = await harness.bind(requestOf({ idempotent: false }));
       link.cuts = [2];
-      const answer = other.run(request, STAYS);
+      const answer = other.run(request, NEVER_ABORTED);
       const first = [(await time.until(answer.next())).value!];
       daemons[1]!.state = 'dead';
       const events = [...first, ...(await time.until(collect(answer)))];
-      expect([textOf(events), endsOf(events)]).toEqual([ANSWER.join(''), ['completed']]);
+      expect([textOf(events), endsOf(events)]).toEqual([ANSWER_CHUNKS.join(''), ['completed']]);
       expect([runners.runsOf('request'), link.calls]).toEqual([1, 1]);
       expect(gates.resumed.map(({ afterSequence }) => afterSequence)).toEqual([1]);
-      const repeat = await time.until(collect(other.run(request, STAYS)));
+      const repeat = await time.until(collect(other.run(request, NEVER_ABORTED)));
       expect(repeat).toEqual([expect.subset({ code: 'outcome_unknown', notRun: false })]);
       other.stop();
     }),
--- a/src/requests/BoundRequests.ts
+++ b/src/requests/BoundRequests.ts
@@ -9,23 +9,23 @@
 import type { IssuedBinding } from './BindingIssuer.js';
 import { BindingIssuer } from './BindingIssuer.js';
 import { BindingLedger } from './BindingLedger.js';
-import { AnswerMemory, BoundAnswer } from './BoundAnswer.js';
+import { AnswerMemoryBudget, BoundAnswer } from './BoundAnswer.js';
 import {
   bindingRequired,
-  foreignBinding,
+  bindingOfOtherAccount,
   ledgerFull,
-  noBindingNow,
-  otherRequest,
+  bindingUnavailable,
+  bindingUsedByOtherRequest,
   outcomeUnknown,
-  unreadableBinding,
+  invalidBinding,
 } from './boundFailures.js';
 import type { Cancellation } from './Cancellation.js';
 import { requestDigest } from './requestDigest.js';
 import { REQUEST_LOG_EVENTS as LOG_EVENTS } from './requestLogEvents.js';
-import type { RequestPorts } from './RequestPorts.js';
+import type { RequestDependencies } from './RequestDependencies.js';
 import { RequestTask } from './RequestTask.js';
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
-import { SteadyCalendar } from './SteadyCalendar.js';
+import { MonotonicCalendar } from './MonotonicCalendar.js';
 
 /** Size of the random number that identifies an incarnation of this process, in bytes. */
 const INCARNATION_BYTES = 8;
@@ -48,7 +48,7 @@
 
 /** Options of {@link BoundRequests}. */
 export interface BoundRequestsOptions {
-  ports: RequestPorts;
+  ports: RequestDependencies;
   settings: BindingSettings;
   /** Forwards a request to the daemon that issued its binding. */
   forward: (
@@ -67,7 +67,7 @@
 
 /** Issues bindings of this incarnation, and runs each bound request at most once. */
 export class BoundRequests extends BindingIssuer {
-  private readonly ports: RequestPorts;
+  private readonly ports: RequestDependencies;
 
   private readonly settings: BindingSettings;
 
@@ -75,9 +75,9 @@
 
   private readonly ledger: BindingLedger<BoundRun>;
 
-  private readonly memory: AnswerMemory;
+  private readonly memory: AnswerMemoryBudget;
 
-  private readonly calendar: SteadyCalendar;
+  private readonly calendar: MonotonicCalendar;
 
   /**
    * Identifies this incarnation in its bindings. It is random rather than the incarnation number
@@ -97,18 +97,18 @@
     this.ports = ports;
     this.settings = settings;
     this.forward = forward;
-    this.calendar = new SteadyCalendar(ports.clock);
-    this.memory = new AnswerMemory(settings.maximumRememberedBytesInAll);
+    this.calendar = new MonotonicCalendar(ports.clock);
+    this.memory = new AnswerMemoryBudget(settings.maximumRememberedBytesInAll);
     this.ledger = new BindingLedger({
       maximumBindings: settings.maximumBindings,
       maximumBindingsPerAccount: settings.maximumBindingsPerAccount,
-      onForget: ({ answer }) => answer.release(),
+      onExpire: ({ answer }) => answer.releaseMemory(),
     });
   }
 
   override issue(clientAccount: string): IssuedBinding | undefined {
     const { daemonId, callerAddress } = this.ports.fleet.self();
-    if (this.isLeaving() || !this.ledger.canTake(this.calendar.now(), clientAccount)) {
+    if (this.isLeaving() || !this.ledger.canAccept(this.calendar.now(), clientAccount)) {
       return undefined;
     }
     const { bindingLifetimeMilliseconds } = this.settings;
@@ -136,14 +136,14 @@
    * @param clientAccount - the client account of the request.
    * @returns The only event of the answer; nothing was run.
    */
-  refuseUnbound(clientAccount: string): CallerEvent {
+  answerWithoutBinding(clientAccount: string): CallerEvent {
     const binding = this.issue(clientAccount);
     if (binding) return bindingRequired(binding);
     const leaving = this.isLeaving();
     const retryAfter = leaving
       ? LEAVING_RETRY_AFTER_MILLISECONDS
       : this.ledger.retryAfter(this.calendar.now(), clientAccount);
-    return noBindingNow(leaving, retryAfter);
+    return bindingUnavailable(leaving, retryAfter);
   }
 
   /**
@@ -161,9 +161,9 @@
   ): AsyncGenerator<CallerEvent, void> {
     const token = this.openBinding(request.binding ?? '');
     if (!token) {
-      yield this.logRefusal(request, unreadableBinding(), 'unreadable');
+      yield this.logRefusal(request, invalidBinding(), 'unreadable');
     } else if (token.clientAccount !== request.clientAccount) {
-      yield this.logRefusal(request, foreignBinding(), 'foreign');
+      yield this.logRefusal(request, bindingOfOtherAccount(), 'foreign');
     } else if (token.daemonId !== this.ports.fleet.self().daemonId) {
       yield* this.forward(request, token, signal, cancellation);
     } else {
@@ -177,10 +177,10 @@
    * @param request - the request, with its binding.
    * @yields The answer of the single run.
    */
-  async *serve(request: CallerRequest): AsyncGenerator<CallerEvent, void> {
+  async *runForwarded(request: CallerRequest): AsyncGenerator<CallerEvent, void> {
     const token = this.openBinding(request.binding ?? '');
     if (!token || token.clientAccount !== request.clientAccount) {
-      yield this.logRefusal(request, unreadableBinding(), 'unreadable');
+      yield this.logRefusal(request, invalidBinding(), 'unreadable');
     } else if (token.daemonId !== this.ports.fleet.self().daemonId) {
       yield this.logRefusal(
         request,
@@ -211,13 +211,13 @@
     if (usage.kind === 'expired') {
       yield this.logRefusal(request, outcomeUnknown('The binding has expired.'), 'expired');
     } else if (usage.kind === 'other_request') {
-      yield this.logRefusal(request, otherRequest(), 'other_request');
+      yield this.logRefusal(request, bindingUsedByOtherRequest(), 'other_request');
     } else if (usage.kind === 'full') {
       yield this.logRefusal(request, ledgerFull(usage.retryAfterMilliseconds), 'ledger_full');
     } else {
       if (usage.kind === 'repeat') this.logRepeat(request);
       const { answer, task } = usage.run;
-      cancellation?.onCancel(() => task.send({ kind: 'cancel' }));
+      cancellation?.setAction(() => task.send({ kind: 'cancel' }));
       yield* answer.read();
     }
   }
@@ -230,7 +230,7 @@
     const task = new RequestTask({
       ports: this.ports,
       work: { ...work, idempotent: false },
-      onEnd: () => answer.lift(),
+      onEnd: () => answer.removeBackPressure(),
     });
     this.runsInProgress += 1;
     // The run belongs to the binding, not to the connection that started it: callers may
@@ -256,7 +256,7 @@
   ): Promise<void> {
     for await (const event of events) {
       answer.append(event);
-      await answer.room();
+      await answer.waitForRoom();
     }
     this.runsInProgress -= 1;
   }
--- a/src/requests/CallerEventQueue.ts
+++ b/src/requests/CallerEventQueue.ts
@@ -22,7 +22,7 @@
  * @param event - an event.
  * @returns Whether it is the last event of an answer.
  */
-export function isLast(event: CallerEvent): boolean {
+export function isFinalEvent(event: CallerEvent): boolean {
   return event.kind === 'completed' || event.kind === 'failed';
 }
 
@@ -68,7 +68,7 @@
     if (this.closed) return;
     this.events.push(event);
     this.bufferedBytes += bytesOfEvent(event);
-    if (isLast(event)) this.close();
+    if (isFinalEvent(event)) this.close();
     this.wakeReader?.();
   }
 
@@ -84,7 +84,7 @@
   }
 
   /** @returns When the queue is below its limit or has been closed. */
-  async room(): Promise<void> {
+  async waitForRoom(): Promise<void> {
     while (!this.closed && this.bufferedBytes >= this.maximumBufferedBytes) {
       await new Promise<void>((resolve) => {
         this.wakeProducers.push(resolve);
@@ -100,7 +100,7 @@
         this.bufferedBytes -= bytesOfEvent(event);
         this.releaseProducers();
         yield event;
-        if (isLast(event)) return;
+        if (isFinalEvent(event)) return;
       } else if (this.closed) {
         return;
       } else {
--- a/src/requests/Cancellation.ts
+++ b/src/requests/Cancellation.ts
@@ -12,7 +12,7 @@
    *
    * @param action - called by the next {@link Cancellation.cancel}.
    */
-  onCancel(action: () => void): void {
+  setAction(action: () => void): void {
     this.action = action;
   }
 
--- a/src/requests/EventIds.spec.ts
+++ b/src/requests/EventIds.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 
 import { SignedTokens } from '../peers/SignedTokens.js';
-import { EventIdReader, EventIds } from './EventIds.js';
+import { EventIdVerifier, EventIds } from './EventIds.js';
 
 const STREAM = {
   attemptId: 'attempt-1',
@@ -18,9 +18,9 @@
 
 describe(EventIds.name, () => {
   it('identifies the stream and the number of each chunk', () => {
-    const [ids, reader] = [new EventIds(tokens, STREAM), new EventIdReader(tokens)];
+    const [ids, reader] = [new EventIds(tokens, STREAM), new EventIdVerifier(tokens)];
     for (const sequence of [1, 2, 999_999_999]) {
-      const opened = reader.open(ids.of(sequence));
+      const opened = reader.verify(ids.of(sequence));
       expect(opened?.sequence).toEqual(sequence);
       expect({ ...opened!.token }).toEqual({ ...opened!.token, ...STREAM });
     }
@@ -55,11 +55,11 @@
   };
   for (const [name, text] of Object.entries(refused)) {
     it(`refuses ${name}, also after an id that is good`, () => {
-      const reader = new EventIdReader(tokens);
-      expect(reader.open(text)).toEqual(undefined);
-      expect(reader.open(id)?.sequence).toEqual(7);
-      expect(reader.open(text)).toEqual(undefined);
-      expect(reader.open(id)?.sequence).toEqual(7);
+      const reader = new EventIdVerifier(tokens);
+      expect(reader.verify(text)).toEqual(undefined);
+      expect(reader.verify(id)?.sequence).toEqual(7);
+      expect(reader.verify(text)).toEqual(undefined);
+      expect(reader.verify(id)?.sequence).toEqual(7);
     });
   }
 });
--- a/src/requests/EventIds.ts
+++ b/src/requests/EventIds.ts
@@ -18,7 +18,7 @@
 >;
 
 /** Contents of a verified event id. */
-export interface OpenedEventId {
+export interface VerifiedEventId {
   readonly token: ResumeToken;
   /** Number of the chunk that the id belongs to, from 1. */
   readonly sequence: number;
@@ -57,7 +57,7 @@
  * Verifies event ids. The token of the last verified id is cached, so that further ids of the
  * same stream only need their tag checked.
  */
-export class EventIdReader {
+export class EventIdVerifier {
   private readonly tokens: SignedTokens;
 
   private lastTokenText = '';
@@ -76,7 +76,7 @@
    * @returns The contents of the id, or `undefined` if it is malformed or was not signed by this
    *   fleet.
    */
-  open(eventId: string): OpenedEventId | undefined {
+  verify(eventId: string): VerifiedEventId | undefined {
     const groups = EVENT_ID_PATTERN.exec(eventId)?.groups;
     if (!groups || !this.tokens.isTag('resume-event', groups.tagged!, groups.tag!))
       return undefined;
--- a/src/requests/ForwardedAnswer.ts
+++ b/src/requests/ForwardedAnswer.ts
@@ -59,7 +59,7 @@
    * @param event - the event.
    * @returns The event for the caller, or `undefined` if the caller already has it.
    */
-  take({ event }: ExecuteEvent): CallerEvent | undefined {
+  accept({ event }: ExecuteEvent): CallerEvent | undefined {
     return match(event)
       .returnType<CallerEvent | undefined>()
       .with({ case: 'started' }, ({ value }) => this.acceptHead(value))
@@ -79,7 +79,7 @@
    * @param deadlineMilliseconds - how long the caller still waits, in milliseconds.
    * @returns The stream to resume at the runner, or `undefined` if the answer has not started.
    */
-  continuation(deadlineMilliseconds: number): ResumedStream | undefined {
+  resumePoint(deadlineMilliseconds: number): ResumedStream | undefined {
     if (!this.head) return undefined;
     const { attemptId, runnerId } = this.head;
     const { requestId, clientAccount, service } = this.request;
@@ -104,7 +104,7 @@
   private acceptChunk({ attemptId, sequence, data }: Chunk): CallerEvent | undefined {
     const { head } = this;
     if (!head || head.attemptId !== attemptId) return undefined;
-    if (this.cursor.take(sequence) !== 'next') return undefined;
+    if (this.cursor.accept(sequence) !== 'next') return undefined;
     this.eventIds ??= this.newEventIds(head);
     return { kind: 'chunk', data, eventId: this.eventIds.of(sequence) };
   }
@@ -120,7 +120,7 @@
    * again.
    */
   private acceptEnd(completed: Completed): CallerEvent | undefined {
-    const isComplete = this.cursor.isWholeAt(completed.lastSequence);
+    const isComplete = this.cursor.isCompleteAt(completed.lastSequence);
     if (!this.head || this.head.attemptId !== completed.attemptId || !isComplete) return undefined;
     const { promptTokens, generatedTokens, cachedTokens } = completed;
     return this.endWith({ kind: 'completed', promptTokens, generatedTokens, cachedTokens });
--- a/src/requests/GateReading.ts
+++ b/src/requests/GateReading.ts
@@ -16,7 +16,7 @@
   /** Called at most once, when the stream breaks or ends without a final event. */
   onLost: (message: string) => void;
   /** Awaited before the next event is read; applies the caller's back-pressure. */
-  room: () => Promise<void>;
+  waitForRoom: () => Promise<void>;
 }
 
 function messageOf(error: unknown): string {
@@ -80,7 +80,7 @@
       const step = await iterator.next();
       if (step.done || this.isStopped) return;
       this.options.onEvent(step.value);
-      await this.options.room();
+      await this.options.waitForRoom();
     }
   }
 }
--- a/src/requests/SteadyCalendar.ts
+++ b/src/requests/MonotonicCalendar.ts
@@ -10,7 +10,7 @@
 import type { Clock } from '../time/Clock.js';
 
 /** Calendar of one process, in milliseconds since 1970. */
-export class SteadyCalendar {
+export class MonotonicCalendar {
   private readonly clock: Clock;
 
   private readonly offset: number;
--- a/src/requests/PauseDetector.ts
+++ b/src/requests/PauseDetector.ts
@@ -10,16 +10,16 @@
 
 /** Options of a {@link PauseDetector}. */
 export interface PauseDetectorOptions {
-  /** Interval between calls of {@link PauseDetector.beat}, in milliseconds. */
-  beatMilliseconds?: number;
+  /** Interval between calls of {@link PauseDetector.recordHeartbeat}, in milliseconds. */
+  heartbeatMilliseconds?: number;
   /** Gap between heartbeats that counts as a pause, in milliseconds. */
   pauseMilliseconds?: number;
   /** How long after a pause messages from before its end may still arrive, in milliseconds. */
   settleMilliseconds?: number;
 }
 
-/** Default of {@link PauseDetectorOptions.beatMilliseconds}. */
-export const DEFAULT_BEAT_MILLISECONDS = 250;
+/** Default of {@link PauseDetectorOptions.heartbeatMilliseconds}. */
+export const DEFAULT_HEARTBEAT_MILLISECONDS = 250;
 
 const DEFAULT_PAUSE_MILLISECONDS = 1_000;
 const DEFAULT_SETTLE_MILLISECONDS = 1_000;
@@ -40,11 +40,11 @@
    * @param options - heartbeat interval and thresholds.
    */
   constructor({
-    beatMilliseconds = DEFAULT_BEAT_MILLISECONDS,
+    heartbeatMilliseconds = DEFAULT_HEARTBEAT_MILLISECONDS,
     pauseMilliseconds = DEFAULT_PAUSE_MILLISECONDS,
     settleMilliseconds = DEFAULT_SETTLE_MILLISECONDS,
   }: PauseDetectorOptions = {}) {
-    this.pauseMilliseconds = Math.max(pauseMilliseconds, 2 * beatMilliseconds);
+    this.pauseMilliseconds = Math.max(pauseMilliseconds, 2 * heartbeatMilliseconds);
     this.settleMilliseconds = settleMilliseconds;
   }
 
@@ -54,7 +54,7 @@
    * @param now - monotonic milliseconds.
    * @returns The length of the pause that ended with this heartbeat in milliseconds, 0 for none.
    */
-  beat(now: number): number {
+  recordHeartbeat(now: number): number {
     const gap = this.lastHeartbeatAt === undefined ? 0 : now - this.lastHeartbeatAt;
     this.lastHeartbeatAt = now;
     if (gap < this.pauseMilliseconds) return 0;
@@ -71,7 +71,7 @@
    * @param now - monotonic milliseconds.
    * @returns Milliseconds to subtract from the message's deadline.
    */
-  possibleWait(now: number): number {
+  possibleDelay(now: number): number {
     const gap = this.lastHeartbeatAt === undefined ? 0 : now - this.lastHeartbeatAt;
     if (gap >= this.pauseMilliseconds) return gap;
     return now < this.pauseCountsUntil ? this.pauseDuration : 0;
--- a/src/requests/PlacementChooser.spec.ts
+++ b/src/requests/PlacementChooser.spec.ts
@@ -7,7 +7,7 @@
 import type { RunnerState } from '../gates/gateTypes.js';
 import { RunnerRecordSchema } from '../generated/baobabdock/v1/configuration_pb.js';
 import { WarmRunnerSchema } from '../generated/baobabdock/v1/peers_pb.js';
-import type { ChooserQuestion } from './Chooser.js';
+import type { RunnerChoiceInput } from './RunnerChooser.js';
 import { PlacementChooser } from './PlacementChooser.js';
 import { FakeFleet, memberOf, requestOf } from './testFakes.js';
 
@@ -25,7 +25,7 @@
   }
 }
 
-function questionOf(changes: Partial<ChooserQuestion> = {}): ChooserQuestion {
+function questionOf(changes: Partial<RunnerChoiceInput> = {}): RunnerChoiceInput {
   const request = requestOf({ promptTokens: 2_000 });
   return {
     request,
--- a/src/requests/PlacementChooser.ts
+++ b/src/requests/PlacementChooser.ts
@@ -13,8 +13,8 @@
   PlacementPolicy,
   PlacementQuestion,
 } from '../routing/placementTypes.js';
-import type { ChooserAnswer, ChooserQuestion } from './Chooser.js';
-import { Chooser } from './Chooser.js';
+import type { RunnerChoice, RunnerChoiceInput } from './RunnerChooser.js';
+import { RunnerChooser } from './RunnerChooser.js';
 import type { TriedRunner } from './requestDecisionTypes.js';
 
 /** Options of a {@link PlacementChooser}. */
@@ -36,7 +36,7 @@
   return { bound, warmChoices, coldChoices, reuseWeight, overflow: overflow as Overflow };
 }
 
-function choiceOf(action: PlacementAction, bound: number): ChooserAnswer {
+function choiceOf(action: PlacementAction, bound: number): RunnerChoice {
   const passedOver = action.passedOver.map(({ runnerId, reason }) => ({ runnerId, reason }));
   if (action.kind === 'give_up') {
     const { reason, retryAfterMilliseconds } = action;
@@ -60,7 +60,7 @@
 }
 
 /** Translates between a request's choice and the routing decisions. */
-export class PlacementChooser extends Chooser {
+export class PlacementChooser extends RunnerChooser {
   private readonly fleet: FleetView;
 
   private readonly placement: PlacementDecisions;
@@ -80,13 +80,13 @@
     this.placement = placement;
   }
 
-  override choose(question: ChooserQuestion): ChooserAnswer {
+  override choose(question: RunnerChoiceInput): RunnerChoice {
     const placement = this.questionOf(question);
     const action = this.placement.place(placement);
     return choiceOf(action, placement.policy.bound);
   }
 
-  private questionOf({ request, warm, tried, deadlineMilliseconds }: ChooserQuestion) {
+  private questionOf({ request, warm, tried, deadlineMilliseconds }: RunnerChoiceInput) {
     const { requestId, service, chat, clientAccount, promptTokens, maximumTokens } = request;
     const { dataCentre, region } = this.fleet.self();
     const { mean, lightest } = this.fleet.poolLoad(service);
--- a/src/requests/RequestContext.ts
+++ b/src/requests/RequestContext.ts
@@ -11,7 +11,7 @@
   RequestFailure,
   RequestMessage,
 } from './requestDecisionTypes.js';
-import type { RequestKnowledge } from './requestFailures.js';
+import type { ExecutionStatus } from './requestFailures.js';
 import { deadlineFailure } from './requestFailures.js';
 import type { RequestTimings } from './requestTimings.js';
 import type { Reading, RequestFacts } from './requestFacts.js';
@@ -31,7 +31,7 @@
 const CHART = new ChartInterpreter<RequestState, RequestEvent>({ chart });
 
 const INITIAL_FACTS: RequestFacts = Object.freeze({
-  payer: { clientAccount: '', service: '' },
+  retryScope: { clientAccount: '', service: '' },
   deadline: Infinity,
   idempotent: false,
   streaming: false,
@@ -90,7 +90,7 @@
    *
    * @param action - what the owner has to do.
    */
-  act(action: RequestAction): void {
+  addAction(action: RequestAction): void {
     this.actions.push(action);
   }
 
@@ -123,7 +123,7 @@
    * @returns What is known about the execution of the request, for the event that would end it
    *   now.
    */
-  knowledge(): RequestKnowledge {
+  executionStatus(): ExecutionStatus {
     return {
       notRun: this.attemptsThatMayHaveRun === 0,
       idempotent: this.facts.idempotent,
@@ -132,7 +132,7 @@
   }
 
   /** @returns Number of attempts opened so far. */
-  attempts(): number {
+  attemptCount(): number {
     return this.attemptsOpened;
   }
 
@@ -156,7 +156,7 @@
     const attemptId = `${this.facts.attemptSeed}-${this.attemptsOpened}`;
     const { runnerId, cachedTokens, bound, lastChoice } = chosen;
     const reading = this.openReading(attemptId, runnerId, 'attempt', lastChoice);
-    this.act({
+    this.addAction({
       kind: 'attempt',
       reading,
       attemptId,
@@ -204,12 +204,12 @@
    * Counts the attempt of a stream that the caller resumes with `Last-Event-ID`; this attempt has
    * certainly reached a runner.
    */
-  adoptAttempt(): void {
+  countResumedAttempt(): void {
     this.attemptsThatMayHaveRun += 1;
   }
 
   /** Records that an attempt did not run, as its gate reported. */
-  explainRefused(): void {
+  countNotRun(): void {
     this.attemptsThatMayHaveRun -= 1;
   }
 
@@ -221,10 +221,10 @@
    * @param message - the message.
    * @returns The reading, or `undefined` if the message has to be dropped.
    */
-  readingOf(message: RequestMessage & { readonly reading: number }): Reading | undefined {
+  findReading(message: RequestMessage & { readonly reading: number }): Reading | undefined {
     const reading = this.readings.get(message.reading);
     if (!reading) {
-      this.act({ kind: 'dropped', what: message.kind, why: 'other_reading' });
+      this.addAction({ kind: 'dropped', what: message.kind, why: 'other_reading' });
       return undefined;
     }
     reading.lastEventAt = this.now;
@@ -233,18 +233,18 @@
   }
 
   /**
-   * Like {@link RequestContext.readingOf}, for messages that carry an attempt id: a message with
+   * Like {@link RequestContext.findReading}, for messages that carry an attempt id: a message with
    * the id of another attempt belongs to the answer of another request and is dropped.
    *
    * @param message - the message.
    * @returns The reading, or `undefined` if the message has to be dropped.
    */
-  ownReadingOf(
+  findReadingOfAttempt(
     message: RequestMessage & { readonly reading: number; readonly attemptId: string },
   ): Reading | undefined {
-    const reading = this.readingOf(message);
+    const reading = this.findReading(message);
     if (!reading || reading.attemptId === message.attemptId) return reading;
-    this.act({ kind: 'dropped', what: message.kind, why: 'other_attempt' });
+    this.addAction({ kind: 'dropped', what: message.kind, why: 'other_attempt' });
     return undefined;
   }
 
@@ -255,7 +255,7 @@
    */
   cancelReading({ number, attemptId, runnerId }: Reading): void {
     this.readings.delete(number);
-    this.act({ kind: 'cancel_attempt', reading: number, attemptId, runnerId });
+    this.addAction({ kind: 'cancel_attempt', reading: number, attemptId, runnerId });
   }
 
   /**
@@ -265,7 +265,7 @@
    */
   abandonReading({ number }: Reading): void {
     this.readings.delete(number);
-    this.act({ kind: 'abandon', reading: number });
+    this.addAction({ kind: 'abandon', reading: number });
   }
 
   /**
@@ -283,11 +283,11 @@
       else this.abandonReading(reading);
     }
     this.advance('fail');
-    this.act({ kind: 'fail', failure });
+    this.addAction({ kind: 'fail', failure });
   }
 
   /** Ends the request because its deadline has passed. */
   expire(): void {
-    this.fail(deadlineFailure(this.knowledge()));
+    this.fail(deadlineFailure(this.executionStatus()));
   }
 }
--- a/src/requests/RequestDecisions.ts
+++ b/src/requests/RequestDecisions.ts
@@ -23,7 +23,7 @@
   cancelledFailure,
   cutFailure,
   reportedFailure,
-  restGoneFailure,
+  cannotResumeFailure,
 } from './requestFailures.js';
 import type { RequestTimings } from './requestTimings.js';
 import { DEFAULT_REQUEST_TIMINGS } from './requestTimings.js';
@@ -119,9 +119,9 @@
     match(message)
       .with({ kind: 'begin' }, ({ request }) => this.onBegin(request))
       .with({ kind: 'begin_resume' }, ({ stream }) => this.onBeginResume(stream))
-      .with({ kind: 'home_answered' }, () => this.attempts.onHome())
+      .with({ kind: 'home_answered' }, () => this.attempts.onHomeAnswered())
       .with({ kind: 'chosen' }, (chosen) => this.attempts.onChosen(chosen))
-      .with({ kind: 'nobody' }, (nobody) => this.attempts.onNobody(nobody))
+      .with({ kind: 'nobody' }, (nobody) => this.attempts.onNoRunner(nobody))
       .with({ kind: 'refused' }, (refused) => this.onRefused(refused))
       .with({ kind: 'started' }, (started) => this.onStarted(started))
       .with({ kind: 'completed' }, (completed) => this.onCompleted(completed))
@@ -137,7 +137,7 @@
   private onBegin({ deadlineMilliseconds, ...request }: RequestSummary): void {
     const { clientAccount, service, idempotent, streaming, attemptSeed } = request;
     this.context.facts = {
-      payer: { clientAccount, service },
+      retryScope: { clientAccount, service },
       deadline: this.context.now + deadlineMilliseconds,
       idempotent,
       streaming,
@@ -154,7 +154,7 @@
     ...stream
   }: ResumedStream): void {
     this.context.facts = {
-      payer: { clientAccount, service },
+      retryScope: { clientAccount, service },
       deadline: this.context.now + deadlineMilliseconds,
       idempotent: false,
       streaming: true,
@@ -166,7 +166,7 @@
   }
 
   private onRefused(refused: MessageOf<'refused'>): void {
-    const reading = this.context.readingOf(refused);
+    const reading = this.context.findReading(refused);
     if (!reading) return;
     // A refused resume only means that the stream can't be read there now. Its attempt was sent
     // before, so reporting "not run" would be wrong and could make the caller run the request
@@ -177,26 +177,31 @@
   }
 
   private onStarted(started: MessageOf<'started'>): void {
-    const reading = this.context.ownReadingOf(started);
+    const reading = this.context.findReadingOfAttempt(started);
     if (reading) this.stream.onStarted(reading);
   }
 
   private onChunk(chunk: MessageOf<'chunk'>): void {
-    const reading = this.context.ownReadingOf(chunk);
+    const reading = this.context.findReadingOfAttempt(chunk);
     if (reading) this.stream.onChunk(reading, chunk);
   }
 
   private onCompleted(completed: MessageOf<'completed'>): void {
-    const reading = this.context.ownReadingOf(completed);
+    const reading = this.context.findReadingOfAttempt(completed);
     if (reading) this.stream.onCompleted(reading, completed);
   }
 
   private onFailed(failed: MessageOf<'failed'>): void {
     const { context } = this;
-    const reading = context.readingOf(failed);
+    const reading = context.findReading(failed);
     if (!reading) return;
     const { code, message, retryAfterMilliseconds, resumable } = failed;
-    const failure = reportedFailure(context.knowledge(), code, message, retryAfterMilliseconds);
+    const failure = reportedFailure(
+      context.executionStatus(),
+      code,
+      message,
+      retryAfterMilliseconds,
+    );
     if (resumable) this.onStreamCut(reading, message);
     else if (NON_RETRYABLE_CODES.has(code)) context.fail(failure);
     else if (this.mayRetry()) this.retryElsewhere(reading, message);
@@ -208,11 +213,11 @@
 
   private onLost(lost: MessageOf<'lost'>): void {
     const { context } = this;
-    const reading = context.readingOf(lost);
+    const reading = context.findReading(lost);
     if (!reading) return;
     // Before the answer starts there is nothing to resume; an idempotent request is faster on
     // another runner.
-    const shouldRetryElsewhere = this.mayRetry() && !this.stream.isHeadKnown();
+    const shouldRetryElsewhere = this.mayRetry() && !this.stream.hasStarted();
     if (shouldRetryElsewhere) this.retryElsewhere(reading, lost.message);
     else this.onStreamCut(reading, lost.message);
   }
@@ -228,7 +233,7 @@
   }
 
   private onCancel(): void {
-    this.context.fail(cancelledFailure(this.context.knowledge()));
+    this.context.fail(cancelledFailure(this.context.executionStatus()));
   }
 
   private onTick(): void {
@@ -248,9 +253,9 @@
       if (context.now < reading.checkAt) continue;
       reading.checkAt = context.now + gateCheckMilliseconds;
       const isIdle = context.now - reading.lastEventAt >= streamIdleMilliseconds;
-      if (isIdle && this.stream.isHeadKnown())
+      if (isIdle && this.stream.hasStarted())
         this.onStreamCut(reading, 'The stream delivered no event within the idle timeout.');
-      else context.act({ kind: 'check_gate', reading: reading.number });
+      else context.addAction({ kind: 'check_gate', reading: reading.number });
     }
   }
 
@@ -259,8 +264,8 @@
    * be told that the rest is lost, otherwise it would resume again and again.
    */
   private failureOfCutStream(code: string, message: string): RequestFailure {
-    if (this.isResumedByCaller && code === 'cannot_resume') return restGoneFailure(message);
-    return cutFailure(this.context.knowledge(), message, false);
+    if (this.isResumedByCaller && code === 'cannot_resume') return cannotResumeFailure(message);
+    return cutFailure(this.context.executionStatus(), message, false);
   }
 
   private mayRetry(): boolean {
@@ -268,14 +273,14 @@
   }
 
   private retryElsewhere(reading: Reading, message: string): void {
-    const failure = cutFailure(this.context.knowledge(), message, false);
-    this.stream.forget();
-    this.attempts.onBroken(reading, failure);
+    const failure = cutFailure(this.context.executionStatus(), message, false);
+    this.stream.discardAttempt();
+    this.attempts.onAttemptLost(reading, failure);
   }
 
   private onStreamCut(reading: Reading, message: string): void {
-    if (this.stream.cut(reading, message) === 'resuming') return;
-    if (!this.mayRetry()) this.stream.failCut(true);
+    if (this.stream.resumeAfterCut(reading, message) === 'resuming') return;
+    if (!this.mayRetry()) this.stream.failAsCut(true);
     else this.retryElsewhere(reading, message);
   }
 }
--- a/src/requests/RequestPorts.ts
+++ b/src/requests/RequestDependencies.ts
@@ -9,17 +9,17 @@
 import type { Log } from '../logging/Log.js';
 import type { SignedTokens } from '../peers/SignedTokens.js';
 import type { Clock } from '../time/Clock.js';
-import type { Chooser } from './Chooser.js';
+import type { RunnerChooser } from './RunnerChooser.js';
 import type { RequestAction, RequestMessage } from './requestDecisionTypes.js';
 import type { RequestTimings } from './requestTimings.js';
 import type { RetryBudget } from './RetryBudget.js';
 
 /** Dependencies shared by all requests of a daemon. */
-export interface RequestPorts {
+export interface RequestDependencies {
   readonly gates: GatePort;
   readonly homes: HomePort;
   readonly fleet: FleetView;
-  readonly chooser: Chooser;
+  readonly chooser: RunnerChooser;
   readonly tokens: SignedTokens;
   readonly clock: Clock;
   readonly log: Log;
--- a/src/requests/RequestOwner.spec.ts
+++ b/src/requests/RequestOwner.spec.ts
@@ -6,7 +6,7 @@
 import { RequestOwner } from './RequestOwner.js';
 import type { FakeAttempt, GateScript } from './testGates.js';
 import { endsOf, requestOf, textOf } from './testFakes.js';
-import { ANSWER } from './testGates.js';
+import { ANSWER_CHUNKS } from './testGates.js';
 import type { Harness } from './testHarness.js';
 import { withHarness } from './testHarness.js';
 
@@ -23,7 +23,7 @@
     if (step === 'running') await applyFault(attempt);
     yield attempt.head();
     if (step === 'head') await applyFault(attempt);
-    for (const [index] of ANSWER.entries()) {
+    for (const [index] of ANSWER_CHUNKS.entries()) {
       yield attempt.chunk(index + 1);
       if (step === 'stream' && index === 0) await applyFault(attempt);
     }
@@ -34,7 +34,7 @@
 
 const FAULT_ACTIONS: Record<Fault, (attempt: FakeAttempt) => Promise<void>> = {
   kill: async (attempt) => {
-    attempt.forget();
+    attempt.dropAtRunner();
     throw new Error('connection reset');
   },
   cut: async () => {
@@ -46,8 +46,8 @@
 
 function inject(harness: Harness, step: Step, fault: Fault): void {
   if (step === 'home') harness.homes.freeze();
-  else harness.gates.follow(scriptOf(step, FAULT_ACTIONS[fault]));
-  if (fault === 'freeze') harness.declareDead(3_000);
+  else harness.gates.setScripts(scriptOf(step, FAULT_ACTIONS[fault]));
+  if (fault === 'freeze') harness.declareGateDaemonDead(3_000);
 }
 
 describe(RequestOwner.name, () => {
@@ -94,7 +94,7 @@
         const events = await harness.run(requestOf());
         expect(endsOf(events)).toEqual([idempotentEnd]);
         expect(harness.runners.runsOf('request')).toEqual(idempotentRuns);
-        if (idempotentEnd === 'completed') expect(textOf(events)).toEqual(ANSWER.join(''));
+        if (idempotentEnd === 'completed') expect(textOf(events)).toEqual(ANSWER_CHUNKS.join(''));
         expect(harness.owner.inProgress()).toEqual(0);
       }),
     );
@@ -107,7 +107,7 @@
         const events = await harness.run(request);
         expect(endsOf(events)).toEqual([boundEnd]);
         expect(harness.runners.runsOf('request')).toEqual(boundRuns);
-        if (boundEnd === 'completed') expect(textOf(events)).toEqual(ANSWER.join(''));
+        if (boundEnd === 'completed') expect(textOf(events)).toEqual(ANSWER_CHUNKS.join(''));
         expect(await harness.run(request)).toEqual(events);
         expect(harness.runners.runsOf('request')).toEqual(boundRuns);
       }),
--- a/src/requests/RequestOwner.ts
+++ b/src/requests/RequestOwner.ts
@@ -15,16 +15,16 @@
 import type { Clock } from '../time/Clock.js';
 import { BindingForwarder } from './BindingForwarder.js';
 import type { BindingIssuer } from './BindingIssuer.js';
-import { BoundEvents, callerRequestOf } from './boundEvents.js';
+import { BoundEventEncoder, callerRequestOf } from './boundEvents.js';
 import { BoundRequests } from './BoundRequests.js';
 import { Cancellation } from './Cancellation.js';
-import type { Chooser } from './Chooser.js';
-import { EventIdReader } from './EventIds.js';
-import { DEFAULT_BEAT_MILLISECONDS, PauseDetector } from './PauseDetector.js';
+import type { RunnerChooser } from './RunnerChooser.js';
+import { EventIdVerifier } from './EventIds.js';
+import { DEFAULT_HEARTBEAT_MILLISECONDS, PauseDetector } from './PauseDetector.js';
 import type { RequestAction, RequestMessage } from './requestDecisionTypes.js';
 import { REQUEST_LOG_EVENTS as LOG_EVENTS } from './requestLogEvents.js';
 import { RequestPort } from './RequestPort.js';
-import type { RequestPorts } from './RequestPorts.js';
+import type { RequestDependencies } from './RequestDependencies.js';
 import type { RequestSettings } from './requestsFeature.js';
 import { requestSettingsSchema } from './requestsFeature.js';
 import { RequestTask } from './RequestTask.js';
@@ -38,7 +38,7 @@
   gates: GatePort;
   homes: HomePort;
   fleet: FleetView;
-  chooser: Chooser;
+  chooser: RunnerChooser;
   peers: PeerLink;
   tokens: SignedTokens;
   clock: Clock;
@@ -68,7 +68,7 @@
   /** Issues bindings of this incarnation. */
   readonly bindings: BindingIssuer;
 
-  private readonly ports: RequestPorts;
+  private readonly ports: RequestDependencies;
 
   private readonly bound: BoundRequests;
 
@@ -99,7 +99,7 @@
       forward: (...call) => forwarder.forward(...call),
     });
     this.bindings = this.bound;
-    this.heartbeat = setInterval(() => this.checkForPause(), DEFAULT_BEAT_MILLISECONDS);
+    this.heartbeat = setInterval(() => this.checkForPause(), DEFAULT_HEARTBEAT_MILLISECONDS);
     this.heartbeat.unref();
   }
 
@@ -110,7 +110,7 @@
         return untilDeadline(events, request.deadlineMilliseconds, signal);
       });
     } else if (!request.idempotent) {
-      yield this.bound.refuseUnbound(request.clientAccount);
+      yield this.bound.answerWithoutBinding(request.clientAccount);
     } else {
       yield* this.runTask({ kind: 'new', request, idempotent: true }, signal);
     }
@@ -122,7 +122,7 @@
     deadlineMilliseconds: number,
     signal: AbortSignal,
   ): AsyncGenerator<CallerEvent> {
-    const opened = new EventIdReader(this.ports.tokens).open(lastEventId);
+    const opened = new EventIdVerifier(this.ports.tokens).verify(lastEventId);
     // A stream of another client account is answered like an unknown one, so that its existence
     // is not disclosed.
     if (!opened || opened.token.clientAccount !== clientAccount) {
@@ -165,9 +165,9 @@
   async *runBound({ binding, request }: RunBoundRequest): AsyncGenerator<ExecuteEvent> {
     const now = this.ports.clock.monotonicMilliseconds();
     const received = callerRequestOf(request ?? create(ExecuteRequestSchema), binding);
-    const deadlineMilliseconds = received.deadlineMilliseconds - this.pauses.possibleWait(now);
-    const events = new BoundEvents({ tokens: this.ports.tokens });
-    for await (const event of this.bound.serve({ ...received, deadlineMilliseconds })) {
+    const deadlineMilliseconds = received.deadlineMilliseconds - this.pauses.possibleDelay(now);
+    const events = new BoundEventEncoder({ tokens: this.ports.tokens });
+    for await (const event of this.bound.runForwarded({ ...received, deadlineMilliseconds })) {
       yield* events.convert(event);
     }
   }
@@ -187,7 +187,7 @@
     yield* this.withCancellation(
       work.kind === 'new' ? work.request : work.stream,
       (cancellation) => {
-        cancellation.onCancel(() => task.send({ kind: 'cancel' }));
+        cancellation.setAction(() => task.send({ kind: 'cancel' }));
         return task.start(signal);
       },
     );
@@ -208,7 +208,7 @@
   }
 
   private checkForPause(): void {
-    const pause = this.pauses.beat(this.ports.clock.monotonicMilliseconds());
+    const pause = this.pauses.recordHeartbeat(this.ports.clock.monotonicMilliseconds());
     if (pause > 0) this.ports.log.write(LOG_EVENTS.paused, { milliseconds: Math.round(pause) });
   }
 }
--- a/src/requests/RequestTask.ts
+++ b/src/requests/RequestTask.ts
@@ -24,7 +24,7 @@
   ResumedStream,
 } from './requestDecisionTypes.js';
 import { REQUEST_LOG_EVENTS as LOG_EVENTS } from './requestLogEvents.js';
-import type { RequestPorts } from './RequestPorts.js';
+import type { RequestDependencies } from './RequestDependencies.js';
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 
 /** The work of a task: a new request, or a stream that a caller resumes. */
@@ -34,7 +34,7 @@
 
 /** Options of a {@link RequestTask}. */
 export interface RequestTaskOptions {
-  ports: RequestPorts;
+  ports: RequestDependencies;
   work: RequestWork;
   /** Called once, when the last event has been queued for the caller. */
   onEnd?: () => void;
@@ -44,7 +44,7 @@
 
 /** Performs the actions of one request's decisions; owns its readings and its event queue. */
 export class RequestTask extends DecisionTask<RequestMessage, RequestAction> {
-  private readonly ports: RequestPorts;
+  private readonly ports: RequestDependencies;
 
   private readonly work: RequestWork;
 
@@ -215,7 +215,7 @@
         // The error contains addresses of the fleet, which callers must not see.
         this.send({ kind: 'lost', reading, message: 'The connection to the gate broke.' });
       },
-      room: () => this.queue.room(),
+      waitForRoom: () => this.queue.waitForRoom(),
     });
     this.readings.set(reading, gateReading);
     void gateReading.run();
--- a/src/requests/RetryBudget.ts
+++ b/src/requests/RetryBudget.ts
@@ -41,12 +41,12 @@
 const UNITS_PER_RETRY = 1_000;
 
 /** The client account and the service whose buckets a request uses. */
-export interface RetryPayer {
+export interface RetryScope {
   readonly clientAccount: string;
   readonly service: string;
 }
 
-function bucketKeysOf({ clientAccount, service }: RetryPayer): readonly string[] {
+function bucketKeysOf({ clientAccount, service }: RetryScope): readonly string[] {
   return [`account:${clientAccount}`, `pool:${service}`];
 }
 
@@ -80,7 +80,7 @@
    *
    * @param scope - the request's account and service.
    */
-  recordRequest(scope: RetryPayer): void {
+  recordRequest(scope: RetryScope): void {
     for (const key of bucketKeysOf(scope)) {
       this.setLevel(key, Math.min(this.burst, this.levelOf(key) + this.ratio));
     }
@@ -92,7 +92,7 @@
    * @param scope - the request's account and service.
    * @returns Whether the retry may be sent.
    */
-  takeRetry(scope: RetryPayer): boolean {
+  takeRetry(scope: RetryScope): boolean {
     const keys = bucketKeysOf(scope);
     if (keys.some((key) => this.levelOf(key) < UNITS_PER_RETRY)) return false;
     for (const key of keys) this.setLevel(key, this.levelOf(key) - UNITS_PER_RETRY);
--- a/src/requests/Chooser.ts
+++ b/src/requests/RunnerChooser.ts
@@ -7,7 +7,7 @@
 import type { CallerRequest } from './requestTypes.js';
 
 /** Input of a choice, besides what the chooser knows about the fleet. */
-export interface ChooserQuestion {
+export interface RunnerChoiceInput {
   readonly request: CallerRequest;
   /** Runners that have a prefix of the chat cached, as reported by the chat's home. */
   readonly warm: readonly WarmRunner[];
@@ -19,7 +19,7 @@
 }
 
 /** The runner for a request, or the reason why none was found. */
-export type ChooserAnswer =
+export type RunnerChoice =
   | {
       readonly kind: 'chosen';
       readonly runnerId: string;
@@ -43,10 +43,10 @@
     };
 
 /** Chooses the runner for an attempt. */
-export abstract class Chooser {
+export abstract class RunnerChooser {
   /**
    * @param question - the request, the warm runners and the runners tried so far.
    * @returns The runner, or why there is none.
    */
-  abstract choose(question: ChooserQuestion): ChooserAnswer;
+  abstract choose(question: RunnerChoiceInput): RunnerChoice;
 }
--- a/src/requests/StreamCursor.ts
+++ b/src/requests/StreamCursor.ts
@@ -4,7 +4,7 @@
  */
 
 /** Relation of a chunk to the chunks that were accepted before it. */
-export type SequenceVerdict = 'next' | 'repeated' | 'gap';
+export type SequenceOrder = 'next' | 'repeated' | 'gap';
 
 /**
  * Tracks the last chunk that was passed on. Sequence numbers start at 1 and have no gaps; each
@@ -32,7 +32,7 @@
    * @param sequence - the chunk's sequence number.
    * @returns Whether the chunk is the next one, a repeat, or one after a gap.
    */
-  take(sequence: number): SequenceVerdict {
+  accept(sequence: number): SequenceOrder {
     if (sequence <= this.lastAccepted) return 'repeated';
     if (sequence > this.lastAccepted + 1) return 'gap';
     this.lastAccepted = sequence;
@@ -46,7 +46,7 @@
    * @param lastSequence - sequence number of the last chunk, from the `completed` event.
    * @returns Whether no chunk is missing.
    */
-  isWholeAt(lastSequence: number): boolean {
+  isCompleteAt(lastSequence: number): boolean {
     return lastSequence === this.lastAccepted;
   }
 }
--- a/src/requests/StreamPhase.spec.ts
+++ b/src/requests/StreamPhase.spec.ts
@@ -7,8 +7,8 @@
 import type { CallerEvent } from './requestTypes.js';
 import type { GateScript } from './testGates.js';
 import { collect, endsOf, requestOf, textOf } from './testFakes.js';
-import { ANSWER, gateEvent } from './testGates.js';
-import { STAYS, withHarness } from './testHarness.js';
+import { ANSWER_CHUNKS, gateEvent } from './testGates.js';
+import { NEVER_ABORTED, withHarness } from './testHarness.js';
 
 /** A gate that sends the given events and then closes the connection. */
 function sendingThenCut(
@@ -72,10 +72,10 @@
     it(
       `gives each chunk once and in order: ${name}`,
       withHarness(async (harness) => {
-        harness.gates.follow(script);
+        harness.gates.setScripts(script);
         const events = await harness.run(requestOf());
         expect(endsOf(events)).toEqual(['completed']);
-        expect(textOf(events)).toEqual(ANSWER.join(''));
+        expect(textOf(events)).toEqual(ANSWER_CHUNKS.join(''));
         expect(harness.gates.resumed.length).toEqual(resumes);
         expect(harness.runners.runsOf('request')).toEqual(1);
       }),
@@ -90,13 +90,13 @@
     'resumes repeatedly while the gate moves, with growing pauses',
     withHarness(async (harness) => {
       const moving = gateEvent('refused', { reason: 'gate_not_here' });
-      harness.gates.follow(sendingThenCut((attempt) => [attempt.head(), attempt.chunk(1)]));
+      harness.gates.setScripts(sendingThenCut((attempt) => [attempt.head(), attempt.chunk(1)]));
       harness.gates.failResumes(new Error('reset'), moving, moving, moving, moving);
       const start = harness.time.clock.monotonicMilliseconds();
       const events = await harness.run(requestOf());
       const duration = harness.time.clock.monotonicMilliseconds() - start;
       expect(endsOf(events)).toEqual(['completed']);
-      expect(textOf(events)).toEqual(ANSWER.join(''));
+      expect(textOf(events)).toEqual(ANSWER_CHUNKS.join(''));
       expect(harness.gates.resumed.map(({ afterSequence }) => afterSequence)).toEqual(
         Array.from({ length: 6 }, () => 1),
       );
@@ -112,7 +112,7 @@
     'reports that the rest is lost when the runner has dropped the attempt',
     withHarness(async (harness) => {
       const gone = { attemptId: 'any', code: 'cannot_resume', resumable: false };
-      harness.gates.follow(sendingThenCut((attempt) => [attempt.head(), attempt.chunk(1)]));
+      harness.gates.setScripts(sendingThenCut((attempt) => [attempt.head(), attempt.chunk(1)]));
       harness.gates.failResumes(gateEvent('failed', gone));
       const events = await harness.run(requestOf());
       expect(events.at(-1)).toEqual(
@@ -120,7 +120,7 @@
       );
       harness.gates.failResumes(gateEvent('failed', gone));
       const id = lastEventId(events);
-      const resumed = harness.owner.resume('litoral.showroom', id, 1_000, STAYS);
+      const resumed = harness.owner.resume('litoral.showroom', id, 1_000, NEVER_ABORTED);
       expect(endsOf(await harness.time.until(collect(resumed)))).toEqual(['cannot_resume']);
     }),
   );
@@ -128,7 +128,7 @@
   it(
     'gives up a stream that no gate can resume, with an explicit failure',
     withHarness(async (harness) => {
-      harness.gates.follow(sendingThenCut((attempt) => [attempt.head(), attempt.chunk(1)]));
+      harness.gates.setScripts(sendingThenCut((attempt) => [attempt.head(), attempt.chunk(1)]));
       harness.gates.failResumes(...Array.from({ length: 100 }, () => new Error('reset')));
       const events = await harness.run(requestOf({ deadlineMilliseconds: 60_000 }));
       expect(events.at(-1)).toEqual(
@@ -147,7 +147,7 @@
     'does not resume a stream that another reader took over',
     withHarness(async (harness) => {
       const takenOver = { code: 'stream_cut', message: 'taken over', resumable: false };
-      harness.gates.follow(
+      harness.gates.setScripts(
         sendingThenCut((a) => [a.head(), a.chunk(1), gateEvent('failed', { ...takenOver })]),
       );
       const events = await harness.run(requestOf());
@@ -164,7 +164,7 @@
     'lets only the stream’s own account resume it through another daemon',
     withHarness(async (harness) => {
       const gone = new AbortController();
-      harness.gates.follow(async function* waits(attempt) {
+      harness.gates.setScripts(async function* waits(attempt) {
         attempt.run();
         yield attempt.head();
         yield attempt.chunk(1);
@@ -175,15 +175,17 @@
       gone.abort();
       const before = await harness.time.until(first);
       expect(harness.gates.cancelled).toEqual([]);
-      expect([harness.owner.inProgress(), textOf(before)]).toEqual([0, ANSWER[0]!]);
+      expect([harness.owner.inProgress(), textOf(before)]).toEqual([0, ANSWER_CHUNKS[0]!]);
       const other = harness.newOwner('gate-daemon');
       const id = lastEventId(before);
-      const foreign = await collect(other.resume('punkt.agents', id, 1_000, STAYS));
-      const forged = await collect(other.resume('litoral.showroom', `${id}A`, 1_000, STAYS));
+      const foreign = await collect(other.resume('punkt.agents', id, 1_000, NEVER_ABORTED));
+      const forged = await collect(
+        other.resume('litoral.showroom', `${id}A`, 1_000, NEVER_ABORTED),
+      );
       expect(endsOf([...foreign, ...forged])).toEqual(['cannot_resume', 'cannot_resume']);
-      const own = other.resume('litoral.showroom', id, 1_000, STAYS);
+      const own = other.resume('litoral.showroom', id, 1_000, NEVER_ABORTED);
       const after = await harness.time.until(collect(own));
-      expect(textOf(after)).toEqual(ANSWER.slice(1).join(''));
+      expect(textOf(after)).toEqual(ANSWER_CHUNKS.slice(1).join(''));
       expect(endsOf(after)).toEqual(['completed']);
       expect(harness.runners.runsOf('request')).toEqual(1);
       other.stop();
@@ -198,7 +200,7 @@
     withHarness(
       async (harness) => {
         let sent = 0;
-        harness.gates.follow(async function* endless(attempt) {
+        harness.gates.setScripts(async function* endless(attempt) {
           attempt.run();
           yield attempt.head();
           while (sent < 100) {
@@ -208,7 +210,7 @@
             yield gateEvent('chunk', { attemptId, sequence: sent, data });
           }
         });
-        const reader = harness.owner.run(requestOf(), STAYS);
+        const reader = harness.owner.run(requestOf(), NEVER_ABORTED);
         await harness.time.until(reader.next());
         await harness.time.advance(1_000);
         expect(sent <= 8).toEqual(true);
--- a/src/requests/StreamPhase.ts
+++ b/src/requests/StreamPhase.ts
@@ -52,7 +52,7 @@
    * @param stream - the stream named by the caller's `Last-Event-ID`.
    */
   beginResume({ attemptId, runnerId, afterSequence }: ResumedStream): void {
-    this.context.adoptAttempt();
+    this.context.countResumedAttempt();
     this.selectedAttempt = { attemptId, runnerId };
     this.cursor = new StreamCursor(afterSequence);
     this.context.delivered = true;
@@ -90,13 +90,13 @@
    */
   onChunk(reading: Reading, chunk: MessageOf<'chunk'>): void {
     const { context } = this;
-    if (!this.isHeadKnown()) {
-      context.act({ kind: 'dropped', what: 'chunk', why: 'out_of_order' });
+    if (!this.hasStarted()) {
+      context.addAction({ kind: 'dropped', what: 'chunk', why: 'out_of_order' });
       return;
     }
-    const order = this.cursor.take(chunk.sequence);
+    const order = this.cursor.accept(chunk.sequence);
     if (order === 'repeated') {
-      context.act({ kind: 'dropped', what: 'chunk', why: 'repeated' });
+      context.addAction({ kind: 'dropped', what: 'chunk', why: 'repeated' });
     } else if (order === 'gap') {
       this.onGap(reading, `Chunk ${chunk.sequence} came after ${this.cursor.position()}.`);
     } else {
@@ -112,7 +112,7 @@
    */
   onCompleted(reading: Reading, completed: MessageOf<'completed'>): void {
     const { context } = this;
-    if (!this.isHeadKnown() || !this.cursor.isWholeAt(completed.lastSequence)) {
+    if (!this.hasStarted() || !this.cursor.isCompleteAt(completed.lastSequence)) {
       this.onGap(
         reading,
         `The completed event names chunk ${completed.lastSequence}, the last chunk received is ${this.cursor.position()}.`,
@@ -123,7 +123,7 @@
     if (!context.advance('complete')) return;
     this.deliverHead(reading);
     const { promptTokens, generatedTokens, cachedTokens } = completed;
-    context.act({ kind: 'complete', promptTokens, generatedTokens, cachedTokens });
+    context.addAction({ kind: 'complete', promptTokens, generatedTokens, cachedTokens });
   }
 
   /**
@@ -134,7 +134,7 @@
    * @param message - what broke.
    * @returns Whether another resume was opened or scheduled.
    */
-  cut(reading: Reading, message: string): CutResult {
+  resumeAfterCut(reading: Reading, message: string): CutResult {
     const { context } = this;
     context.abandonReading(reading);
     this.selectedAttempt ??= reading;
@@ -153,13 +153,13 @@
    *
    * @param resumable - whether the gate may still know the attempt.
    */
-  failCut(resumable: boolean): void {
+  failAsCut(resumable: boolean): void {
     const { context, cutReason } = this;
-    context.fail(cutFailure(context.knowledge(), cutReason, resumable));
+    context.fail(cutFailure(context.executionStatus(), cutReason, resumable));
   }
 
   /** Clears the selected attempt, because another attempt replaces it. */
-  forget(): void {
+  discardAttempt(): void {
     this.selectedAttempt = undefined;
     this.startedReading = undefined;
     this.consecutiveResumes = 0;
@@ -173,11 +173,11 @@
   onCallerGone(): void {
     const { context } = this;
     if (!context.facts.streaming || !context.delivered) {
-      context.fail(cancelledFailure(context.knowledge()));
+      context.fail(cancelledFailure(context.executionStatus()));
       return;
     }
     for (const reading of [...context.readings.values()]) context.abandonReading(reading);
-    context.fail(cutFailure(context.knowledge(), 'The caller disconnected.', true));
+    context.fail(cutFailure(context.executionStatus(), 'The caller disconnected.', true));
   }
 
   /** Opens the scheduled resume when it is due. */
@@ -196,12 +196,12 @@
    * @returns Whether the answer has started, in this request or in the one that the caller
    *   resumes.
    */
-  isHeadKnown(): boolean {
+  hasStarted(): boolean {
     return this.startedReading !== undefined || this.context.delivered;
   }
 
   private onGap(reading: Reading, message: string): void {
-    if (this.cut(reading, message) === 'given_up') this.failCut(true);
+    if (this.resumeAfterCut(reading, message) === 'given_up') this.failAsCut(true);
   }
 
   private deliverChunk(reading: Reading, sequence: number): void {
@@ -210,7 +210,13 @@
     this.consecutiveResumes = 0;
     context.advance('stream');
     this.deliverHead(reading);
-    context.act({ kind: 'deliver_chunk', reading: reading.number, attemptId, runnerId, sequence });
+    context.addAction({
+      kind: 'deliver_chunk',
+      reading: reading.number,
+      attemptId,
+      runnerId,
+      sequence,
+    });
   }
 
   private deliverHead(reading: Reading): void {
@@ -218,7 +224,11 @@
     this.headDelivered = true;
     this.context.delivered = true;
     const { number, runnerId } = reading;
-    this.context.act({ kind: 'deliver_started', reading: this.startedReading ?? number, runnerId });
+    this.context.addAction({
+      kind: 'deliver_started',
+      reading: this.startedReading ?? number,
+      runnerId,
+    });
   }
 
   private resumePause(): number {
@@ -238,7 +248,7 @@
     this.totalResumes += 1;
     const { attemptId, runnerId } = selectedAttempt;
     const reading = context.openReading(attemptId, runnerId, 'resume');
-    context.act({
+    context.addAction({
       kind: 'resume',
       reading,
       attemptId,
--- a/src/requests/atMostOnce.spec.ts
+++ b/src/requests/atMostOnce.spec.ts
@@ -5,8 +5,8 @@
 
 import { endsOf, textOf } from './testFakes.js';
 import type { Operation } from './testFleet.js';
-import { DAEMONS, GATE_FAULTS, LINK_FAULTS, RESUME_FAULTS, World } from './testFleet.js';
-import { ANSWER } from './testGates.js';
+import { DAEMONS, GATE_FAULTS, LINK_FAULTS, RESUME_FAULTS, FleetSimulation } from './testFleet.js';
+import { ANSWER_CHUNKS } from './testGates.js';
 
 const SEED = 20_261_202;
 const RUNS = 200;
@@ -59,7 +59,7 @@
           resumeFaults: fc.array(fc.constantFrom(...resumeFaultNames), { maxLength: 4 }),
         }),
         async (operations, faults) => {
-          const world = new World(faults);
+          const world = new FleetSimulation(faults);
           try {
             await world.play(operations);
             const answers = await world.answers();
@@ -69,7 +69,7 @@
               expect(endsOf(events).length).toEqual(1);
               if (last?.kind === 'failed' && last.notRun) expect(runs).toEqual(0);
               if (last?.kind !== 'completed') continue;
-              expect([runs, textOf(events)]).toEqual([1, ANSWER.join('')]);
+              expect([runs, textOf(events)]).toEqual([1, ANSWER_CHUNKS.join('')]);
             }
             for (const runs of world.runners.runs.values()) expect(runs).toEqual(1);
           } finally {
--- a/src/requests/boundEvents.ts
+++ b/src/requests/boundEvents.ts
@@ -9,7 +9,7 @@
 import { ExecuteEventSchema } from '../generated/baobabdock/v1/peers_pb.js';
 import { PRIORITIES } from '../gates/gateTypes.js';
 import type { SignedTokens } from '../peers/SignedTokens.js';
-import { EventIdReader } from './EventIds.js';
+import { EventIdVerifier } from './EventIds.js';
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 
 /**
@@ -42,14 +42,14 @@
 /** The `started` event of an answer, held back until the first chunk names its attempt. */
 type Head = Extract<CallerEvent, { kind: 'started' }>;
 
-/** Options of {@link BoundEvents}. */
-export interface BoundEventsOptions {
+/** Options of {@link BoundEventEncoder}. */
+export interface BoundEventEncoderOptions {
   tokens: SignedTokens;
 }
 
 /** Converts the events of one answer for the daemon that forwarded the request. */
-export class BoundEvents {
-  private readonly eventIds: EventIdReader;
+export class BoundEventEncoder {
+  private readonly eventIds: EventIdVerifier;
 
   private head: Head | undefined;
 
@@ -60,8 +60,8 @@
   /**
    * @param options - what verifies the event ids.
    */
-  constructor({ tokens }: BoundEventsOptions) {
-    this.eventIds = new EventIdReader(tokens);
+  constructor({ tokens }: BoundEventEncoderOptions) {
+    this.eventIds = new EventIdVerifier(tokens);
   }
 
   /**
@@ -89,7 +89,7 @@
    * answer does.
    */
   private chunk(data: Uint8Array, eventId: string): ExecuteEvent[] {
-    const opened = this.eventIds.open(eventId);
+    const opened = this.eventIds.verify(eventId);
     if (!opened) return [];
     const { sequence } = opened;
     const { attemptId } = opened.token;
--- a/src/requests/boundFailures.ts
+++ b/src/requests/boundFailures.ts
@@ -32,7 +32,7 @@
  * @returns The answer to a request without a binding when none can be issued; the request did not
  *   run.
  */
-export function noBindingNow(leaving: boolean, retryAfterMilliseconds: number): Failed {
+export function bindingUnavailable(leaving: boolean, retryAfterMilliseconds: number): Failed {
   return {
     kind: 'failed',
     code: leaving ? 'draining' : 'overloaded',
@@ -53,7 +53,7 @@
 }
 
 /** @returns The answer to a binding token that is malformed or was not signed by this fleet. */
-export function unreadableBinding(): Failed {
+export function invalidBinding(): Failed {
   return {
     kind: 'failed',
     code: 'invalid_request',
@@ -64,7 +64,7 @@
 }
 
 /** @returns The answer to a binding that was issued to another client account. */
-export function foreignBinding(): Failed {
+export function bindingOfOtherAccount(): Failed {
   return {
     kind: 'failed',
     code: 'forbidden',
@@ -77,7 +77,7 @@
  * @returns The answer when the binding was used for another request; this request never runs
  *   under it.
  */
-export function otherRequest(): Failed {
+export function bindingUsedByOtherRequest(): Failed {
   return {
     kind: 'failed',
     code: 'invalid_request',
--- a/src/requests/requestFacts.ts
+++ b/src/requests/requestFacts.ts
@@ -1,7 +1,7 @@
 /**
  * Properties of one request, and the streams that are open for it.
  */
-import type { RetryPayer } from './RetryBudget.js';
+import type { RetryScope } from './RetryBudget.js';
 
 /** A reading: one opened stream of gate events. */
 export interface Reading {
@@ -19,7 +19,7 @@
 
 /** The properties of a request that its phases use; the deadline is in monotonic milliseconds. */
 export interface RequestFacts {
-  readonly payer: RetryPayer;
+  readonly retryScope: RetryScope;
   readonly deadline: number;
   readonly idempotent: boolean;
   readonly streaming: boolean;
--- a/src/requests/requestFailures.ts
+++ b/src/requests/requestFailures.ts
@@ -8,7 +8,7 @@
 import type { OutcomeCode } from './requestTypes.js';
 
 /** What is known about the execution of a request when it ends. */
-export interface RequestKnowledge {
+export interface ExecutionStatus {
   /** Whether every attempt is known not to have run. */
   readonly notRun: boolean;
   readonly idempotent: boolean;
@@ -27,7 +27,7 @@
  * @param code - the code to use if repeating the request does no harm.
  * @returns The code, or `outcome_unknown`.
  */
-function codeUnlessUnknown(knowledge: RequestKnowledge, code: OutcomeCode): OutcomeCode {
+function codeUnlessUnknown(knowledge: ExecutionStatus, code: OutcomeCode): OutcomeCode {
   return knowledge.notRun || knowledge.idempotent ? code : 'outcome_unknown';
 }
 
@@ -52,7 +52,7 @@
  * @returns The last event.
  */
 export function refusedFailure(
-  knowledge: RequestKnowledge,
+  knowledge: ExecutionStatus,
   reason: RefusalReason,
   retryAfterMilliseconds: number,
 ): RequestFailure {
@@ -76,8 +76,8 @@
  * @param retryAfterMilliseconds - when the caller may retry, in milliseconds.
  * @returns The last event.
  */
-export function nobodyFailure(
-  knowledge: RequestKnowledge,
+export function noRunnerFailure(
+  knowledge: ExecutionStatus,
   message: string,
   retryAfterMilliseconds: number,
 ): RequestFailure {
@@ -95,7 +95,7 @@
  * @param knowledge - what is known about the execution.
  * @returns The last event.
  */
-export function deadlineFailure(knowledge: RequestKnowledge): RequestFailure {
+export function deadlineFailure(knowledge: ExecutionStatus): RequestFailure {
   return {
     code: codeUnlessUnknown(knowledge, 'deadline_exceeded'),
     notRun: knowledge.notRun,
@@ -109,7 +109,7 @@
  * @param knowledge - what is known about the execution.
  * @returns The last event.
  */
-export function cancelledFailure(knowledge: RequestKnowledge): RequestFailure {
+export function cancelledFailure(knowledge: ExecutionStatus): RequestFailure {
   return { code: 'cancelled', notRun: knowledge.notRun, message: 'The request was cancelled.' };
 }
 
@@ -122,7 +122,7 @@
  * @returns The last event.
  */
 export function cutFailure(
-  knowledge: RequestKnowledge,
+  knowledge: ExecutionStatus,
   message: string,
   resumable: boolean,
 ): RequestFailure {
@@ -150,7 +150,7 @@
  * @param message - the message of the gate.
  * @returns The last event.
  */
-export function restGoneFailure(message: string): RequestFailure {
+export function cannotResumeFailure(message: string): RequestFailure {
   return { code: 'cannot_resume', notRun: false, message, resumable: false };
 }
 
@@ -165,7 +165,7 @@
  * @returns The last event.
  */
 export function reportedFailure(
-  knowledge: RequestKnowledge,
+  knowledge: ExecutionStatus,
   code: OutcomeCode,
   message: string,
   retryAfterMilliseconds: number,
--- a/src/requests/testFakes.ts
+++ b/src/requests/testFakes.ts
@@ -14,8 +14,8 @@
 import type { Member, WarmRunner } from '../generated/baobabdock/v1/peers_pb.js';
 import { MemberSchema } from '../generated/baobabdock/v1/peers_pb.js';
 import { HomePort } from '../homes/HomePort.js';
-import type { ChooserAnswer, ChooserQuestion } from './Chooser.js';
-import { Chooser } from './Chooser.js';
+import type { RunnerChoice, RunnerChoiceInput } from './RunnerChooser.js';
+import { RunnerChooser } from './RunnerChooser.js';
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 
 /** Homes that know no warm runner and answer at once, unless they are frozen. */
@@ -35,10 +35,10 @@
 }
 
 /** Chooses runner-1, runner-2 and so on, never a runner that was tried. */
-export class FakeChooser extends Chooser {
-  readonly questions: ChooserQuestion[] = [];
+export class FakeChooser extends RunnerChooser {
+  readonly questions: RunnerChoiceInput[] = [];
 
-  override choose(question: ChooserQuestion): ChooserAnswer {
+  override choose(question: RunnerChoiceInput): RunnerChoice {
     this.questions.push(question);
     const runnerId = `runner-${question.tried.length + 1}`;
     const explanation = { runnerId };
--- a/src/requests/testFleet.ts
+++ b/src/requests/testFleet.ts
@@ -22,7 +22,7 @@
 import type { CallerEvent, CallerRequest } from './requestTypes.js';
 import { FakeChooser, FakeFleet, FakeHomes, collect, memberOf, requestOf } from './testFakes.js';
 import type { GateScript } from './testGates.js';
-import { FakeGates, FakeRunners, gateEvent, healthy, silent } from './testGates.js';
+import { FakeGates, FakeRunners, gateEvent, healthy, withoutEvents } from './testGates.js';
 import { VirtualTime } from './testTime.js';
 
 /** Ids of the daemons. */
@@ -62,8 +62,8 @@
   async *limited(attempt) {
     yield attempt.refused('account_limit', 1_000);
   },
-  lost: silent(loseConnection),
-  answerLost: silent((attempt) => {
+  lost: withoutEvents(loseConnection),
+  answerLost: withoutEvents((attempt) => {
     attempt.run();
     return loseConnection();
   }),
@@ -71,7 +71,7 @@
    * The caller of the gate sees a broken connection, but the gate runs the request later all the
    * same.
    */
-  runsLater: silent((attempt) => {
+  runsLater: withoutEvents((attempt) => {
     setTimeout(() => attempt.run(), 1_500);
     return loseConnection();
   }),
@@ -85,8 +85,8 @@
     await attempt.wait(1_000);
     yield* healthy(attempt);
   },
-  frozen: silent((attempt) => attempt.freeze()),
-  frozenAfterStart: silent((attempt) => {
+  frozen: withoutEvents((attempt) => attempt.freeze()),
+  frozenAfterStart: withoutEvents((attempt) => {
     attempt.run();
     return attempt.freeze();
   }),
@@ -155,7 +155,7 @@
   | { kind: 'declare'; daemon: number; state: string };
 
 /** Runs operations on the three daemons and collects the answers of all submitted requests. */
-export class World extends PeerLink {
+export class FleetSimulation extends PeerLink {
   readonly runners = new FakeRunners();
 
   readonly gates = new FakeGates(this.runners);
@@ -176,7 +176,7 @@
     super();
     this.linkFaults = [...linkFaults];
     this.gates.failResumes(...resumeFaults.map((fault) => RESUME_FAULTS[fault]));
-    this.gates.follow(...gateFaults.map((fault) => GATE_FAULTS[fault]));
+    this.gates.setScripts(...gateFaults.map((fault) => GATE_FAULTS[fault]));
     this.processes = DAEMONS.map((daemonId) => this.start(daemonId));
     this.bindings = this.processes.map(
       ({ owner }) => owner.bindings.issue('litoral.showroom')!.token,
--- a/src/requests/testGates.ts
+++ b/src/requests/testGates.ts
@@ -25,7 +25,7 @@
 }
 
 /** The answer of every fake runner, chunk by chunk. */
-export const ANSWER = ['one ', 'two ', 'three'];
+export const ANSWER_CHUNKS = ['one ', 'two ', 'three'];
 
 /** The body of a request is the name by which its runs are counted. */
 function runNameOf(body: Uint8Array): string {
@@ -37,7 +37,7 @@
 }
 
 function chunkOf(attemptId: string, sequence: number): ExecuteEvent {
-  const data = Buffer.from(ANSWER[sequence - 1] ?? 'beyond');
+  const data = Buffer.from(ANSWER_CHUNKS[sequence - 1] ?? 'beyond');
   return gateEvent('chunk', { attemptId, sequence, data });
 }
 
@@ -64,7 +64,7 @@
   }
 
   /** Makes the runner drop the attempt, so that it can't be resumed any more. */
-  forget(): void {
+  dropAtRunner(): void {
     this.runners.known.delete(this.request.attemptId);
   }
 
@@ -80,7 +80,7 @@
     return chunkOf(attemptId, sequence);
   }
 
-  completed(lastSequence = ANSWER.length): ExecuteEvent {
+  completed(lastSequence = ANSWER_CHUNKS.length): ExecuteEvent {
     return gateEvent('completed', { attemptId: this.request.attemptId, lastSequence });
   }
 
@@ -103,7 +103,7 @@
  * @param work - throws or never returns.
  * @returns A script that sends no event.
  */
-export function silent(work: (attempt: FakeAttempt) => Promise<never>): GateScript {
+export function withoutEvents(work: (attempt: FakeAttempt) => Promise<never>): GateScript {
   return (attempt) => ({ [Symbol.asyncIterator]: () => ({ next: () => work(attempt) }) });
 }
 
@@ -111,7 +111,7 @@
 export async function* healthy(attempt: FakeAttempt): AsyncGenerator<ExecuteEvent> {
   attempt.run();
   yield attempt.head();
-  for (const [index] of ANSWER.entries()) yield attempt.chunk(index + 1);
+  for (const [index] of ANSWER_CHUNKS.entries()) yield attempt.chunk(index + 1);
   yield attempt.completed();
 }
 
@@ -162,7 +162,7 @@
   }
 
   /** Sets the scripts of the next attempts. */
-  follow(...scripts: readonly GateScript[]): void {
+  setScripts(...scripts: readonly GateScript[]): void {
     this.scripts = [...scripts];
   }
 
@@ -185,10 +185,10 @@
       yield gateEvent('failed', { attemptId, code: 'cannot_resume', resumable: false });
     } else {
       yield headOf(attemptId, runnerId);
-      for (let sequence = afterSequence + 1; sequence <= ANSWER.length; sequence += 1) {
+      for (let sequence = afterSequence + 1; sequence <= ANSWER_CHUNKS.length; sequence += 1) {
         yield chunkOf(attemptId, sequence);
       }
-      yield gateEvent('completed', { attemptId, lastSequence: ANSWER.length });
+      yield gateEvent('completed', { attemptId, lastSequence: ANSWER_CHUNKS.length });
     }
   }
 
--- a/src/requests/testHarness.ts
+++ b/src/requests/testHarness.ts
@@ -17,7 +17,7 @@
 import { VirtualTime } from './testTime.js';
 
 /** A signal that is never aborted. */
-export const STAYS = new AbortController().signal;
+export const NEVER_ABORTED = new AbortController().signal;
 
 /** An entry daemon with its owner of requests, and another daemon that holds the gates. */
 export class Harness {
@@ -67,7 +67,7 @@
    * @returns The events of its answer.
    */
   readonly run = (request: CallerRequest): Promise<CallerEvent[]> =>
-    this.time.until(collect(this.owner.run(request, STAYS)));
+    this.time.until(collect(this.owner.run(request, NEVER_ABORTED)));
 
   /**
    * @param request - a non-idempotent request.
@@ -81,7 +81,7 @@
   };
 
   /** Declares the daemon of the gates dead after a delay. */
-  declareDead(afterMilliseconds: number): void {
+  declareGateDaemonDead(afterMilliseconds: number): void {
     const declare = (): void => {
       this.daemons[0]!.state = 'dead';
     };
