--- a/src/gates/GateTaskAttempt.ts
+++ b/src/gates/GateTaskAttempt.ts
@@ -196,7 +196,7 @@
       for (;;) {
         const step = await iterator.next();
         if (this.isStaleRead(reading)) return;
-        if (step.done) throw new Error('the runner ended its answer without a final event');
+        if (step.done) throw new Error('the runner ended the answer without saying how');
         this.handleEvent(step.value);
         await this.stream.waitForRoom();
         if (this.isStaleRead(reading)) return;
@@ -301,7 +301,7 @@
     clearTimeout(this.resumeTimer);
     this.fail({
       reason: 'cut',
-      message: `${reason} while waiting to resume a cut stream`,
+      message: `${reason} while cut off`,
       resumable: false,
     });
   }
--- a/src/gates/GateTaskEvents.ts
+++ b/src/gates/GateTaskEvents.ts
@@ -136,7 +136,7 @@
  * @returns The only event for the duplicate.
  */
 export function duplicateEvent(attemptId: string): ExecuteEvent {
-  const message = 'an attempt with this id is already in progress at this gate';
+  const message = 'an attempt of this id is already here';
   return failedEvent({ attemptId, code: 'outcome_unknown', message, resumable: false });
 }
 
@@ -147,7 +147,7 @@
  * @returns The only event for the reader.
  */
 export function cannotResumeEvent(attemptId: string): ExecuteEvent {
-  const message = 'this gate cannot continue the stream of this attempt';
+  const message = 'this stream cannot be continued';
   return failedEvent({ attemptId, code: 'cannot_resume', message, resumable: false });
 }
 
@@ -160,6 +160,6 @@
  * @returns The last event for the earlier reader.
  */
 export function supersededEvent(attemptId: string): ExecuteEvent {
-  const message = 'another reader has taken over the stream of this attempt';
+  const message = 'another reader continues this stream';
   return failedEvent({ attemptId, code: 'stream_cut', message, resumable: false });
 }
--- a/src/requests/BindingForwarder.ts
+++ b/src/requests/BindingForwarder.ts
@@ -82,7 +82,7 @@
     const deadlineAt = this.ports.clock.monotonicMilliseconds() + request.deadlineMilliseconds;
     const answer = new ForwardedAnswer({ tokens: this.ports.tokens, request });
     cancellation.setAction(() => this.cancel(answer));
-    let failureReason = 'The daemon that issued the binding is not a member of the fleet any more.';
+    let failureReason = 'The daemon of the binding is gone.';
     for (const pause of [0, ...RETRY_PAUSES_MILLISECONDS]) {
       await pauseFor(pause, signal);
       const member = this.memberOf(token);
@@ -96,11 +96,10 @@
           signal,
         );
         if (answer.ended()) return;
-        failureReason =
-          'The daemon that issued the binding closed its answer without a final event.';
+        failureReason = 'The daemon of the binding ended its answer without saying how.';
       } catch (error) {
         // The error contains addresses of the fleet, which callers must not see.
-        failureReason = 'The daemon that issued the binding did not answer.';
+        failureReason = 'The daemon of the binding did not answer.';
         this.logUnreachable(request, String(error));
       }
     }
--- a/src/requests/BoundAnswer.ts
+++ b/src/requests/BoundAnswer.ts
@@ -55,7 +55,7 @@
   kind: 'failed',
   code: 'cannot_resume',
   notRun: false,
-  message: 'The request ran once; its answer is too large to be kept for a repeat.',
+  message: 'The request ran once; its answer is too large to be repeated.',
 });
 
 /** Position of one reader in the answer. */
--- a/src/requests/BoundRequests.ts
+++ b/src/requests/BoundRequests.ts
@@ -184,7 +184,7 @@
     } else if (token.daemonId !== this.ports.fleet.self().daemonId) {
       yield this.logRefusal(
         request,
-        outcomeUnknown('The binding was issued by another daemon.'),
+        outcomeUnknown('The binding is of another daemon.'),
         'elsewhere',
       );
     } else {
@@ -198,7 +198,7 @@
     cancellation?: Cancellation,
   ): AsyncGenerator<CallerEvent, void> {
     if (token.incarnation !== this.incarnation) {
-      const unknown = outcomeUnknown('The daemon that issued the binding was restarted.');
+      const unknown = outcomeUnknown('The daemon of the binding was restarted.');
       yield this.logRefusal(request, unknown, 'other_incarnation');
       return;
     }
--- a/src/requests/ForwardedAnswer.ts
+++ b/src/requests/ForwardedAnswer.ts
@@ -67,9 +67,7 @@
       .with({ case: 'completed' }, ({ value }) => this.acceptEnd(value))
       .with({ case: 'failed' }, ({ value }) => this.acceptFailure(value))
       .with({ case: 'refused' }, () =>
-        this.endWith(
-          outcomeUnknown('The daemon that issued the binding sent an unexpected refusal.'),
-        ),
+        this.endWith(outcomeUnknown('The answer was not understood.')),
       )
       .with({ case: P.nullish }, () => undefined)
       .exhaustive();
--- a/src/requests/GateReading.ts
+++ b/src/requests/GateReading.ts
@@ -54,7 +54,7 @@
     try {
       this.iterator = this.options.open(this.controller.signal)[Symbol.asyncIterator]();
       await this.readEvents(this.iterator);
-      if (!this.isStopped) this.options.onLost('The gate closed the stream without a final event.');
+      if (!this.isStopped) this.options.onLost('The gate ended the stream without saying how.');
     } catch (error) {
       if (!this.isStopped) this.options.onLost(messageOf(error));
     }
--- a/src/requests/RequestDecisions.ts
+++ b/src/requests/RequestDecisions.ts
@@ -228,7 +228,7 @@
     this.onLost({
       kind: 'lost',
       reading: number,
-      message: 'The daemon that holds the gate is dead or has left the fleet.',
+      message: 'The daemon of the gate is gone.',
     });
   }
 
@@ -254,7 +254,7 @@
       reading.checkAt = context.now + gateCheckMilliseconds;
       const isIdle = context.now - reading.lastEventAt >= streamIdleMilliseconds;
       if (isIdle && this.stream.hasStarted())
-        this.onStreamCut(reading, 'The stream delivered no event within the idle timeout.');
+        this.onStreamCut(reading, 'The stream was silent for too long.');
       else context.addAction({ kind: 'check_gate', reading: reading.number });
     }
   }
--- a/src/requests/RequestOwner.ts
+++ b/src/requests/RequestOwner.ts
@@ -59,7 +59,7 @@
   kind: 'failed',
   code: 'cannot_resume',
   notRun: false,
-  message: 'The event id does not belong to a stream of this client account.',
+  message: 'No stream of this account goes by that event id.',
   resumable: false,
 });
 
--- a/src/requests/StreamPhase.ts
+++ b/src/requests/StreamPhase.ts
@@ -115,7 +115,7 @@
     if (!this.hasStarted() || !this.cursor.isCompleteAt(completed.lastSequence)) {
       this.onGap(
         reading,
-        `The completed event names chunk ${completed.lastSequence}, the last chunk received is ${this.cursor.position()}.`,
+        `The end names chunk ${completed.lastSequence}, the last one seen is ${this.cursor.position()}.`,
       );
       return;
     }
@@ -177,7 +177,7 @@
       return;
     }
     for (const reading of [...context.readings.values()]) context.abandonReading(reading);
-    context.fail(cutFailure(context.executionStatus(), 'The caller disconnected.', true));
+    context.fail(cutFailure(context.executionStatus(), 'The caller has gone.', true));
   }
 
   /** Opens the scheduled resume when it is due. */
--- a/src/requests/boundFailures.ts
+++ b/src/requests/boundFailures.ts
@@ -20,8 +20,7 @@
     kind: 'failed',
     code: 'binding_required',
     notRun: true,
-    message:
-      'A non-idempotent request needs a binding; repeat the request with the binding of this response.',
+    message: 'A request that is not idempotent needs a binding; send it again with this one.',
     binding: { token, address },
   };
 }
@@ -37,9 +36,7 @@
     kind: 'failed',
     code: leaving ? 'draining' : 'overloaded',
     notRun: true,
-    message: leaving
-      ? 'This daemon is leaving.'
-      : 'This daemon issues no new bindings now, because too many are in use.',
+    message: leaving ? 'This daemon is leaving.' : 'This daemon takes no new bindings now.',
     retryAfterMilliseconds,
   };
 }
@@ -58,8 +55,7 @@
     kind: 'failed',
     code: 'invalid_request',
     notRun: false,
-    message:
-      'The binding is malformed or was not signed by this fleet; this copy of the request was not run.',
+    message: 'The binding is malformed or not of this fleet; this copy of the request was not run.',
   };
 }
 
