--- a/src/configuration/BoundedRetries.ts
+++ b/src/configuration/BoundedRetries.ts
@@ -1,21 +1,21 @@
 /**
- * Bounds the tries of one operation: their number, their waits, their time together.
+ * Limits the retries of one operation: number of attempts, backoff between them, and total time.
  */
 import type { Clock } from '../time/Clock.js';
 
 /** Options of a {@link BoundedRetries}. */
 export interface BoundedRetriesOptions {
   clock: Clock;
-  /** Waits; tests return at once. */
+  /** Sleeps for a time; tests return at once. */
   wait: (milliseconds: number) => Promise<void>;
-  /** From 0 up to 1. */
+  /** Random source: at least 0, below 1. */
   random: () => number;
   maximumAttempts?: number;
   firstWaitMilliseconds?: number;
   maximumMilliseconds?: number;
 }
 
-/** Counts the tries of one operation. */
+/** Retry limits and exponential backoff of one operation. */
 export class BoundedRetries {
   private readonly wait: (milliseconds: number) => Promise<void>;
 
@@ -25,14 +25,14 @@
 
   private readonly maximumAttempts: number;
 
-  private readonly endsAt: number;
+  private readonly deadline: number;
 
   private nextWait: number;
 
   private attempts = 1;
 
   /**
-   * @param options - the limits; the first try is counted already.
+   * @param options - the limits; the first attempt is already counted.
    */
   constructor({
     clock,
@@ -47,18 +47,19 @@
     this.random = random;
     this.maximumAttempts = maximumAttempts;
     this.nextWait = firstWaitMilliseconds;
-    this.endsAt = clock.monotonicMilliseconds() + maximumMilliseconds;
+    this.deadline = clock.monotonicMilliseconds() + maximumMilliseconds;
   }
 
   /**
-   * Waits before the next try, a random while so that two operators who race do not meet again.
+   * Waits before the next attempt. The wait has jitter, so that two operators with conflicting changes do not
+   * retry at the same moment again.
    *
-   * @returns Whether there may be one; `false` at once when the budget is used up.
+   * @returns Whether another attempt is allowed; `false` without a wait if a limit is reached.
    */
   async next(): Promise<boolean> {
     if (this.attempts >= this.maximumAttempts) return false;
     const milliseconds = this.nextWait * (0.5 + this.random());
-    if (this.clock.monotonicMilliseconds() + milliseconds > this.endsAt) return false;
+    if (this.clock.monotonicMilliseconds() + milliseconds > this.deadline) return false;
     this.attempts += 1;
     this.nextWait *= 2;
     await this.wait(milliseconds);
--- a/src/configuration/ChangeLog.ts
+++ b/src/configuration/ChangeLog.ts
@@ -1,12 +1,12 @@
 /**
- * The latest changes of a document, bounded, so that others can be given only what they lack.
+ * Keeps a bounded number of a document's latest changes, so that peers can be sent only those they lack.
  */
 import type { JsonObject } from '@bufbuild/protobuf';
 
-/** Changes that are kept, at most. */
+/** Maximum number of changes that are kept. */
 export const MAXIMUM_LOGGED_CHANGES = 2000;
 
-/** Characters of changes in JSON that are kept, at most. */
+/** Maximum total length of the kept changes in JSON, in characters. */
 export const MAXIMUM_LOGGED_CHARACTERS = 1_000_000;
 
 interface LoggedChange {
@@ -15,18 +15,19 @@
   readonly characters: number;
 }
 
-/** A bounded log; the oldest changes are dropped. */
+/** Bounded log of changes; drops the oldest ones first. */
 export class ChangeLog {
   private changes: LoggedChange[] = [];
 
   private characters = 0;
 
+  /** Lowest revision from which the kept changes lead to the newest one. */
   private oldestBase = 0;
 
   /**
-   * Forgets all changes: what comes next follows on this revision.
+   * Drops all changes. The next change follows the given revision.
    *
-   * @param revision - the revision of a whole document that was taken in.
+   * @param revision - the revision of the whole document that was applied.
    */
   restart(revision: number): void {
     this.changes = [];
@@ -35,8 +36,10 @@
   }
 
   /**
-   * @param revision - what the change made; not smaller than those before it.
-   * @param change - the change.
+   * Appends a change and drops the oldest ones above the limits.
+   *
+   * @param revision - the revision that the change led to; not lower than that of earlier changes.
+   * @param change - the change in JSON.
    */
   add(revision: number, change: JsonObject): void {
     const { length: characters } = JSON.stringify(change);
@@ -53,8 +56,8 @@
   }
 
   /**
-   * @param revision - what somebody has.
-   * @returns Later changes in order, or `undefined` when some of them are no longer kept.
+   * @param revision - the revision that the recipient has.
+   * @returns All later changes in order, or `undefined` if some of them are no longer kept.
    */
   since(revision: number): JsonObject[] | undefined {
     if (revision < this.oldestBase) return undefined;
--- a/src/configuration/ConfigurationDecisions.spec.ts
+++ b/src/configuration/ConfigurationDecisions.spec.ts
@@ -1,5 +1,5 @@
 /**
- * How daemons follow the configuration, through outages, cuts and restarts.
+ * Synchronization of the configuration during outages of the store, network cuts and restarts.
  */
 import { describe, it } from 'node:test';
 
@@ -25,9 +25,9 @@
   });
 
   it('goes on through an outage: a change committed before it, and a cold start in it', async () => {
-    // Symptom: after a restart during an outage a daemon refuses every caller.
-    // Sequence: a change is committed; the platform goes down at once; daemons restart with nothing.
-    // Cause: a daemon that can start from the platform only.
+    // Guards against a daemon that refuses every caller after a restart during an outage of the store. A change
+    // is committed, the store goes down at once, and daemons restart without a configuration. It goes wrong if a
+    // daemon can load its configuration from the store only, not from peers.
     const fleet = new FollowingFleet({ places: places(1, 2, 4) });
     await fleet.pass(SETTLE);
     await change(fleet, 0, 'one');
@@ -45,10 +45,9 @@
   });
 
   it('never goes back in a region that is cut off with a platform that shows old data', async () => {
-    // Symptom: a withdrawn key works again at a daemon that was restarted.
-    // Sequence: a change is in force; a region is cut off, one of its daemons restarts, and the platform
-    // answers reads as of before the change.
-    // Cause: a cold daemon that believes the platform although its peers have more.
+    // Guards against a withdrawn key that becomes valid again on a restarted daemon. A change is in force; a region
+    // is cut off, one of its daemons restarts, and the store answers reads as of before the change. It goes wrong
+    // if the restarted daemon trusts the store although its peers have a newer revision.
     const fleet = new FollowingFleet({ places: places(2, 1, 3) });
     await fleet.pass(SETTLE);
     await change(fleet, 0, 'one');
@@ -65,9 +64,8 @@
   });
 
   it('notices a watch that is open and dead', async () => {
-    // Symptom: one data centre works with yesterday's limits and no log line says why.
-    // Sequence: the platform keeps the watches open and reports nothing; a change is committed.
-    // Cause: trusting a watch that is silent.
+    // Guards against a data centre that keeps outdated limits without any log line. The store keeps the watches open
+    // but reports no events, and a change is committed. It goes wrong if a watch without events is trusted.
     const fleet = new FollowingFleet({ places: places(2, 1, 2), timing: QUICK_CHECKS });
     await fleet.pass(SETTLE);
     fleet.store.faults.set({ muteWatches: true });
@@ -84,21 +82,20 @@
   });
 
   it('replaces content that differs at the same revision by what the platform holds', async () => {
-    // Symptom: two daemons at one revision answer differently to one account.
-    // Sequence: one daemon's content is wrong; its revision is that of the others.
-    // Cause: comparing revisions only.
+    // Guards against two daemons at the same revision that treat a client account differently. One daemon has wrong
+    // content at the revision of the others. It goes wrong if only revisions are compared, not digests.
     const fleet = new FollowingFleet({ places: places(1, 1, 4) });
     await fleet.pass(SETTLE);
     await change(fleet, 0, 'one');
     await fleet.pass(SETTLE);
-    const strange = new FollowingFleet({ places: places(1, 1, 1) });
-    await change(strange, 0, 'other', 1.9);
-    const wrong = strange.daemon(0).decisions.configuration.answer(0);
-    const victim = [...fleet.daemons.values()].find(
+    const otherFleet = new FollowingFleet({ places: places(1, 1, 1) });
+    await change(otherFleet, 0, 'other', 1.9);
+    const wrong = otherFleet.daemon(0).decisions.configuration.answer(0);
+    const wrongDaemon = [...fleet.daemons.values()].find(
       ({ decisions }) => decisions.syncState('configuration') === 'following',
     )!;
-    expect(victim.decisions.configuration.take(wrong)).toEqual('applied');
-    expect(victim.member().configurationRevision).toEqual(1);
+    expect(wrongDaemon.decisions.configuration.take(wrong)).toEqual('applied');
+    expect(wrongDaemon.member().configurationRevision).toEqual(1);
     await fleet.pass(2 * DEFAULT_SYNC_TIMING.compareSpreadMilliseconds);
     const digests = [...fleet.daemons.values()].map(
       (daemon) => daemon.member().configurationDigest,
@@ -108,9 +105,9 @@
   });
 
   it('asks another peer after one that failed or had nothing', () => {
-    // Symptom: a change is late by many seconds at some daemons.
-    // Sequence: the nearest peer with the revision is dead or has lost it; the daemon asks again.
-    // Cause: choosing the same peer until gossip drops it.
+    // Guards against a change that reaches some daemons many seconds late. The nearest peer that is listed with the
+    // revision is dead or no longer has it, and the daemon has to pull again. It goes wrong if the same peer is
+    // chosen until gossip removes it.
     const failures = [
       { kind: 'pull_failed', reason: 'refused' },
       { kind: 'pull_answered', answer: { kind: 'same', revision: 0, digest: '' } },
@@ -118,30 +115,30 @@
     for (const failure of failures) {
       for (let seed = 0; seed < 20; seed += 1) {
         const members = new FollowingFleet({ places: places(1, 1, 8) });
-        const told = [...members.daemons.values()].map((daemon) => ({
+        const listedMembers = [...members.daemons.values()].map((daemon) => ({
           ...daemon.member(),
           configurationRevision: daemon.self.daemonId === 'daemon-1' ? 0 : 7,
         }));
         const { self } = members.daemon(0);
         const decisions = new ConfigurationDecisions({ self, random: seededRandom(seed) });
-        decisions.decide(0, { kind: 'members', members: told });
-        const asked = Array.from({ length: 6 }, (_, index) => {
+        decisions.decide(0, { kind: 'members', members: listedMembers });
+        const pulledPeers = Array.from({ length: 6 }, (_, index) => {
           const now = (index + 1) * DEFAULT_SYNC_TIMING.pullSpreadMilliseconds;
           const pull = decisions.decide(now, { kind: 'tick' }).find(({ kind }) => kind === 'pull');
           const from = pull?.kind === 'pull' ? pull.daemonId : '';
           decisions.decide(now, { ...failure, document: 'configuration', from });
           return from;
         });
-        expect(new Set(asked).size).toEqual(asked.length);
-        expect(asked.includes('')).toEqual(false);
+        expect(new Set(pulledPeers).size).toEqual(pulledPeers.length);
+        expect(pulledPeers.includes('')).toEqual(false);
       }
     }
   });
 
   it('never reverts and always converges, whatever fails in whatever order', async () => {
-    // Symptom: a revision goes back at some daemon, or an accepted change stays unknown to one.
-    // Sequence: any order of changes, restarts, cuts, outages, old data and dead watches.
-    // Cause: any path that applies what it hears without comparing, or that ends following.
+    // Guards against a daemon whose revision decreases, or that never receives an accepted change. Property test
+    // over any order of changes, restarts, network cuts, outages, stale reads and watches without events. It
+    // fails if any path applies an update without comparing revisions, or stops the synchronization.
     const event = fc.oneof(
       fc.record({ kind: fc.constant('change' as const), daemon: fc.nat(5) }),
       fc.record({ kind: fc.constant('restart' as const), daemon: fc.nat(5) }),
@@ -163,30 +160,32 @@
         await fleet.pass(SETTLE);
         const { faults, state } = fleet.store;
         const accepted: number[] = [1];
-        const lives: (readonly number[])[] = [];
-        for (const [index, happening] of events.entries()) {
-          if (happening.kind === 'change') {
-            const outcome = await change(fleet, happening.daemon, `change-${index}`);
+        const appliedByIncarnation: (readonly number[])[] = [];
+        for (const [index, step] of events.entries()) {
+          if (step.kind === 'change') {
+            const outcome = await change(fleet, step.daemon, `change-${index}`);
             if (outcome.kind === 'accepted') accepted.push(outcome.revision);
           }
-          if (happening.kind === 'restart') {
-            lives.push(fleet.daemon(happening.daemon).appliedRevisions);
-            fleet.start(happening.daemon);
+          if (step.kind === 'restart') {
+            appliedByIncarnation.push(fleet.daemon(step.daemon).appliedRevisions);
+            fleet.start(step.daemon);
           }
-          if (happening.kind === 'cut') fleet.cut('region-2', happening.on);
-          if (happening.kind === 'outage') faults.set({ outage: happening.on });
-          if (happening.kind === 'old')
-            faults.set({ oldDataRevision: happening.on ? state.revision : undefined });
-          if (happening.kind === 'mute') faults.set({ muteWatches: happening.on });
-          if (happening.kind === 'compact' && faults.lasting.oldDataRevision === undefined)
+          if (step.kind === 'cut') fleet.cut('region-2', step.on);
+          if (step.kind === 'outage') faults.set({ outage: step.on });
+          if (step.kind === 'old')
+            faults.set({ oldDataRevision: step.on ? state.revision : undefined });
+          if (step.kind === 'mute') faults.set({ muteWatches: step.on });
+          if (step.kind === 'compact' && faults.lasting.oldDataRevision === undefined)
             state.compact(state.revision);
-          await fleet.pass(happening.kind === 'pass' ? happening.milliseconds : 200);
+          await fleet.pass(step.kind === 'pass' ? step.milliseconds : 200);
         }
         faults.set({ outage: false, oldDataRevision: undefined, muteWatches: false });
         fleet.cut('region-2', false);
         await fleet.pass(20 * SECOND);
-        lives.push(...[...fleet.daemons.values()].map((daemon) => daemon.appliedRevisions));
-        for (const revisions of lives)
+        appliedByIncarnation.push(
+          ...[...fleet.daemons.values()].map((daemon) => daemon.appliedRevisions),
+        );
+        for (const revisions of appliedByIncarnation)
           expect(revisions).toEqual([...revisions].sort((a, b) => a - b));
         allEqual(fleet, Math.max(...accepted));
       },
@@ -196,7 +195,8 @@
 });
 
 describe('platform calls', () => {
-  // The formula of docs/design/configuration.md, counted: watches grow with data centres, not with daemons.
+  // Counts calls against the formula in docs/design/configuration.md: the number of watches depends on the number
+  // of data centres, not of daemons.
   for (const [dataCentres, daemons] of [
     [2, 3],
     [2, 12],
@@ -219,9 +219,9 @@
   }
 
   it('stay few when the whole fleet starts at once', async () => {
-    // Symptom: after a restart of the whole fleet the platform is overloaded by reads of the whole.
-    // Sequence: all daemons start; none has heard of another one yet.
-    // Cause: a daemon that knows nobody taking itself for its data centre's only watcher.
+    // Guards against overloading the store with reads of the whole document after a restart of the whole fleet. All
+    // daemons start before any of them knows another one. It goes wrong if a daemon that knows no other daemon
+    // chooses itself as its data centre's only watcher at once.
     const fleet = new FollowingFleet({ places: places(1, 2, 12) });
     await fleet.pass(SETTLE);
     const { totals } = fleet.meter.read();
@@ -229,9 +229,9 @@
   });
 
   it('come back spread out after an outage', () => {
-    // Symptom: the platform returns and goes down again under the reads of all watchers.
-    // Sequence: a long outage; every watcher's back-off has reached its longest wait.
-    // Cause: waits without jitter, which end together because they began together.
+    // Guards against a store that recovers and fails again under the reads of all watchers. After a long outage,
+    // every watcher's back-off has reached its maximum. It goes wrong without jitter: waits that started together
+    // end together.
     const { backOffMaximumMilliseconds: longest } = DEFAULT_SYNC_TIMING;
     const watchers = 200;
     const wakes = Array.from({ length: watchers }, (_, seed) => {
--- a/src/configuration/ConfigurationDecisions.ts
+++ b/src/configuration/ConfigurationDecisions.ts
@@ -1,5 +1,5 @@
 /**
- * How a daemon keeps the configuration and the list of runners in step with the fleet.
+ * Decides how a daemon keeps its copies of the configuration and of the list of runners up to date.
  */
 import { match } from 'ts-pattern';
 
@@ -16,30 +16,33 @@
 import { DEFAULT_SYNC_TIMING } from './SyncTimes.js';
 import type { SyncTiming } from './SyncTimes.js';
 
-/** Watchers in each data centre: one may fail without a pause. */
+/** Watchers in each data centre: with two, one may fail without delaying changes. */
 export const DEFAULT_WATCHERS_PER_DATA_CENTRE = 2;
 
 /** Options of {@link ConfigurationDecisions}. */
 export interface ConfigurationDecisionsOptions {
   self: DaemonPlace;
-  /** From 0 up to 1; seeded. */
+  /** Seeded random source: at least 0, below 1. */
   random: () => number;
   timing?: Partial<SyncTiming>;
   watchersPerDataCentre?: number;
 }
 
-/** Pure decisions over two documents; also driven by measurements and replays. */
+/**
+ * Decision logic for both documents. It does no I/O and takes the time from its caller, so measurements and
+ * replays of recorded sessions drive it as well as the daemon.
+ */
 export class ConfigurationDecisions extends Decisions<ConfigurationMessage, ConfigurationAction> {
-  /** The configuration in force here. */
+  /** The configuration in force on this daemon. */
   readonly configuration = new ConfigurationDocument();
 
-  /** The runners known here. */
+  /** The list of runners in force on this daemon. */
   readonly runners = new RunnerListDocument();
 
   private readonly syncs: Readonly<Record<DocumentName, DocumentSync>>;
 
   /**
-   * @param options - this daemon, random source and times.
+   * @param options - this daemon's location, the random source, timing and the number of watchers.
    */
   constructor({
     self,
@@ -58,7 +61,7 @@
   }
 
   override decide(now: number, message: ConfigurationMessage): readonly ConfigurationAction[] {
-    const answers = this.take(now, message);
+    const answers = this.dispatch(now, message);
     return [...this.syncs.configuration.drain(), ...this.syncs.runners.drain(), ...answers];
   }
 
@@ -68,14 +71,14 @@
   }
 
   /**
-   * @param document - which document.
-   * @returns The state of its chart.
+   * @param document - the document's name.
+   * @returns The state of the document's synchronization; see configuration.chart.json.
    */
   syncState(document: DocumentName): DocumentSync['syncState'] {
     return this.syncs[document].syncState;
   }
 
-  private take(now: number, message: ConfigurationMessage): ConfigurationAction[] {
+  private dispatch(now: number, message: ConfigurationMessage): ConfigurationAction[] {
     const all = Object.values(this.syncs);
     match(message)
       .with({ kind: 'tick' }, () => all.forEach((sync) => sync.wake(now)))
--- a/src/configuration/ConfigurationDocument.spec.ts
+++ b/src/configuration/ConfigurationDocument.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What a daemon takes in and what it refuses; and what a configuration has to fulfil.
+ * Which updates of the configuration a daemon applies or refuses, and the validation rules of a configuration.
  */
 import { describe, it } from 'node:test';
 
@@ -29,9 +29,9 @@
 const whole = (revision: number): DocumentAnswer => wholeAnswer(states[revision]!);
 
 describe('a document', () => {
-  // Symptom: a withdrawn key works again, or a daemon works with half a change.
-  // Sequence: an answer that is older, broken, or does not follow on what is here arrives.
-  // Cause: applying what arrives without comparing revision and digest.
+  // Guards against a withdrawn key that becomes valid again, and against a daemon with half a change. An update
+  // arrives that is older, malformed, or does not continue from the local revision. It goes wrong if updates are
+  // applied without comparing revision and digest.
   const other = wholeAnswer(states[1]!.withEdits([policyEdit('other', 2)]));
   const table: readonly (readonly [string, DocumentAnswer, string, number])[] = [
     ['an older whole', whole(1), 'nothing', 2],
--- a/src/configuration/ConfigurationDocument.ts
+++ b/src/configuration/ConfigurationDocument.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration in force on this daemon, and the latest changes of it.
+ * The configuration in force on this daemon, and its latest changes.
  */
 import { fromBinary, fromJson, toBinary, toJson } from '@bufbuild/protobuf';
 import type { JsonObject } from '@bufbuild/protobuf';
@@ -15,12 +15,14 @@
 import { SyncedDocument } from './SyncedDocument.js';
 import type { TakeResult } from './SyncedDocument.js';
 
-/** A daemon of a newer version may send fields that this one does not know. */
+/** Tolerates unknown fields, which daemons of a newer version may send. */
 const LENIENT = { ignoreUnknownFields: true } as const;
 
 /**
- * @param state - a state.
- * @returns It as a source gives it to somebody who has nothing.
+ * Builds an update that contains the whole document.
+ *
+ * @param state - the state to send.
+ * @returns The update.
  */
 export function wholeAnswer(state: ConfigurationState): DocumentAnswer {
   const bytes = toBinary(ConfigurationSnapshotSchema, state.toSnapshot());
@@ -29,12 +31,15 @@
 }
 
 /**
+ * Builds an update from changes.
+ *
  * @param changes - consecutive changes, at least one.
- * @returns They as a source gives them.
+ * @returns The update.
+ * @throws {@link RangeError} if there is no change.
  */
 export function changesAnswer(changes: readonly ConfigurationChange[]): DocumentAnswer {
   const last = changes.at(-1);
-  if (!last) throw new RangeError('an answer of changes needs at least one');
+  if (!last) throw new RangeError('an update by changes needs at least one change, got none');
   return {
     kind: 'changes',
     revision: Number(last.revision),
@@ -43,7 +48,7 @@
   };
 }
 
-/** Goes forward by changes, or by a whole document when it is too far behind. */
+/** The configuration in force; updated by changes, or by a whole document if it is too far behind. */
 export class ConfigurationDocument extends SyncedDocument {
   readonly name = 'configuration';
 
@@ -51,7 +56,7 @@
 
   private current = ConfigurationState.EMPTY;
 
-  private wholeOfCurrent: DocumentAnswer | undefined;
+  private cachedWhole: DocumentAnswer | undefined;
 
   /** @returns The state in force. */
   state(): ConfigurationState {
@@ -66,9 +71,9 @@
     return this.current.digest;
   }
 
-  override take(answer: DocumentAnswer): TakeResult {
-    if (answer.kind === 'same') return 'nothing';
-    return answer.kind === 'whole' ? this.takeWhole(answer) : this.takeChanges(answer.changes);
+  override take(update: DocumentAnswer): TakeResult {
+    if (update.kind === 'same') return 'nothing';
+    return update.kind === 'whole' ? this.takeWhole(update) : this.takeChanges(update.changes);
   }
 
   override answer(haveRevision: number): DocumentAnswer {
@@ -76,21 +81,21 @@
     if (haveRevision >= revision) return { kind: 'same', revision, digest };
     const changes = haveRevision > 0 ? this.log.since(haveRevision) : undefined;
     if (changes) return { kind: 'changes', revision, digest, changes };
-    this.wholeOfCurrent ??= wholeAnswer(this.current);
-    return this.wholeOfCurrent;
+    this.cachedWhole ??= wholeAnswer(this.current);
+    return this.cachedWhole;
   }
 
   private takeWhole({ whole, digest }: DocumentAnswer & { kind: 'whole' }): TakeResult {
     const snapshot = fromBinary(ConfigurationSnapshotSchema, Buffer.from(whole, 'base64'));
     const state = ConfigurationState.fromSnapshot(snapshot);
     if (state.digest !== digest) return 'differs';
-    // Going back would put a withdrawn key or limit in force again: operators would see their accepted
-    // change undone. The same revision is taken only to replace content that is not the accepted one.
+    // An older revision would put a withdrawn key or limit in force again, and operators would see their
+    // accepted change undone. The same revision is applied only to replace content with another digest.
     if (state.revision < this.current.revision) return 'nothing';
     if (state.revision === this.current.revision && state.digest === this.current.digest)
       return 'nothing';
     this.log.restart(state.revision);
-    this.enforce(state);
+    this.putInForce(state);
     return 'applied';
   }
 
@@ -104,13 +109,13 @@
       const after = this.current.withChange(change);
       if (!after) return 'differs';
       this.log.add(revision, json);
-      this.enforce(after);
+      this.putInForce(after);
     }
     return this.current.revision > before ? 'applied' : 'nothing';
   }
 
-  private enforce(state: ConfigurationState): void {
+  private putInForce(state: ConfigurationState): void {
     this.current = state;
-    this.wholeOfCurrent = undefined;
+    this.cachedWhole = undefined;
   }
 }
--- a/src/configuration/ConfigurationEditor.spec.ts
+++ b/src/configuration/ConfigurationEditor.spec.ts
@@ -1,5 +1,6 @@
 /**
- * Changes under faults: what an operator is told is what happened.
+ * Changes of the configuration while the platform's store fails: the outcome reported to the operator has to
+ * match what took effect.
  */
 import { describe, it } from 'node:test';
 
@@ -23,7 +24,7 @@
 import { seededRandom } from '../random/seededRandom.js';
 import { CHUNK_BYTES } from './SnapshotStore.js';
 
-interface Desk {
+interface EditorUnderTest {
   readonly editor: ConfigurationEditor;
   readonly document: ConfigurationDocument;
   readonly repository: ConfigurationRepository;
@@ -31,8 +32,11 @@
 
 let ids = 0;
 
-/** An operator's daemon; `whileWaiting` runs between two tries of a change. */
-function desk(store: PlatformStore, whileWaiting: () => void | Promise<void> = () => {}): Desk {
+/** A daemon's editor with its document and repository; `whileWaiting` runs between two attempts of a change. */
+function createEditor(
+  store: PlatformStore,
+  whileWaiting: () => void | Promise<void> = () => {},
+): EditorUnderTest {
   const document = new ConfigurationDocument();
   const repository = new ConfigurationRepository({ store, historyChanges: 1000 });
   const editor = new ConfigurationEditor({
@@ -53,16 +57,16 @@
   return { editor, document, repository };
 }
 
-const asked = (changeId: string, ...edits: EntityEdit[]) => ({
+const requestedChange = (changeId: string, ...edits: EntityEdit[]) => ({
   changeId,
   author: 'ana',
   comment: '',
   edits,
 });
 
-/** Everything that took effect at the platform, read without faults. */
-async function effects(state: KeyValueState): Promise<string[]> {
-  const { repository } = desk(new MemoryPlatformStore({ state }));
+/** Ids of all changes that took effect in the store, read without faults. */
+async function committedChangeIds(state: KeyValueState): Promise<string[]> {
+  const { repository } = createEditor(new MemoryPlatformStore({ state }));
   const { head } = await repository.readHead();
   const revision = Number(head.revision);
   const changes = revision === 0 ? [] : await repository.changes(1, revision);
@@ -70,10 +74,10 @@
 }
 
 describe('a change under faults', () => {
-  // Symptom: an operator is told that a change failed and makes it again, or that it is in force when it is not.
-  // Sequence: at one step, or at two, the platform is down, loses the request, loses the answer, or lets a
-  // write take effect late, between two tries of its author.
-  // Cause: taking a lost answer for a failure, repeating without the id, or believing a read that is too old.
+  // Guards against a wrong outcome: a change reported as failed although it is in force, so that the operator
+  // makes it twice, or the reverse. In one or two steps the store refuses, loses the request, loses the response,
+  // or applies a write late, between two attempts. It goes wrong if a lost response counts as a failure, an
+  // attempt is repeated without the change id, or a stale read is trusted.
   const steps: readonly (readonly [PlatformOperation, PlatformFault])[] = [
     ['get', 'refuse'],
     ['get', 'lose_answer'],
@@ -89,70 +93,70 @@
     it(`is made once with ${name}`, async () => {
       const store = new MemoryPlatformStore();
       plan.forEach(([operation, fault]) => store.faults.plan(operation, fault));
-      const { editor } = desk(store, () => store.faults.releaseLateEffects());
-      const outcome = await editor.change(asked('one', policyEdit('warm', 1.2, 0)));
+      const { editor } = createEditor(store, () => store.faults.releaseLateEffects());
+      const outcome = await editor.change(requestedChange('one', policyEdit('warm', 1.2, 0)));
       expect({ ...outcome, repeated: undefined }).toEqual({
         kind: 'accepted',
         revision: 1,
         repeated: undefined,
       });
-      // After a write that took effect no second one is sent, so it cannot meet a fault either.
+      // After a write that took effect, no second write is sent, so a fault planned for it stays unused.
       const [first, second] = plan;
       const tookEffect =
         first?.[1] === 'late_effect' || (first?.[0] === 'transact' && first[1] === 'lose_answer');
       expect(store.faults.unused).toEqual(tookEffect && second?.[0] === 'transact' ? 1 : 0);
       store.faults.releaseLateEffects();
-      expect(await effects(store.state)).toEqual(['one']);
+      expect(await committedChangeIds(store.state)).toEqual(['one']);
       expect(editor.revision()).toEqual(1);
-      const again = await editor.change(asked('one', policyEdit('warm', 1.2, 0)));
+      const again = await editor.change(requestedChange('one', policyEdit('warm', 1.2, 0)));
       expect(again).toEqual({ kind: 'accepted', revision: 1, repeated: true });
     });
   }
 
   it('says unavailable while the platform is down, and unsure once a write may have arrived', async () => {
-    // Symptom: "not changed" for a change that comes into force a minute later.
-    // Sequence: the write's answer is lost, then the platform goes down and stays down.
-    // Cause: the last failure alone deciding what the operator is told.
+    // Guards against reporting "not changed" for a change that comes into force a minute later. The write's
+    // response is lost, then the store goes down and stays down. It goes wrong if the outcome depends on the
+    // last failure alone.
     const store = new MemoryPlatformStore();
     store.faults.set({ outage: true });
-    const { editor } = desk(store);
-    const down = await editor.change(asked('one', policyEdit('warm', 1.2)));
+    const { editor } = createEditor(store);
+    const down = await editor.change(requestedChange('one', policyEdit('warm', 1.2)));
     expect(down.kind).toEqual('unavailable');
     store.faults.set({ outage: false });
     store.faults.plan('transact', 'late_effect');
-    const { editor: other } = desk(store, () => store.faults.set({ outage: true }));
-    const lost = await other.change(asked('two', policyEdit('warm', 1.2)));
+    const { editor: other } = createEditor(store, () => store.faults.set({ outage: true }));
+    const lost = await other.change(requestedChange('two', policyEdit('warm', 1.2)));
     expect(lost.kind).toEqual('unsure');
     store.faults.set({ outage: false });
     store.faults.releaseLateEffects();
-    expect(await effects(store.state)).toEqual(['two']);
-    const repeated = await other.change(asked('two', policyEdit('warm', 1.2)));
+    expect(await committedChangeIds(store.state)).toEqual(['two']);
+    const repeated = await other.change(requestedChange('two', policyEdit('warm', 1.2)));
     expect(repeated).toEqual({ kind: 'accepted', revision: 1, repeated: true });
   });
 
   it('does not believe old data about a change whose answer was lost', async () => {
-    // Symptom: an operator is told of a conflict with a value that her own change has replaced.
-    // Sequence: her answer is lost; the platform then answers reads as of before the change.
-    // Cause: reading the id without looking at the age of the answer.
+    // Guards against reporting a conflict with a value that the operator's own change has replaced. The response
+    // to the write is lost, and the store then answers reads as of before the change. It goes wrong if the
+    // change id is looked up without comparing the store revision of the response.
     const store = new MemoryPlatformStore();
-    const { editor } = desk(store);
-    await editor.change(asked('zero', policyEdit('warm', 1.2, 0)));
+    const { editor } = createEditor(store);
+    await editor.change(requestedChange('zero', policyEdit('warm', 1.2, 0)));
     const old = store.state.revision;
     let tries = 0;
-    const { editor: late } = desk(store, () => {
+    const { editor: late } = createEditor(store, () => {
       tries += 1;
       store.faults.set({ oldDataRevision: tries < 3 ? old - 1 : undefined });
     });
     store.faults.plan('transact', 'lose_answer');
-    const outcome = await late.change(asked('one', policyEdit('warm', 1.3, 1)));
+    const outcome = await late.change(requestedChange('one', policyEdit('warm', 1.3, 1)));
     expect(outcome).toEqual({ kind: 'accepted', revision: 2, repeated: true });
     expect(tries).toEqual(3);
   });
 
   it('does not believe an old answer about its id either', async () => {
-    // Symptom: as above.
-    // Sequence: her answer is lost; the head is read fresh, the id of her change from a member that lags.
-    // Cause: comparing the age of the first read only.
+    // Guards against the same wrong conflict. The response to the write is lost; the head is then read from an
+    // up-to-date member of the store, but the change id from a lagging one. It goes wrong if only the store
+    // revision of the first read is compared.
     class LaggingIds extends MemoryPlatformStore {
       private lags = true;
 
@@ -164,29 +168,29 @@
       }
     }
     const store = new LaggingIds();
-    const { editor } = desk(store);
-    await editor.change(asked('zero', policyEdit('warm', 1.2, 0)));
+    const { editor } = createEditor(store);
+    await editor.change(requestedChange('zero', policyEdit('warm', 1.2, 0)));
     store.faults.plan('transact', 'lose_answer');
-    const outcome = await editor.change(asked('one', policyEdit('warm', 1.3, 1)));
+    const outcome = await editor.change(requestedChange('one', policyEdit('warm', 1.3, 1)));
     expect(outcome).toEqual({ kind: 'accepted', revision: 2, repeated: true });
   });
 
   it('accepts nothing while the platform holds less than is in force, until it is written back', async () => {
-    // Symptom: yesterday's withdrawn key works again.
-    // Sequence: the platform is restored from an older copy; an operator makes an unrelated change.
-    // Cause: a change that follows on the older copy gets a revision that daemons apply.
-    const { editor, document } = desk(new MemoryPlatformStore());
-    await editor.change(asked('one', policyEdit('warm', 1.2)));
-    await editor.change(asked('two', policyEdit('warm', 1.3)));
+    // Guards against a withdrawn key that becomes valid again. The store is restored from an older backup, and an
+    // operator makes an unrelated change. It goes wrong if that change, based on the older content, gets a
+    // revision that daemons apply.
+    const { editor, document } = createEditor(new MemoryPlatformStore());
+    await editor.change(requestedChange('one', policyEdit('warm', 1.2)));
+    await editor.change(requestedChange('two', policyEdit('warm', 1.3)));
     const restored = new MemoryPlatformStore();
-    const before = desk(restored);
+    const before = createEditor(restored);
     before.document.take(document.answer(0));
-    const refused = await before.editor.change(asked('three', policyEdit('cold', 1.2)));
+    const refused = await before.editor.change(requestedChange('three', policyEdit('cold', 1.2)));
     expect(refused.kind).toEqual('unavailable');
     expect(await before.editor.restore()).toEqual(true);
-    const accepted = await before.editor.change(asked('three', policyEdit('cold', 1.2)));
+    const accepted = await before.editor.change(requestedChange('three', policyEdit('cold', 1.2)));
     expect(accepted).toEqual({ kind: 'accepted', revision: 3, repeated: false });
-    const cold = await desk(restored).repository.read(0, '');
+    const cold = await createEditor(restored).repository.read(0, '');
     expect([cold.answer.kind, cold.answer.revision]).toEqual(['whole', 3]);
   });
 });
@@ -194,11 +198,11 @@
 describe('operators who race', () => {
   it('has one winner and shows the other the newer value', async () => {
     const state = new KeyValueState();
-    const [ana, boris] = [1, 2].map(() => desk(new MemoryPlatformStore({ state })));
-    await ana!.editor.change(asked('zero', policyEdit('warm', 1.2, 0)));
+    const [ana, boris] = [1, 2].map(() => createEditor(new MemoryPlatformStore({ state })));
+    await ana!.editor.change(requestedChange('zero', policyEdit('warm', 1.2, 0)));
     const outcomes = await Promise.all([
-      ana!.editor.change(asked('one', policyEdit('warm', 1.3, 1))),
-      boris!.editor.change(asked('two', policyEdit('warm', 1.4, 1))),
+      ana!.editor.change(requestedChange('one', policyEdit('warm', 1.3, 1))),
+      boris!.editor.change(requestedChange('two', policyEdit('warm', 1.4, 1))),
     ]);
     const [winner, loser] = [...outcomes].sort((a, b) => (a.kind < b.kind ? -1 : 1));
     expect(winner).toEqual({ kind: 'accepted', revision: 2, repeated: false });
@@ -211,9 +215,9 @@
   });
 
   it('keeps every promise under any order of steps and any faults', async () => {
-    // Symptom: an acknowledged change is gone, or a refused one is in force.
-    // Sequence: any interleaving of up to three operators' calls with up to six faults.
-    // Cause: any step that reads and writes without a condition on what was read.
+    // Guards against losing an accepted change, or applying a refused one. Property test over any interleaving of
+    // up to three operators' calls with up to six faults. It fails if any step writes without a condition on
+    // what it has read.
     const faults = fc.constantFrom<PlatformFault>(
       'refuse',
       'lose_request',
@@ -231,19 +235,19 @@
       jobs,
       async (scheduler, plan, work) => {
         const state = new KeyValueState();
-        const common = new PlatformFaults();
-        plan.forEach(([operation, fault]) => common.plan(operation, fault));
+        const sharedFaults = new PlatformFaults();
+        plan.forEach(([operation, fault]) => sharedFaults.plan(operation, fault));
         const running = work.map(({ name, checked }, index) => {
           const step = (): Promise<void> => scheduler.schedule(Promise.resolve(), `step ${index}`);
-          const store = new MemoryPlatformStore({ state, faults: common, step });
-          const { editor } = desk(store, () => common.releaseLateEffects());
+          const store = new MemoryPlatformStore({ state, faults: sharedFaults, step });
+          const { editor } = createEditor(store, () => sharedFaults.releaseLateEffects());
           const edit = policyEdit(name, 1.1 + index / 10, checked ? 0 : undefined);
-          return editor.change(asked(`change-${index}`, edit));
+          return editor.change(requestedChange(`change-${index}`, edit));
         });
         await scheduler.waitFor(Promise.all(running));
         const outcomes = await Promise.all(running);
-        common.releaseLateEffects();
-        const made = await effects(state);
+        sharedFaults.releaseLateEffects();
+        const made = await committedChangeIds(state);
         expect(new Set(made).size).toEqual(made.length);
         outcomes.forEach((outcome, index) => {
           const count = made.filter((changeId) => changeId === `change-${index}`).length;
@@ -258,7 +262,7 @@
           );
           expect(created.length <= 1).toEqual(true);
         }
-        const { repository } = desk(new MemoryPlatformStore({ state }));
+        const { repository } = createEditor(new MemoryPlatformStore({ state }));
         const { answer } = await repository.read(0, '');
         expect(answer.revision).toEqual(made.length);
       },
@@ -273,44 +277,44 @@
 
   it('is kept in chunks below the value limit and read back whole', async () => {
     const store = new MemoryPlatformStore();
-    const { editor, document } = desk(store);
+    const { editor, document } = createEditor(store);
     const accounts = 12_000;
     for (let start = 0; start < accounts; start += 1000) {
       const edits = Array.from({ length: 1000 }, (_, index) => account(start + index));
-      await editor.change(asked(`batch-${start}`, ...edits));
+      await editor.change(requestedChange(`batch-${start}`, ...edits));
     }
     await editor.idle();
     const { entries } = await store.range(CHUNKS_PREFIX);
     expect(entries.length > 1).toEqual(true);
     expect(entries.every(({ value }) => value.length <= CHUNK_BYTES)).toEqual(true);
     const cold = new ConfigurationDocument();
-    const { answer } = await desk(store).repository.read(0, '');
+    const { answer } = await createEditor(store).repository.read(0, '');
     expect(cold.take(answer)).toEqual('applied');
     expect([cold.revision(), cold.digest()]).toEqual([document.revision(), document.digest()]);
-    expect((await desk(store).repository.readHead()).head.snapshotRevision).toEqual(12n);
+    expect((await createEditor(store).repository.readHead()).head.snapshotRevision).toEqual(12n);
   });
 
   it('never leaves a head that names chunks which are gone', async () => {
-    // Symptom: after a restart of the fleet no daemon can read its configuration.
-    // Sequence: a writer has written its chunks; a cleaner lists and removes them; the writer's head lands.
-    // Cause: a removal, or a head, that is not conditioned on what the other one changes.
+    // Guards against a configuration that no daemon can read after a restart of the fleet. A writer has written
+    // its chunks, a cleanup lists and removes them, and the writer's head is then written. It goes wrong if the
+    // removal, or the write of the head, is not conditioned on what the other one changes.
     const store = new MemoryPlatformStore();
-    const { editor, repository } = desk(store);
-    await editor.change(asked('one', policyEdit('warm', 1.2)));
-    const state = desk(store)
+    const { editor, repository } = createEditor(store);
+    await editor.change(requestedChange('one', policyEdit('warm', 1.2)));
+    const state = createEditor(store)
       .document.state()
       .withEdits([policyEdit('warm', 1.2)]);
     const read = await repository.readHead();
     const written = await repository.snapshots.write(state, 'slow-writer');
-    await desk(store).repository.clean();
+    await createEditor(store).repository.clean();
     expect(await repository.publishSnapshot(written, read)).toEqual(false);
     const second = await repository.snapshots.write(state, 'quick-writer');
-    const cleaning = desk(store).repository.snapshots.removeUnreferenced(async () => {
+    const cleaning = createEditor(store).repository.snapshots.removeUnreferenced(async () => {
       const seen = await repository.readHead();
       expect(await repository.publishSnapshot(second, seen)).toEqual(true);
       return seen;
     });
     expect(await cleaning).toEqual(0);
-    expect((await desk(store).repository.read(0, '')).answer.revision).toEqual(1);
+    expect((await createEditor(store).repository.read(0, '')).answer.revision).toEqual(1);
   });
 });
--- a/src/configuration/ConfigurationEditor.ts
+++ b/src/configuration/ConfigurationEditor.ts
@@ -1,6 +1,6 @@
 /**
- * Makes operators' changes: checks them, commits them by compare-and-swap, and finds out what became of
- * those whose answer was lost.
+ * Commits operators' changes of the configuration: validates them, writes them by compare-and-swap, and
+ * determines whether a write whose response was lost has taken effect.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -28,60 +28,62 @@
 import { readState } from './readState.js';
 import { validateConfiguration } from './validateConfiguration.js';
 
-/** Changes between two snapshots at the platform: what a cold daemon reads one by one, at most. */
+/** Changes between two snapshots in the store: the most that a starting daemon reads one by one. */
 export const CHANGES_PER_SNAPSHOT = 500;
 
-/** Tries to name a snapshot in a head that other changes keep moving. */
+/** Attempts to reference a snapshot in the head, which other daemons may change in between. */
 const PUBLISH_ATTEMPTS = 5;
 
 /** Options of a {@link ConfigurationEditor}. */
 export interface ConfigurationEditorOptions {
   repository: ConfigurationRepository;
-  /** What is in force here. */
+  /** The configuration in force on this daemon. */
   document: ConfigurationDocument;
-  /** Called with what this daemon committed, so that it is in force here at once. */
+  /** Called with a change that this daemon has committed, to put it in force here at once. */
   onCommitted: (answer: DocumentAnswer) => void;
   clock: Clock;
   log: Log;
-  /** Gives a name never used before, for snapshots. */
+  /** Generates a snapshot id that was never used before. */
   newId: () => string;
   changesPerSnapshot?: number;
-  /** Tries of one change, their waits and the time they may take together. */
+  /** Limits for the attempts of one change: their number, their waits and their total time. */
   retry: Omit<BoundedRetriesOptions, 'clock'>;
 }
 
-/** One try: a final outcome, or what to remember for the next try. */
+/** Result of one attempt: a final outcome, or the reason why another attempt is needed. */
 type Attempt =
   | { readonly kind: 'done'; readonly outcome: ChangeOutcome }
   | { readonly kind: 'again'; readonly message: string };
 
-/** What earlier tries of one change have left open. */
-class Progress {
-  /** Whether a write was sent whose fate is unknown. */
-  unsure = false;
+/** State that the attempts of one change share. */
+class ChangeProgress {
+  /** Whether a write was sent of which it is unknown whether it took effect. */
+  outcomeUnknown = false;
 
   private storeRevision = 0;
 
-  /** Notes that a write's answer was lost. */
-  lostAnswer(): void {
-    this.unsure = true;
+  /** Records that the response to a write was lost. */
+  recordLostResponse(): void {
+    this.outcomeUnknown = true;
   }
 
   /**
-   * @param storeRevision - the store's revision that an answer showed.
-   * @returns Whether it is older than one that was shown before: old data.
+   * Records the store revision of a response.
+   *
+   * @param storeRevision - the store revision that a response reported.
+   * @returns Whether it is lower than an earlier one, which means that the response is stale.
    */
-  isOld(storeRevision: number): boolean {
+  isStale(storeRevision: number): boolean {
     const old = storeRevision < this.storeRevision;
     this.storeRevision = Math.max(this.storeRevision, storeRevision);
     return old;
   }
 }
 
-const again = (message: string): Attempt => ({ kind: 'again', message });
-const done = (outcome: ChangeOutcome): Attempt => ({ kind: 'done', outcome });
+const retryAttempt = (message: string): Attempt => ({ kind: 'again', message });
+const finalAttempt = (outcome: ChangeOutcome): Attempt => ({ kind: 'done', outcome });
 
-/** Changes of the configuration, from any daemon. */
+/** Validates and commits changes of the configuration; every daemon has one. */
 export class ConfigurationEditor extends ConfigurationChanges {
   private readonly repository: ConfigurationRepository;
 
@@ -99,11 +101,11 @@
 
   private readonly changesPerSnapshot: number;
 
-  /** The snapshot that is being written, if any. */
-  private housekeeping: Promise<void> | undefined;
+  /** The write of a snapshot that is in progress, if any. */
+  private snapshotWrite: Promise<void> | undefined;
 
   /**
-   * @param options - the platform's side, this daemon's side and the retry budget.
+   * @param options - the repository in the store, this daemon's document and the limits of retries.
    */
   constructor({
     repository,
@@ -142,13 +144,13 @@
     const findings = findEditFindings(requested);
     if (findings.length > 0) return { kind: 'invalid', findings };
     const budget = new BoundedRetries(this.retry);
-    const progress = new Progress();
+    const progress = new ChangeProgress();
     for (;;) {
       const attempt = await this.attempt(requested, progress);
       if (attempt.kind === 'done') return attempt.outcome;
       if (await budget.next()) continue;
       const { message } = attempt;
-      return { kind: progress.unsure ? 'unsure' : 'unavailable', message };
+      return { kind: progress.outcomeUnknown ? 'unsure' : 'unavailable', message };
     }
   }
 
@@ -157,11 +159,11 @@
   }
 
   /**
-   * Writes the configuration in force here back to a platform that has lost changes, at the same revision.
-   * Only for a platform that was restored from an older copy: until then no change is accepted, because one
-   * that followed on the older copy would undo what is in force.
+   * Writes the configuration in force on this daemon back to a store that has lost changes, at the same
+   * revision. Only for a store that was restored from an older backup: until this is done, no change is
+   * accepted, because a change based on the older content would undo what is in force.
    *
-   * @returns Whether the platform now holds what is in force here.
+   * @returns Whether the write succeeded; `false` if the store is not behind or its head has changed.
    */
   async restore(): Promise<boolean> {
     const state = this.document.state();
@@ -171,46 +173,49 @@
     return this.repository.publishSnapshot(written, read, state);
   }
 
-  /** @returns When no snapshot is being written any more. */
+  /** Resolves when no write of a snapshot is in progress. */
   async idle(): Promise<void> {
-    await this.housekeeping;
+    await this.snapshotWrite;
   }
 
-  /** Whatever the platform does leads to another try; only what is certain ends them. */
-  private async attempt(requested: RequestedChange, progress: Progress): Promise<Attempt> {
+  /** Runs one attempt. Failures of the store lead to another attempt; only a definite outcome is final. */
+  private async attempt(requested: RequestedChange, progress: ChangeProgress): Promise<Attempt> {
     try {
       return await this.tryOnce(requested, progress);
     } catch (error) {
-      if (error instanceof InconsistentStoreError) return again(error.message);
+      if (error instanceof InconsistentStoreError) return retryAttempt(error.message);
       if (!(error instanceof PlatformStoreError)) throw error;
       if (error.failure === 'too_large')
-        return done({
+        return finalAttempt({
           kind: 'invalid',
           findings: [{ place: { field: 'edits' }, message: 'are too large for one change' }],
         });
-      if (error.failure === 'unsure') progress.lostAnswer();
-      return again(`the platform: ${error.failure}: ${error.message}`);
+      if (error.failure === 'unsure') progress.recordLostResponse();
+      return retryAttempt(`the platform's store failed (${error.failure}): ${error.message}`);
     }
   }
 
-  private async tryOnce(requested: RequestedChange, progress: Progress): Promise<Attempt> {
+  private async tryOnce(requested: RequestedChange, progress: ChangeProgress): Promise<Attempt> {
     const { changeId, edits, dryRun } = requested;
     const read = await this.repository.readHead();
-    if (progress.isOld(read.storeRevision)) return again('the platform shows old data');
-    if (Number(read.head.revision) < this.document.revision()) return this.behind(read);
+    if (progress.isStale(read.storeRevision))
+      return retryAttempt("the platform's store returned stale data");
+    if (Number(read.head.revision) < this.document.revision())
+      return this.reportPlatformBehind(read);
     const state = await this.currentState(read);
-    // A change that took effect makes its own repeat look like a conflict, or invalid: before saying so, and
-    // after a lost answer, its id tells.
+    // A repeat of a change that has already taken effect looks like a conflict or like an invalid change. So
+    // before either is reported, and after a lost response, the change id is looked up.
     const conflict = findConflict(state, edits);
     const after = state.withEdits(edits);
     const findings = conflict ? [] : placeAtEdits(validateConfiguration(after), edits);
-    if (conflict || findings.length > 0 || progress.unsure || dryRun) {
+    if (conflict || findings.length > 0 || progress.outcomeUnknown || dryRun) {
       const revision = await this.repository.findChange(changeId, read.storeRevision);
-      if (revision !== undefined) return this.repeated(revision);
+      if (revision !== undefined) return this.acceptRepeated(revision);
     }
-    if (conflict) return done(conflict);
-    if (findings.length > 0) return done({ kind: 'invalid', findings });
-    if (dryRun) return done({ kind: 'accepted', revision: state.revision, repeated: false });
+    if (conflict) return finalAttempt(conflict);
+    if (findings.length > 0) return finalAttempt({ kind: 'invalid', findings });
+    if (dryRun)
+      return finalAttempt({ kind: 'accepted', revision: state.revision, repeated: false });
     return this.commit(requested, { read, state, after }, progress);
   }
 
@@ -221,7 +226,7 @@
       state,
       after,
     }: { read: ReadHead; state: ConfigurationState; after: ConfigurationState },
-    progress: Progress,
+    progress: ChangeProgress,
   ): Promise<Attempt> {
     const change = create(ConfigurationChangeSchema, {
       revision: BigInt(after.revision),
@@ -233,24 +238,26 @@
       digest: after.digest,
     });
     const result = await this.repository.commit(change, read);
-    progress.isOld(result.revision);
+    progress.isStale(result.revision);
     if (result.kind === 'conflict') {
       const revision = await this.repository.findChange(changeId, result.revision);
-      return revision === undefined ? again('another change came first') : this.repeated(revision);
+      return revision === undefined
+        ? retryAttempt('another change was committed first')
+        : this.acceptRepeated(revision);
     }
-    this.publish(state, change, after);
-    this.keepHouse(read, after);
-    return done({ kind: 'accepted', revision: after.revision, repeated: false });
+    this.putInForce(state, change, after);
+    this.startSnapshotIfDue(read, after);
+    return finalAttempt({ kind: 'accepted', revision: after.revision, repeated: false });
   }
 
-  /** The change is in force at the platform; this daemon follows at once, whoever wrote it. */
-  private async repeated(revision: number): Promise<Attempt> {
+  /** Accepts a change that is already committed, and puts it in force on this daemon at once. */
+  private async acceptRepeated(revision: number): Promise<Attempt> {
     const [have, digest] = [this.document.revision(), this.document.digest()];
     if (have < revision) this.onCommitted((await this.repository.read(have, digest)).answer);
-    return done({ kind: 'accepted', revision, repeated: true });
+    return finalAttempt({ kind: 'accepted', revision, repeated: true });
   }
 
-  private publish(
+  private putInForce(
     state: ConfigurationState,
     change: ConfigurationChange,
     after: ConfigurationState,
@@ -265,22 +272,24 @@
     return readState(state, answer);
   }
 
-  private behind({ head }: ReadHead): Attempt {
+  private reportPlatformBehind({ head }: ReadHead): Attempt {
     const [platform, inForce] = [Number(head.revision), this.document.revision()];
     this.log.write(configurationLogEvents.platformBehind, { platform, inForce });
-    return again(`the platform holds revision ${platform} but ${inForce} is in force`);
+    return retryAttempt(
+      `the platform's store holds revision ${platform}, but revision ${inForce} is in force`,
+    );
   }
 
-  /** Errors are logged only: the next change tries again. */
-  private keepHouse(read: ReadHead, after: ConfigurationState): void {
+  /** Starts to write a snapshot if one is due. Errors are only logged, because the next change tries again. */
+  private startSnapshotIfDue(read: ReadHead, after: ConfigurationState): void {
     const unsaved = after.revision - Number(read.head.snapshotRevision);
-    if (unsaved < this.changesPerSnapshot || this.housekeeping) return;
-    this.housekeeping = this.writeSnapshot(after)
+    if (unsaved < this.changesPerSnapshot || this.snapshotWrite) return;
+    this.snapshotWrite = this.writeSnapshot(after)
       .catch((error: Error) => {
         this.log.write(configurationLogEvents.snapshotFailed, { message: error.message });
       })
       .finally(() => {
-        this.housekeeping = undefined;
+        this.snapshotWrite = undefined;
       });
   }
 
--- a/src/configuration/ConfigurationRepository.ts
+++ b/src/configuration/ConfigurationRepository.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration at the platform: one head, one key for each change, chunks of a snapshot.
+ * Access to the configuration in the platform's store: the head, one key per change, and a snapshot in chunks.
  */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 
@@ -28,28 +28,31 @@
 import { SnapshotStore } from './SnapshotStore.js';
 import type { WrittenSnapshot } from './SnapshotStore.js';
 
-/** The head as it was read. */
+/** Result of reading the head. */
 export interface ReadHead {
   readonly head: ConfigurationHead;
   /** The head's entry; `undefined` before the first change. */
   readonly entry: StoreEntry | undefined;
-  /** The store's revision of the read. */
+  /** Store revision at which the head was read. */
   readonly storeRevision: number;
 }
 
 /** Options of a {@link ConfigurationRepository}. */
 export interface ConfigurationRepositoryOptions {
   store: PlatformStore;
-  /** Changes that are kept for the history, at least. */
+  /** Minimum number of changes that are kept for the history. */
   historyChanges?: number;
 }
 
-/** Blocks before the kept history that a cleaning looks at: also those that a failed one left behind. */
-const CLEANED_BLOCKS = 20;
+/**
+ * Blocks before the kept history that each cleanup checks. It checks more than one, to include the blocks that
+ * an earlier, failed cleanup has left.
+ */
+const OBSOLETE_BLOCKS_CHECKED = 20;
 
-const text = new TextEncoder();
+const textEncoder = new TextEncoder();
 
-/** Reads and writes the layout of configurationKeys.ts; repeats nothing by itself. */
+/** Reads and writes the keys of configurationKeys.ts; never retries by itself. */
 export class ConfigurationRepository {
   readonly snapshots: SnapshotStore;
 
@@ -57,11 +60,11 @@
 
   private readonly historyChanges: number;
 
-  /** Highest store revision that any answer showed: a read below it is old data. */
-  private seenStoreRevision = 0;
+  /** Highest store revision of this daemon's commits: a read at a lower one is stale. */
+  private committedStoreRevision = 0;
 
   /**
-   * @param options - the platform's store and how much history is kept.
+   * @param options - the store and the length of the kept history.
    */
   constructor({ store, historyChanges = 20_000 }: ConfigurationRepositoryOptions) {
     this.store = store;
@@ -69,7 +72,7 @@
     this.snapshots = new SnapshotStore({ store });
   }
 
-  /** @returns The head; revision 0 before the first change. Throws what the store throws. */
+  /** @returns The head; revision 0 before the first change. Errors of the store are passed on. */
   async readHead(): Promise<ReadHead> {
     const { entry, revision: storeRevision } = await this.store.get(HEAD_KEY);
     const head = entry
@@ -79,12 +82,12 @@
   }
 
   /**
-   * Reads what somebody lacks: nothing but the head when there is nothing new.
+   * Reads the update that a recipient lacks. Only the head is read if there is nothing new.
    *
-   * @param haveRevision - the revision in force at the asker; 0 for the whole.
-   * @param haveDigest - its digest; another one at the same revision brings the whole.
-   * @returns What it lacks, and the store's revision from which a watch goes on.
-   * @throws {@link InconsistentStoreError} when the parts do not fit together; a later read may succeed.
+   * @param haveRevision - the recipient's revision; 0 to get the whole document.
+   * @param haveDigest - the recipient's digest; if it differs at the same revision, the whole document is read.
+   * @returns The update, and the store revision after which a watch continues.
+   * @throws {@link InconsistentStoreError} if the records read contradict each other; a later read may succeed.
    */
   async read(
     haveRevision: number,
@@ -95,10 +98,12 @@
   }
 
   /**
+   * Reads the update that leads from a recipient's revision to a head.
+   *
    * @param head - the newest head.
-   * @param haveRevision - the revision that the asker has.
-   * @param haveDigest - its digest.
-   * @returns What it lacks.
+   * @param haveRevision - the recipient's revision.
+   * @param haveDigest - the recipient's digest.
+   * @returns The update: single changes if the recipient is close to the head, else the whole document.
    */
   async answerFor(
     head: ConfigurationHead,
@@ -119,10 +124,10 @@
   }
 
   /**
-   * @param from - first revision wanted.
-   * @param to - last revision wanted.
-   * @returns The changes that made these revisions.
-   * @throws {@link InconsistentStoreError} when one is missing.
+   * @param from - the first revision.
+   * @param to - the last revision.
+   * @returns The changes that led to these revisions.
+   * @throws {@link InconsistentStoreError} if one of them is missing.
    */
   async changes(from: number, to: number): Promise<ConfigurationChange[]> {
     const found: ConfigurationChange[] = [];
@@ -134,14 +139,14 @@
       ({ revision }) => Number(revision) >= from && Number(revision) <= to,
     );
     if (wanted.length !== to - from + 1)
-      throw new InconsistentStoreError(`changes ${from} to ${to} are not all there`);
+      throw new InconsistentStoreError(`some of the changes ${from} to ${to} are missing`);
     return wanted;
   }
 
   /**
-   * @param before - changes from this revision downwards.
-   * @param maximum - how many are wanted.
-   * @returns The newest first; fewer when older ones are no longer kept.
+   * @param before - the newest revision to return.
+   * @param maximum - the maximum number of changes.
+   * @returns The changes, newest first; fewer than `maximum` if older ones are no longer kept.
    */
   async history(before: number, maximum: number): Promise<ConfigurationChange[]> {
     const found: ConfigurationChange[] = [];
@@ -155,28 +160,30 @@
   }
 
   /**
-   * Looks for a change by its id.
+   * Looks up a change by its id.
    *
-   * @param changeId - as its author gave it.
-   * @param notBefore - store revision below which the answer is old data.
-   * @returns The revision that the change made, or `undefined` when it has not taken effect.
-   * @throws {@link InconsistentStoreError} when the platform answers with older data than that.
+   * @param changeId - the id that the change's author chose.
+   * @param notBefore - store revision below which a response is stale.
+   * @returns The revision that the change led to, or `undefined` if it has not taken effect.
+   * @throws {@link InconsistentStoreError} if the store's response is stale.
    */
   async findChange(changeId: string, notBefore: number): Promise<number | undefined> {
     const { entry, revision } = await this.store.get(changeIdKey(changeId));
-    // Old data without the id would say "not applied" of a change that is in force: its author would be told
+    // A stale response may lack the id of a change that is in force; the change's author would then be told
     // that it failed.
-    if (revision < Math.max(notBefore, this.seenStoreRevision))
-      throw new InconsistentStoreError(`store revision ${revision} is older than one seen before`);
+    if (revision < Math.max(notBefore, this.committedStoreRevision))
+      throw new InconsistentStoreError(
+        `stale read: store revision ${revision} is lower than an earlier one`,
+      );
     return entry && Number(new TextDecoder().decode(entry.value));
   }
 
   /**
-   * Commits a change if the head is still the one that was read, and no change has this id.
+   * Commits a change, on condition that the head is unchanged since it was read and the change id is unused.
    *
    * @param change - the next change.
-   * @param read - the head that it follows on.
-   * @returns Committed or conflict; throws what the store throws, `unsure` included.
+   * @param read - the head that the change is based on.
+   * @returns Whether it was committed or met a conflict. Errors of the store are passed on, `unsure` included.
    */
   async commit(change: ConfigurationChange, { head, entry }: ReadHead): Promise<TransactionResult> {
     const next = { ...head, revision: change.revision, digest: change.digest };
@@ -190,22 +197,22 @@
       ],
       writes: [
         { kind: 'put', key: changeKey(revision), value },
-        { kind: 'put', key: idKey, value: text.encode(String(revision)) },
+        { kind: 'put', key: idKey, value: textEncoder.encode(String(revision)) },
         { kind: 'put', key: HEAD_KEY, value: toBinary(ConfigurationHeadSchema, next) },
       ],
     });
-    this.seenStoreRevision = Math.max(this.seenStoreRevision, result.revision);
+    this.committedStoreRevision = Math.max(this.committedStoreRevision, result.revision);
     return result;
   }
 
   /**
-   * Names a written snapshot in the head and drops what is older than the history to keep.
+   * Makes the head reference a written snapshot, and advances the head's oldest kept change.
    *
-   * @param written - chunks that were written.
-   * @param read - the head as it was before the chunks were written.
-   * @param state - the state in the chunks, where the head is to be raised to it; else the head's
-   *   revision stays as it is.
-   * @returns Whether the head now names it; `false` when somebody else changed the head or the chunks.
+   * @param written - the chunks that were written.
+   * @param read - the head as it was read; the write is conditioned on it.
+   * @param state - the state in the chunks, if the head's revision has to be raised to it; without it the
+   *   head's revision stays unchanged.
+   * @returns Whether the head now references the snapshot; `false` if the head or the chunks have changed.
    */
   async publishSnapshot(
     written: WrittenSnapshot,
@@ -231,12 +238,12 @@
     return result.kind === 'committed';
   }
 
-  /** Removes chunks that no head names, and blocks of changes that fell out of the history. */
+  /** Removes chunks that the head does not reference, and blocks of changes that are too old for the history. */
   async clean(): Promise<void> {
     await this.snapshots.removeUnreferenced(() => this.readHead());
     const { head, entry } = await this.readHead();
     const oldestKept = blockOf(Number(head.oldestChange));
-    const first = Math.max(0, oldestKept - CLEANED_BLOCKS);
+    const first = Math.max(0, oldestKept - OBSOLETE_BLOCKS_CHECKED);
     for (let block = first; block < oldestKept; block += 1) {
       const { entries } = await this.store.range(blockPrefix(block));
       const ids = entries.map(({ value }) => fromBinary(ConfigurationChangeSchema, value).changeId);
@@ -257,7 +264,10 @@
     if (state.revision >= revision) return state;
     for (const change of await this.changes(state.revision + 1, revision)) {
       const after = state.withChange(change);
-      if (!after) throw new InconsistentStoreError(`change ${change.revision} does not fit`);
+      if (!after)
+        throw new InconsistentStoreError(
+          `change ${change.revision} has another revision or digest than expected`,
+        );
       state = after;
     }
     return state;
--- a/src/configuration/ConfigurationState.ts
+++ b/src/configuration/ConfigurationState.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration document at one revision. States are never altered: a change makes a new one.
+ * The configuration document at one revision. States are immutable: a change produces a new state.
  */
 import { clone, create, equals } from '@bufbuild/protobuf';
 import { match } from 'ts-pattern';
@@ -20,14 +20,17 @@
 import { EMPTY_DIGEST, entityKey, nameOfEdit, nameOfEntity, toggleDigest } from './entities.js';
 import type { EntityName } from './entities.js';
 
-/** An upsert of what is there already keeps its revision: nobody's later edit then meets a false conflict. */
-function isSame(before: ConfigurationEntity, { edit }: EntityEdit): boolean {
+/**
+ * Whether an edit writes the value that the entity already has. The entity then keeps its revision, so that
+ * later edits based on that revision do not fail with a false conflict.
+ */
+function isUnchangedBy(before: ConfigurationEntity, { edit }: EntityEdit): boolean {
   if (edit.case !== 'upsert') return false;
   const after = { ...edit.value, changedRevision: before.changedRevision };
   return equals(ConfigurationEntitySchema, before, after);
 }
 
-/** Everything that operators configured, at one revision. */
+/** All entities that operators have configured, at one revision. */
 export class ConfigurationState {
   /** The state before the first change. */
   static readonly EMPTY = new ConfigurationState(0, EMPTY_DIGEST, new Map());
@@ -35,7 +38,7 @@
   private wholeConfiguration: Configuration | undefined;
 
   private constructor(
-    /** Grows by one with each change; 0 before the first. */
+    /** Increases by one with each change; 0 before the first change. */
     readonly revision: number,
     /** Hexadecimal digest of all entities. */
     readonly digest: string,
@@ -43,8 +46,11 @@
   ) {}
 
   /**
+   * Builds a state from a snapshot. The digest is computed from the entities; callers compare it with the
+   * digest that the snapshot states.
+   *
    * @param snapshot - a whole document.
-   * @returns Its state, with the digest worked out from the entities: compare it with the snapshot's.
+   * @returns The state.
    */
   static fromSnapshot(snapshot: ConfigurationSnapshot): ConfigurationState {
     const entities = new Map<string, ConfigurationEntity>();
@@ -59,7 +65,7 @@
     );
   }
 
-  /** @returns The whole document, to be stored or sent. */
+  /** @returns The whole document in the form that is stored and sent. */
   toSnapshot(): ConfigurationSnapshot {
     return create(ConfigurationSnapshotSchema, {
       revision: BigInt(this.revision),
@@ -69,7 +75,9 @@
   }
 
   /**
-   * @param edits - what changes.
+   * Applies the edits of one change.
+   *
+   * @param edits - the edits, in order; those that name no entity are skipped.
    * @returns The state at the next revision.
    */
   withEdits(edits: readonly EntityEdit[]): ConfigurationState {
@@ -81,7 +89,7 @@
       if (!name) continue;
       const key = entityKey(name);
       const before = entities.get(key);
-      if (before && isSame(before, edit)) continue;
+      if (before && isUnchangedBy(before, edit)) continue;
       if (before) digest = toggleDigest(digest, [before]);
       entities.delete(key);
       if (edit.edit.case !== 'upsert') continue;
@@ -94,9 +102,11 @@
   }
 
   /**
+   * Applies an accepted change and verifies the result against the change's digest.
+   *
    * @param change - the change that made the next revision.
-   * @returns The state after it, or `undefined` when the change is not the next one or leads to another
-   *   content than its author had.
+   * @returns The state after it, or `undefined` if the change is not for the next revision, or if the
+   *   resulting content differs from the content that the change's author had.
    */
   withChange(change: ConfigurationChange): ConfigurationState | undefined {
     if (Number(change.revision) !== this.revision + 1) return undefined;
@@ -105,8 +115,8 @@
   }
 
   /**
-   * @param name - kind and name.
-   * @returns The entity with the revision of its last change, or `undefined`.
+   * @param name - kind and name of the entity.
+   * @returns The entity with the revision of its last change, or `undefined` if there is none.
    */
   entity(name: EntityName): ConfigurationEntity | undefined {
     return this.entities.get(entityKey(name));
@@ -114,7 +124,7 @@
 
   /**
    * @param kind - a kind of entity.
-   * @returns All its entities, ordered by name.
+   * @returns All entities of that kind, ordered by name.
    */
   entitiesOf(kind: EntityKind): ConfigurationEntity[] {
     const prefix = entityKey({ kind, name: '' });
@@ -124,7 +134,7 @@
       .map(([, entity]) => entity);
   }
 
-  /** @returns The document as the rest of the program reads it; the same object for one revision. */
+  /** @returns The document in the form that other modules read; always the same object for one revision. */
   configuration(): Configuration {
     this.wholeConfiguration ??= this.buildConfiguration();
     return this.wholeConfiguration;
--- a/src/configuration/ConfigurationTask.spec.ts
+++ b/src/configuration/ConfigurationTask.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The task over the real protocol of the platform, with peers that answer from their own tasks.
+ * Runs the task over the real protocol of the platform's store. Peers are other tasks in the same process.
  */
 import { afterEach, describe, it } from 'node:test';
 
@@ -24,16 +24,16 @@
 
 const HOUR = 3_600_000;
 
-/** Far beyond what the test needs; a change that never arrives ends it as failed. */
+/** Milliseconds, far more than the test needs: a change that never arrives fails the test at this limit. */
 const TEST_TIMEOUT = { timeout: 60_000 };
 
-const closing: (() => void | Promise<void>)[] = [];
+const cleanups: (() => void | Promise<void>)[] = [];
 
 afterEach(async () => {
-  for (const close of closing.splice(0).reverse()) await close();
+  for (const close of cleanups.splice(0).reverse()) await close();
 });
 
-/** Calls the tasks of other daemons in this process. */
+/** Peer link that calls the tasks of other daemons in this process. */
 class LocalPeerLink extends PeerLink {
   constructor(private readonly tasks: ReadonlyMap<string, ConfigurationTask>) {
     super();
@@ -51,8 +51,8 @@
   override close(): void {}
 }
 
-/** Resolves waiters once a daemon has a revision in force. */
-class Progress {
+/** Lets a test wait until a daemon has reached a revision. */
+class RevisionWaiter {
   private readonly waiting: { revision: number; resolve: () => void }[] = [];
 
   private reached = 0;
@@ -70,17 +70,17 @@
   }
 }
 
-function daemonOf(daemonId: string, address: string, tasks: Map<string, ConfigurationTask>) {
+function createDaemon(daemonId: string, address: string, tasks: Map<string, ConfigurationTask>) {
   const clock = new SystemClock();
   const store = new EtcdPlatformStore({ addresses: [address], callTimeoutMilliseconds: 20_000 });
-  const [configuration, runners] = [new Progress(), new Progress()];
+  const [configuration, runners] = [new RevisionWaiter(), new RevisionWaiter()];
   const task = new ConfigurationTask({
     self: { daemonId, region: 'rosario', dataCentre: 'r1' },
     store,
     link: new LocalPeerLink(tasks),
     clock,
     log: new SilentLog(),
-    // No check within the test: what is followed is followed by the watch.
+    // Checks come too late for the test, so that changes can arrive by the watch only.
     settings: configurationSettings.parse({
       watchersPerDataCentre: 1,
       checkMilliseconds: HOUR,
@@ -102,7 +102,7 @@
     newId: () => `${daemonId}-snapshot`,
     retry: { random: seededRandom(1), wait: async () => {} },
   });
-  closing.push(
+  cleanups.push(
     () => store.close(),
     () => task.stop(),
   );
@@ -125,33 +125,33 @@
     'follows by watch at the watcher and by pull at the others, through a broken watch',
     TEST_TIMEOUT,
     async () => {
-      // Symptom: after the platform cut its connections a change is in force nowhere.
-      // Sequence: every connection to the platform breaks; a change is made by another daemon.
-      // Cause: a watch that ends and is not opened again, or not from where it ended.
+      // Guards against a change that no daemon applies after connection resets. Every connection to the store
+      // breaks, and another daemon makes a change. It goes wrong if the watch is not opened again, or not from
+      // the revision at which it ended.
       const standIn = new PlatformStandIn();
       const address = await standIn.start();
-      closing.push(() => standIn.stop());
+      cleanups.push(() => standIn.stop());
       const tasks = new Map<string, ConfigurationTask>();
-      const daemons = ['a', 'b'].map((daemonId) => daemonOf(daemonId, address, tasks));
+      const daemons = ['a', 'b'].map((daemonId) => createDaemon(daemonId, address, tasks));
       const members = ['a', 'b'].map((daemonId) => member(daemonId));
       daemons.forEach(({ task }) => task.updateMembers(members));
       const [watcher, other] = [...daemons].sort(({ task }) =>
         task.documents.syncState('configuration') === 'following' ? 1 : -1,
       );
-      const outside = daemonOf('c', address, new Map());
-      const asked = (changeId: string, bound: number) => ({
+      const outside = createDaemon('c', address, new Map());
+      const requestedChange = (changeId: string, bound: number) => ({
         changeId,
         author: 'ana',
         comment: '',
         edits: [policyEdit('warm', bound)],
       });
-      await outside.editor.change(asked('one', 1.2));
+      await outside.editor.change(requestedChange('one', 1.2));
       await watcher!.configuration.until(1);
       const watcherId = daemons.indexOf(watcher!) === 0 ? 'a' : 'b';
       other!.task.peerRevision(member(watcherId, 1));
       await other!.configuration.until(1);
       standIn.dropConnections();
-      await outside.editor.change(asked('two', 1.3));
+      await outside.editor.change(requestedChange('two', 1.3));
       await watcher!.configuration.until(2);
       const record = runnerRecord({ runnerId: 'sales-1' });
       await outside.store.transact({ expected: [], writes: [instanceWrite(record)] });
--- a/src/configuration/ConfigurationTask.ts
+++ b/src/configuration/ConfigurationTask.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what the configuration's decisions ask for: reads and watches at the platform, pulls from
- * peers, answers to peers; and tells the daemon what is in force.
+ * Carries out the actions of the configuration's decisions: reads and watches of the platform's store, pulls
+ * from peers and answers to their pulls. It notifies the daemon when a new revision is in force.
  */
 import { create, fromBinary } from '@bufbuild/protobuf';
 import { match } from 'ts-pattern';
@@ -52,7 +52,7 @@
   watch_stopped: configurationLogEvents.watchStopped,
 } as const satisfies Record<ConfigurationReport, unknown>;
 
-/** Who hears of what comes into force here; none of it may throw. */
+/** Callbacks for new revisions that are in force on this daemon; they must not throw. */
 export interface ConfigurationListener {
   onConfiguration?: (configuration: Configuration, revision: number, digest: string) => void;
   onRunners?: (runners: RunnerList, revision: number) => void;
@@ -66,18 +66,18 @@
   clock: Clock;
   log: Log;
   settings: ConfigurationSettings;
-  /** From 0 up to 1. */
+  /** Random source: at least 0, below 1. */
   random: () => number;
   listener?: ConfigurationListener;
   record?: (step: DecisionStep<ConfigurationMessage, ConfigurationAction>) => void;
 }
 
-/** Owns the watches at the platform and the pulls from peers. */
+/** Runs the configuration's decisions and does their I/O. */
 export class ConfigurationTask extends DecisionTask<ConfigurationMessage, ConfigurationAction> {
-  /** What is in force here, and why. */
+  /** The decisions, which hold both documents. */
   readonly documents: ConfigurationDecisions;
 
-  /** The configuration at the platform; shared with the editor. */
+  /** Access to the configuration in the store; shared with the editor. */
   readonly repository: ConfigurationRepository;
 
   private readonly store: PlatformStore;
@@ -94,12 +94,13 @@
 
   private readonly watches = new Map<DocumentName, AbortController>();
 
-  private readonly asked = new Map<number, (response: PullDocumentResponse) => void>();
+  /** Resolvers of peers' pull requests that have no answer yet, by request id. */
+  private readonly pendingPulls = new Map<number, (response: PullDocumentResponse) => void>();
 
-  private askedCounter = 0;
+  private lastPullRequestId = 0;
 
   /**
-   * @param options - this daemon, the platform, the peers.
+   * @param options - this daemon's location, the store, the link to peers, and settings.
    */
   constructor(options: ConfigurationTaskOptions) {
     const { self, random, settings, clock, record = () => {} } = options;
@@ -126,7 +127,7 @@
     this.listener = listener;
   }
 
-  /** Begins; a daemon that hears of no other one reads the platform after a while. */
+  /** Starts. A daemon that learns of no other daemon reads the store after a grace period. */
   start(): void {
     this.send({ kind: 'tick' });
   }
@@ -135,29 +136,36 @@
     super.stop();
     this.watches.forEach((watch) => watch.abort());
     this.watches.clear();
-    this.asked.forEach((answer) => answer(create(PullDocumentResponseSchema, { kind: 'same' })));
-    this.asked.clear();
+    this.pendingPulls.forEach((answer) =>
+      answer(create(PullDocumentResponseSchema, { kind: 'same' })),
+    );
+    this.pendingPulls.clear();
   }
 
   /**
-   * @param members - the whole picture of the membership.
+   * Replaces the membership list.
+   *
+   * @param members - the whole membership list.
    */
   updateMembers(members: readonly Member[]): void {
     this.send({ kind: 'members', members: members.map(toMemberRevisions) });
   }
 
   /**
-   * Takes one record that gossip brought. Most of them say nothing new, and there are many a second.
+   * Updates one member. Most records contain no newer revision and many arrive each second, so only those that
+   * matter are passed on.
    *
-   * @param member - the record.
+   * @param member - a record that arrived by gossip.
    */
   peerRevision(member: Member): void {
-    if (!this.isNews(member)) return;
+    if (!this.mayContainUpdate(member)) return;
     this.send({ kind: 'member_revision', member: toMemberRevisions(member) });
   }
 
   /**
-   * @param newer - a daemon that said it has something newer in force.
+   * Handles a peer's report of the revision that it has in force.
+   *
+   * @param newer - the peer, the document and the revision.
    */
   newerRevision(newer: { document: DocumentName; daemonId: string; revision: number }): void {
     const { document, daemonId, revision } = newer;
@@ -167,16 +175,16 @@
   /**
    * Serves `PullDocument` to a peer.
    *
-   * @param request - what the peer has.
-   * @returns What it lacks; for an unknown document, nothing newer.
+   * @param request - the document and the revision that the peer has.
+   * @returns The update that the peer lacks; `same` for an unknown document.
    */
   pullDocument({ document, haveRevision }: PullDocumentRequest): Promise<PullDocumentResponse> {
     if (!isDocumentName(document))
       return Promise.resolve(create(PullDocumentResponseSchema, { kind: 'same' }));
-    this.askedCounter += 1;
-    const id = this.askedCounter;
+    this.lastPullRequestId += 1;
+    const id = this.lastPullRequestId;
     return new Promise((resolve) => {
-      this.asked.set(id, resolve);
+      this.pendingPulls.set(id, resolve);
       this.send({ kind: 'pull_requested', id, document, haveRevision: Number(haveRevision) });
     });
   }
@@ -197,17 +205,17 @@
         this.pull(pull).then((message) => this.send(message));
       })
       .with({ kind: 'answer_pull' }, ({ id, document, answer }) => {
-        this.asked.get(id)?.(encodeAnswer(document, answer));
-        this.asked.delete(id);
+        this.pendingPulls.get(id)?.(encodeAnswer(document, answer));
+        this.pendingPulls.delete(id);
       })
-      .with({ kind: 'applied' }, ({ document }) => this.tellApplied(document))
+      .with({ kind: 'applied' }, ({ document }) => this.notifyListener(document))
       .with({ kind: 'report' }, ({ event, fields }) => {
         this.log.write(REPORTED_EVENTS[event], fields);
       })
       .exhaustive();
   }
 
-  private isNews(member: Member): boolean {
+  private mayContainUpdate(member: Member): boolean {
     const { configuration, runners } = this.documents;
     const revision = Number(member.configurationRevision);
     const differs = member.configurationDigest !== configuration.digest();
@@ -218,7 +226,7 @@
     );
   }
 
-  private tellApplied(document: DocumentName): void {
+  private notifyListener(document: DocumentName): void {
     const { configuration, runners } = this.documents;
     if (document === 'runners') {
       this.listener.onRunners?.(runners.list(), runners.revision());
@@ -245,16 +253,16 @@
     const stop = new AbortController();
     this.watches.set(document, stop);
     const prefix = document === 'configuration' ? CHANGES_PREFIX : INSTANCES_PREFIX;
-    let reason = 'the platform ended the watch';
+    let reason = "the platform's store ended the watch";
     try {
       for await (const event of this.store.watch(prefix, fromStoreRevision, stop.signal)) {
-        // What a closed watch still delivers belongs to a state that the decisions have left.
+        // Ignores events that a closed watch still delivers: the decisions have already left that state.
         if (stop.signal.aborted) return;
         if (event.kind === 'compacted') {
           this.send({ kind: 'watch_ended', document, end: 'compacted', reason: 'compacted' });
           return;
         }
-        this.report(document, event);
+        this.sendWatchEvent(document, event);
       }
     } catch (error) {
       reason = (error as Error).message;
@@ -262,14 +270,20 @@
     if (!stop.signal.aborted) this.send({ kind: 'watch_ended', document, end: 'lost', reason });
   }
 
-  private report(document: DocumentName, event: Exclude<WatchEvent, { kind: 'compacted' }>): void {
+  private sendWatchEvent(
+    document: DocumentName,
+    event: Exclude<WatchEvent, { kind: 'compacted' }>,
+  ): void {
     const storeRevision = event.kind === 'put' ? event.entry.modifiedRevision : event.revision;
-    const answer = document === 'runners' ? this.instances.changeOf(event) : this.changeOf(event);
+    const answer =
+      document === 'runners' ? this.instances.changeOf(event) : this.toConfigurationUpdate(event);
     if (answer) this.send({ kind: 'watch_reported', document, answer, storeRevision });
   }
 
-  /** Deletions are of changes that fell out of the history. */
-  private changeOf(event: Exclude<WatchEvent, { kind: 'compacted' }>): DocumentAnswer | undefined {
+  /** Returns `undefined` for deletions: these only remove changes that are too old for the history. */
+  private toConfigurationUpdate(
+    event: Exclude<WatchEvent, { kind: 'compacted' }>,
+  ): DocumentAnswer | undefined {
     if (event.kind === 'delete') return undefined;
     return changesAnswer([fromBinary(ConfigurationChangeSchema, event.entry.value)]);
   }
--- a/src/configuration/DocumentSync.ts
+++ b/src/configuration/DocumentSync.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps one document in step with the fleet: as a watcher at the platform, or by gossip and pulls.
+ * Keeps a daemon's copy of one document up to date: by a watch on the platform's store if the daemon is one
+ * of its data centre's watchers, and by gossip and pulls from peers otherwise.
  *
- * Pure: time and random come from outside, and what is to be done goes out as actions.
+ * It does no I/O: callers pass in the time and the random source, and carry out the actions that it returns.
  */
 import { ChartInterpreter } from '../charts/ChartInterpreter.js';
 import type { EventOf, StateOf } from '../charts/chartTypes.js';
@@ -31,14 +32,14 @@
   self: DaemonPlace;
   timing: SyncTiming;
   watchersPerDataCentre: number;
-  /** From 0 up to 1; seeded. */
+  /** Seeded random source: at least 0, below 1. */
   random: () => number;
 }
 
-/** What became of an answer: as the document says, or refused because the fleet is known to be ahead. */
-type IntakeResult = TakeResult | 'behind';
+/** Result of receiving an update: the document's own result, or refused as older than what the fleet has. */
+type ReceiveResult = TakeResult | 'behind';
 
-/** Follows one document. */
+/** State machine that synchronizes one document; its states are in configuration.chart.json. */
 export class DocumentSync {
   private readonly document: SyncedDocument;
 
@@ -46,197 +47,203 @@
 
   private readonly peers: PeerRevisions;
 
-  private readonly times: SyncTimes;
+  private readonly schedule: SyncTimes;
 
   private state: SyncState = interpreter.initial();
 
-  /** Store revision up to which the platform has been followed; 0 when unknown. */
+  /** Store revision up to which changes have been received; 0 if unknown. */
   private storeRevision = 0;
 
+  /** Id of the peer that a pull is in progress from. */
   private pullingFrom: string | undefined;
 
-  /** The content here does not fit: only a whole document helps. */
-  private needsWhole = false;
+  /** Set when changes cannot be applied to the local content: the whole document has to be fetched. */
+  private needsWholeDocument = false;
 
-  /** Revision whose digest the platform has confirmed. */
+  /** Revision whose digest a read of the store has confirmed. */
   private confirmedRevision = 0;
 
   private actions: ConfigurationAction[] = [];
 
   /**
-   * @param options - the document, this daemon and the times.
+   * @param options - the document, this daemon's location, timing, number of watchers and random source.
    */
   constructor({ document, self, timing, watchersPerDataCentre, random }: DocumentSyncOptions) {
     this.document = document;
     this.watchersPerDataCentre = watchersPerDataCentre;
     this.peers = new PeerRevisions({ document: document.name, self, random });
-    this.times = new SyncTimes({ timing, random });
+    this.schedule = new SyncTimes({ timing, random });
   }
 
-  /** @returns The state of its chart. */
+  /** @returns The current state; see configuration.chart.json. */
   get syncState(): SyncState {
     return this.state;
   }
 
-  /** @returns When it has to be woken, in monotonic milliseconds. */
+  /** @returns When the next task is due, in monotonic milliseconds; `undefined` if none is. */
   nextWake(): number | undefined {
-    return this.times.nextWake();
+    return this.schedule.nextWake();
   }
 
-  /** Takes over the whole picture of the membership. */
+  /** Replaces the whole membership list. */
   members(now: number, members: readonly MemberRevisions[]): void {
     this.peers.replace(members);
-    members.forEach((member) => this.compareContent(now, member));
+    members.forEach((member) => this.compareDigest(now, member));
     this.wake(now);
   }
 
-  /** Takes one record that gossip brought. */
+  /** Updates one member from a record that arrived by gossip. */
   memberRevision(now: number, member: MemberRevisions): void {
     this.peers.hear(member);
-    this.compareContent(now, member);
-    this.planPull(now);
+    this.compareDigest(now, member);
+    this.schedulePull(now);
   }
 
-  /** Takes what a daemon said of itself. */
+  /** Records a revision that a peer has reported for itself. */
   peerRevision(now: number, daemonId: string, revision: number): void {
     this.peers.raise(daemonId, revision);
-    this.planPull(now);
+    this.schedulePull(now);
   }
 
-  /** Does what is due. */
+  /** Updates the watcher role and runs all tasks that are due. */
   wake(now: number): void {
-    this.takeRole(now);
-    if (this.times.take('retry', now))
-      this.move(now, this.storeRevision > 0 && !this.needsWhole ? 'resume_due' : 'retry_due');
-    if (this.times.take('check', now)) this.move(now, 'check_due');
-    if (this.times.take('compare', now)) this.read();
-    if (this.times.take('pull', now)) this.pull(now);
-    this.planPull(now);
+    this.updateRole(now);
+    if (this.schedule.take('retry', now))
+      this.transition(
+        now,
+        this.storeRevision > 0 && !this.needsWholeDocument ? 'resume_due' : 'retry_due',
+      );
+    if (this.schedule.take('check', now)) this.transition(now, 'check_due');
+    if (this.schedule.take('compare', now)) this.requestPlatformRead();
+    if (this.schedule.take('pull', now)) this.requestPull(now);
+    this.schedulePull(now);
   }
 
-  /** Takes what a read at the platform gave. */
+  /** Handles the result of a read of the store. */
   platformAnswered(now: number, answer: DocumentAnswer, storeRevision: number): void {
-    const result = this.takeIn(answer, 'platform');
+    const result = this.receive(answer, 'platform');
     const confirmed = answer.kind === 'same' && answer.revision === this.document.revision();
     if (confirmed) this.confirmedRevision = answer.revision;
-    this.needsWhole = result === 'differs';
+    this.needsWholeDocument = result === 'differs';
     if (this.state !== 'reading') return;
     this.storeRevision = storeRevision;
-    this.move(now, result === 'differs' || result === 'behind' ? 'failed' : 'read_done');
-    this.planPull(now);
+    this.transition(now, result === 'differs' || result === 'behind' ? 'failed' : 'read_done');
+    this.schedulePull(now);
   }
 
-  /** Takes the failure of a read at the platform. */
+  /** Handles a failed read of the store. */
   platformFailed(now: number, reason: string): void {
     this.report('platform_failed', { reason });
-    this.move(now, 'failed');
+    this.transition(now, 'failed');
   }
 
-  /** Takes what a watch reported. */
+  /** Handles an update that the watch reported. */
   watchReported(now: number, answer: DocumentAnswer, storeRevision: number): void {
-    const result = this.takeIn(answer, 'watch');
+    const result = this.receive(answer, 'watch');
     if (this.state !== 'watching') return;
-    this.times.watchWorks();
+    this.schedule.watchWorks();
     this.storeRevision = Math.max(this.storeRevision, storeRevision);
-    if (result === 'differs') this.needsWhole = true;
-    if (result !== 'applied' && result !== 'nothing') this.move(now, 'gap_found');
-    this.planPull(now);
+    if (result === 'differs') this.needsWholeDocument = true;
+    if (result !== 'applied' && result !== 'nothing') this.transition(now, 'gap_found');
+    this.schedulePull(now);
   }
 
-  /** Takes the end of a watch. */
+  /** Handles the end of the watch. */
   watchEnded(now: number, end: WatchEnd, reason: string): void {
     if (this.state !== 'watching') return;
     this.report('platform_failed', { reason });
-    this.move(now, end === 'lost' ? 'watch_lost' : 'watch_compacted');
+    this.transition(now, end === 'lost' ? 'watch_lost' : 'watch_compacted');
   }
 
-  /** Takes what a peer gave. */
+  /** Handles a peer's response to a pull. */
   pullAnswered(now: number, from: string, answer: DocumentAnswer): void {
     if (this.pullingFrom === from) this.pullingFrom = undefined;
-    const result = this.takeIn(answer, 'peer');
+    const result = this.receive(answer, 'peer');
     if (result === 'applied') {
-      this.needsWhole = false;
-      // The peers were ahead of a watch that should have told first: it may be open and dead.
-      this.move(now, 'gap_found');
+      this.needsWholeDocument = false;
+      // Peers were ahead of this daemon's own watch, which should have reported the change first: the watch
+      // may be open but no longer deliver events, so the store is read and a new watch opened.
+      this.transition(now, 'gap_found');
     } else {
-      if (result === 'gap' || result === 'differs') this.needsWhole = true;
+      if (result === 'gap' || result === 'differs') this.needsWholeDocument = true;
       else this.peers.correct(from, answer.revision);
-      this.peers.avoid(from, now + this.times.timing.peerAvoidMilliseconds);
+      this.peers.avoid(from, now + this.schedule.timing.peerAvoidMilliseconds);
     }
-    this.planPull(now);
+    this.schedulePull(now);
   }
 
-  /** Takes the failure of a pull. */
+  /** Handles a failed pull. */
   pullFailed(now: number, from: string, reason: string): void {
     if (this.pullingFrom === from) this.pullingFrom = undefined;
     this.report('pull_failed', { from, reason });
-    this.peers.avoid(from, now + this.times.timing.peerAvoidMilliseconds);
-    this.planPull(now);
+    this.peers.avoid(from, now + this.schedule.timing.peerAvoidMilliseconds);
+    this.schedulePull(now);
   }
 
-  /** Takes a change that this daemon committed itself. */
+  /** Applies a change that this daemon itself committed to the store. */
   committed(now: number, answer: DocumentAnswer): void {
-    this.takeIn(answer, 'commit');
-    this.planPull(now);
+    this.receive(answer, 'commit');
+    this.schedulePull(now);
   }
 
-  /** @returns The actions since the last call. */
+  /** @returns The actions requested since the last call. */
   drain(): ConfigurationAction[] {
     const { actions } = this;
     this.actions = [];
     return actions;
   }
 
-  private takeRole(now: number): void {
-    // A daemon that has just started knows nobody and would take itself for the only watcher: after a
-    // restart of the whole fleet all of them would read the whole document from the platform at once.
-    const waited = this.times.waitedForCompany(now);
+  private updateRole(now: number): void {
+    // A daemon that has just started knows no other daemon and would choose itself as the only watcher. After
+    // a restart of the whole fleet, all daemons would then read the whole document from the store at once.
+    const waited = this.schedule.waitedForCompany(now);
     if (!this.peers.company && !waited) return;
     const chosen = this.peers.isWatcher(this.watchersPerDataCentre);
-    this.move(now, chosen ? 'chosen' : 'not_chosen');
+    this.transition(now, chosen ? 'chosen' : 'not_chosen');
   }
 
-  private move(now: number, event: SyncEvent): void {
+  private transition(now: number, event: SyncEvent): void {
     const before = this.state;
     const { state, accepted } = interpreter.next(before, event);
     if (!accepted) return;
     this.state = state;
     const document = this.document.name;
     if (before === 'watching') {
-      this.times.watchEnded(now);
+      this.schedule.watchEnded(now);
       this.actions.push({ kind: 'close_watch', document });
       this.report('watch_stopped', { cause: event });
     }
-    if (state === 'reading') this.read();
-    if (state === 'backing_off') this.times.backOff(now);
-    else this.times.cancel('retry');
+    if (state === 'reading') this.requestPlatformRead();
+    if (state === 'backing_off') this.schedule.backOff(now);
+    else this.schedule.cancel('retry');
     if (state !== 'watching') return;
-    this.times.watchStarted(now);
+    this.schedule.watchStarted(now);
     const fromStoreRevision = this.storeRevision + 1;
     this.actions.push({ kind: 'open_watch', document, fromStoreRevision });
     this.report('watch_started', { fromStoreRevision });
   }
 
-  private read(): void {
+  private requestPlatformRead(): void {
     this.actions.push({
       kind: 'read_platform',
       document: this.document.name,
-      haveRevision: this.needsWhole ? 0 : this.document.revision(),
+      haveRevision: this.needsWholeDocument ? 0 : this.document.revision(),
       haveDigest: this.document.digest(),
     });
   }
 
-  private takeIn(answer: DocumentAnswer, source: DocumentSource): IntakeResult {
+  private receive(answer: DocumentAnswer, source: DocumentSource): ReceiveResult {
     const offered = answer.revision;
-    const floor = this.peers.floor();
+    const fleetRevision = this.peers.floor();
     const have = this.document.revision();
-    // A restarted daemon remembers nothing. The platform, or a peer that was cut off, may offer it an older
-    // revision than the fleet has in force, and a withdrawn key would work again at this daemon.
-    const cold = have === 0 && offered < floor;
-    if (cold || (source === 'platform' && offered < have))
-      this.report('behind_refused', { source, offered, known: Math.max(floor, have) });
-    if (cold) return 'behind';
-    const result = this.taken(answer);
+    // A restarted daemon has no revision of its own to compare with. The store, or a peer that was cut off,
+    // may offer an older revision than the fleet has in force; applying it would make a withdrawn key valid
+    // again on this daemon.
+    const isBehindFleet = have === 0 && offered < fleetRevision;
+    if (isBehindFleet || (source === 'platform' && offered < have))
+      this.report('behind_refused', { source, offered, known: Math.max(fleetRevision, have) });
+    if (isBehindFleet) return 'behind';
+    const result = this.applySafely(answer);
     if (result === 'differs') this.report('content_differs', { source, offered });
     if (this.document.revision() === have && result !== 'applied') return result;
     const { name: document } = this.document;
@@ -246,8 +253,8 @@
     return result;
   }
 
-  /** A malformed answer counts as one with wrong content: it must not end this daemon. */
-  private taken(answer: DocumentAnswer): TakeResult {
+  /** Treats a malformed update like one with wrong content, so that it does not crash the daemon. */
+  private applySafely(answer: DocumentAnswer): TakeResult {
     try {
       return this.document.take(answer);
     } catch {
@@ -255,8 +262,11 @@
     }
   }
 
-  /** Equal revisions with other content would mean other accounts and limits on some daemons, unnoticed. */
-  private compareContent(now: number, member: MemberRevisions): void {
+  /**
+   * Compares this daemon's digest with a peer's at the same revision, and schedules a read of the store if
+   * they differ. Otherwise some daemons would apply different accounts and limits without anybody noticing.
+   */
+  private compareDigest(now: number, member: MemberRevisions): void {
     const revision = this.document.revision();
     const comparable =
       this.document.digest() !== '' &&
@@ -264,25 +274,28 @@
       member.configurationRevision === revision &&
       revision > this.confirmedRevision;
     if (!comparable || member.configurationDigest === this.document.digest()) return;
-    if (this.times.planCompare(now))
+    if (this.schedule.planCompare(now))
       this.report('content_differs', { source: member.daemonId, offered: revision });
   }
 
-  private planPull(now: number): void {
-    const newer = this.peers.newest() > this.document.revision() || this.needsWhole;
-    if (!newer) this.times.cancel('pull');
+  private schedulePull(now: number): void {
+    const newer = this.peers.newest() > this.document.revision() || this.needsWholeDocument;
+    if (!newer) this.schedule.cancel('pull');
     else if (this.pullingFrom === undefined)
-      this.times.planPull(now, this.state === 'watching' && !this.needsWhole);
+      this.schedule.planPull(now, this.state === 'watching' && !this.needsWholeDocument);
   }
 
-  private pull(now: number): void {
+  private requestPull(now: number): void {
     const have = this.document.revision();
-    const cold = have === 0 ? this.peers.newest() : 0;
-    const peer = this.peers.choose(now, Math.max(cold, this.needsWhole ? have : have + 1));
+    const lowestAtStart = have === 0 ? this.peers.newest() : 0;
+    const peer = this.peers.choose(
+      now,
+      Math.max(lowestAtStart, this.needsWholeDocument ? have : have + 1),
+    );
     if (!peer) return;
     this.pullingFrom = peer.daemonId;
     const { daemonId, peerAddress } = peer;
-    const haveRevision = this.needsWhole ? 0 : have;
+    const haveRevision = this.needsWholeDocument ? 0 : have;
     const document = this.document.name;
     this.actions.push({ kind: 'pull', document, daemonId, peerAddress, haveRevision });
   }
--- a/src/configuration/InstanceDirectory.ts
+++ b/src/configuration/InstanceDirectory.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's list of live and leaving instances: one key for each runner below `instances/`.
+ * Reads the platform's list of live and leaving instances: one key per runner under `instances/`.
  *
- * Assumption of the project, see docs/INTERFACES.md: the value is a `RunnerRecord` in JSON.
+ * The project assumes that each value is a `RunnerRecord` in JSON; see docs/INTERFACES.md.
  */
 import { create, fromJsonString, toJsonString } from '@bufbuild/protobuf';
 
@@ -16,15 +16,17 @@
 const LENIENT = { ignoreUnknownFields: true } as const;
 
 /**
- * @param record - a runner as the platform lists it.
- * @returns The write that lists it; for stand-ins and tests, as daemons never write the list.
+ * Builds the store write that lists a runner. Only stand-ins and tests use it: daemons never write the list.
+ *
+ * @param record - the runner's record as the platform lists it.
+ * @returns The write.
  */
 export function instanceWrite(record: RunnerRecord): StoreWrite {
   const value = new TextEncoder().encode(toJsonString(RunnerRecordSchema, record));
   return { kind: 'put', key: instanceKey(record.runnerId), value };
 }
 
-/** Called with an entry that is no runner's record. */
+/** Called with the key of an entry that is not a valid runner record, and the reason. */
 export type BadInstanceListener = (key: string, reason: string) => void;
 
 /** Options of an {@link InstanceDirectory}. */
@@ -33,43 +35,45 @@
   onBadInstance?: BadInstanceListener;
 }
 
-/** Reads and watches the list. */
+/** Reads the list of runners from the store and converts watch events to updates of it. */
 export class InstanceDirectory {
   private readonly store: PlatformStore;
 
   private readonly onBadInstance: BadInstanceListener;
 
   /**
-   * @param options - the platform's store and who hears of unreadable entries.
+   * @param options - the platform's store and a listener for invalid entries.
    */
   constructor({ store, onBadInstance = () => {} }: InstanceDirectoryOptions) {
     this.store = store;
     this.onBadInstance = onBadInstance;
   }
 
-  /** @returns The whole list with the store's revision of the read. */
+  /** @returns The whole list, and the store revision at which it was read. */
   async read(): Promise<{ answer: DocumentAnswer; storeRevision: number }> {
     const { entries, revision } = await this.store.range(INSTANCES_PREFIX);
-    const runners = entries.flatMap((entry) => this.record(entry) ?? []);
+    const runners = entries.flatMap((entry) => this.parseRecord(entry) ?? []);
     const changedRevision = Math.max(0, ...entries.map((entry) => entry.modifiedRevision));
     const answer = runnerListAnswer(revision, runners, changedRevision);
     return { answer, storeRevision: revision };
   }
 
   /**
+   * Converts a watch event to an update of the list.
+   *
    * @param event - a put or a deletion that a watch reported.
-   * @returns The change, or `undefined` when the entry is unreadable: the runner then stays as it was.
+   * @returns The update, or `undefined` if the entry is invalid: the runner's previous record then stays.
    */
   changeOf(event: Exclude<WatchEvent, { kind: 'compacted' }>): DocumentAnswer | undefined {
     if (event.kind === 'delete') {
       const { key, revision } = event;
-      return this.answer(revision, runnerOfKey(key));
+      return this.runnerUpdate(revision, runnerOfKey(key));
     }
-    const record = this.record(event.entry);
-    return record && this.answer(event.entry.modifiedRevision, record.runnerId, record);
+    const record = this.parseRecord(event.entry);
+    return record && this.runnerUpdate(event.entry.modifiedRevision, record.runnerId, record);
   }
 
-  private answer(revision: number, runnerId: string, record?: RunnerRecord): DocumentAnswer {
+  private runnerUpdate(revision: number, runnerId: string, record?: RunnerRecord): DocumentAnswer {
     const change = create(RunnerListChangeSchema, {
       revision: BigInt(revision),
       runnerId,
@@ -78,13 +82,13 @@
     return runnerChangesAnswer(revision, [change]);
   }
 
-  /** One unreadable entry must not hide all other runners. */
-  private record({ key, value }: StoreEntry): RunnerRecord | undefined {
+  /** Reports an invalid entry and skips it, so that one bad entry does not hide all other runners. */
+  private parseRecord({ key, value }: StoreEntry): RunnerRecord | undefined {
     try {
       const json = new TextDecoder().decode(value);
       const record = fromJsonString(RunnerRecordSchema, json, LENIENT);
       if (record.runnerId === runnerOfKey(key)) return record;
-      this.onBadInstance(key, `names another runner: ${record.runnerId}`);
+      this.onBadInstance(key, `the record is of another runner: ${record.runnerId}`);
     } catch (error) {
       this.onBadInstance(key, (error as Error).message);
     }
--- a/src/configuration/PeerRevisions.ts
+++ b/src/configuration/PeerRevisions.ts
@@ -1,10 +1,11 @@
 /**
- * What the peers are known to have of one document, and whom to pull from or to leave the watching to.
+ * Tracks which revision of one document each peer has, chooses peers to pull from, and decides whether this
+ * daemon is a watcher.
  */
 import { rendezvousOrder } from '../routing/rendezvous.js';
 import type { DocumentName, MemberRevisions } from './configurationTypes.js';
 
-/** Where a daemon stands. */
+/** A daemon's id and location. */
 export interface DaemonPlace {
   readonly daemonId: string;
   readonly region: string;
@@ -15,12 +16,18 @@
 export interface PeerRevisionsOptions {
   document: DocumentName;
   self: DaemonPlace;
-  /** From 0 up to 1; seeded. */
+  /** Seeded random source: at least 0, below 1. */
   random: () => number;
 }
 
-/** Gossip can bring an older record after a newer one; what an incarnation once had in force stays known. */
-function newer(before: MemberRevisions | undefined, after: MemberRevisions): MemberRevisions {
+/**
+ * Merges a new record of a member into the previous one. Gossip can deliver an older record after a newer one,
+ * so within one incarnation the higher revisions are kept.
+ */
+function mergeRecords(
+  before: MemberRevisions | undefined,
+  after: MemberRevisions,
+): MemberRevisions {
   if (!before || before.incarnation < after.incarnation) return after;
   const ahead = after.configurationRevision >= before.configurationRevision ? after : before;
   return {
@@ -31,7 +38,7 @@
   };
 }
 
-/** The latest that gossip said, and which peers have disappointed lately. */
+/** Latest known revisions of all other daemons, and the peers that are avoided after a failed pull. */
 export class PeerRevisions {
   private readonly document: DocumentName;
 
@@ -41,12 +48,13 @@
 
   private members = new Map<string, MemberRevisions>();
 
+  /** Monotonic milliseconds until which a peer is not pulled from, by daemon id. */
   private readonly avoidedUntil = new Map<string, number>();
 
-  private selfLeaves = false;
+  private isSelfUnavailable = false;
 
   /**
-   * @param options - the document, this daemon, the random source.
+   * @param options - the document, this daemon's location, the random source.
    */
   constructor({ document, self, random }: PeerRevisionsOptions) {
     this.document = document;
@@ -55,15 +63,17 @@
   }
 
   /**
-   * @param members - the whole picture; replaces the one before, but revisions heard stay.
+   * Replaces the membership list. Higher revisions that are already known of a member are kept.
+   *
+   * @param members - the whole membership list.
    */
   replace(members: readonly MemberRevisions[]): void {
     const before = this.members;
     this.members = new Map();
-    this.selfLeaves = false;
+    this.isSelfUnavailable = false;
     for (const member of members) {
-      if (member.daemonId === this.self.daemonId) this.selfLeaves = !member.alive;
-      else this.members.set(member.daemonId, newer(before.get(member.daemonId), member));
+      if (member.daemonId === this.self.daemonId) this.isSelfUnavailable = !member.alive;
+      else this.members.set(member.daemonId, mergeRecords(before.get(member.daemonId), member));
     }
     [...this.avoidedUntil.keys()]
       .filter((daemonId) => !this.members.has(daemonId))
@@ -71,12 +81,14 @@
   }
 
   /**
-   * @param member - one record that gossip brought.
+   * Updates one member.
+   *
+   * @param member - a record that arrived by gossip.
    */
   hear(member: MemberRevisions): void {
     if (member.daemonId === this.self.daemonId) return;
     const before = this.members.get(member.daemonId);
-    this.members.set(member.daemonId, newer(before, member));
+    this.members.set(member.daemonId, mergeRecords(before, member));
   }
 
   /** @returns Whether any other daemon is known to be alive. */
@@ -84,27 +96,28 @@
     return [...this.members.values()].some((member) => member.alive);
   }
 
-  /** @returns The highest revision that any daemon of the picture had, alive or not; 0 for none. */
+  /** @returns The highest known revision of all listed daemons, alive or not; 0 if there is none. */
   floor(): number {
     return Math.max(0, ...[...this.members.values()].map((member) => this.revisionOf(member)));
   }
 
-  /** @returns The highest revision that a live peer has; 0 for none. */
+  /** @returns The highest revision of all live peers; 0 if there is none. */
   newest(): number {
-    return Math.max(0, ...this.alive().map((member) => this.revisionOf(member)));
+    return Math.max(0, ...this.livePeers().map((member) => this.revisionOf(member)));
   }
 
   /**
-   * Chooses watchers without an election: everyone with the same picture names the same daemons, and where
-   * pictures differ for some seconds there are a few watchers more or fewer.
+   * Decides whether this daemon is a watcher, by rendezvous hashing instead of an election: daemons with the
+   * same membership list choose the same watchers. While membership lists differ, for some seconds, there are
+   * a few watchers more or fewer.
    *
-   * @param count - watchers in each data centre.
+   * @param count - number of watchers in each data centre.
    * @returns Whether this daemon is one of its data centre's watchers.
    */
   isWatcher(count: number): boolean {
-    if (this.selfLeaves) return false;
+    if (this.isSelfUnavailable) return false;
     const { daemonId, region, dataCentre } = this.self;
-    const neighbours = this.alive()
+    const neighbours = this.livePeers()
       .filter((member) => member.region === region && member.dataCentre === dataCentre)
       .map((member) => ({ id: member.daemonId }));
     const order = rendezvousOrder(`watch/${this.document}/${dataCentre}`, [
@@ -115,15 +128,15 @@
   }
 
   /**
-   * Picks a peer at random among the nearest that have what is wanted: with everyone asking the same
-   * peer, a change would make that peer's traffic grow with the fleet.
+   * Picks a random peer among the nearest ones that have the wanted revision: same data centre, then same
+   * region, then any. If all daemons pulled from the same peer, its traffic would grow with the fleet.
    *
    * @param now - monotonic milliseconds.
-   * @param wanted - lowest revision that is of use.
-   * @returns A peer, or `undefined` when none is known that is not avoided.
+   * @param wanted - lowest useful revision.
+   * @returns A peer, or `undefined` if every peer with that revision is avoided or there is none.
    */
   choose(now: number, wanted: number): MemberRevisions | undefined {
-    const useful = this.alive().filter(
+    const useful = this.livePeers().filter(
       (member) =>
         this.revisionOf(member) >= wanted && (this.avoidedUntil.get(member.daemonId) ?? 0) <= now,
     );
@@ -135,45 +148,47 @@
   }
 
   /**
-   * @param daemonId - a peer that failed or had nothing.
-   * @param until - monotonic milliseconds until which others are preferred.
+   * Excludes a peer from pulls for a while.
+   *
+   * @param daemonId - a peer whose pull failed or returned nothing new.
+   * @param until - end of the exclusion, in monotonic milliseconds.
    */
   avoid(daemonId: string, until: number): void {
     this.avoidedUntil.set(daemonId, until);
   }
 
   /**
-   * Notes what a peer itself said it has; gossip may raise it again.
+   * Lowers a peer's known revision to the one that the peer returned in a pull; gossip may raise it again.
    *
    * @param daemonId - the peer.
    * @param revision - its revision of this document.
    */
   correct(daemonId: string, revision: number): void {
     const member = this.members.get(daemonId);
-    if (member && this.revisionOf(member) > revision) this.set(member, revision);
+    if (member && this.revisionOf(member) > revision) this.setRevision(member, revision);
   }
 
   /**
-   * Notes that a peer said to have a newer revision than its record shows.
+   * Raises a peer's known revision to one that the peer itself reported.
    *
    * @param daemonId - the peer.
    * @param revision - its revision of this document.
    */
   raise(daemonId: string, revision: number): void {
     const member = this.members.get(daemonId);
-    if (member && this.revisionOf(member) < revision) this.set(member, revision);
+    if (member && this.revisionOf(member) < revision) this.setRevision(member, revision);
   }
 
-  private alive(): MemberRevisions[] {
+  private livePeers(): MemberRevisions[] {
     return [...this.members.values()].filter((member) => member.alive);
   }
 
-  private set(member: MemberRevisions, revision: number): void {
-    const said =
+  private setRevision(member: MemberRevisions, revision: number): void {
+    const reported =
       this.document === 'configuration'
         ? { configurationRevision: revision, configurationDigest: '' }
         : { runnersRevision: revision };
-    this.members.set(member.daemonId, { ...member, ...said });
+    this.members.set(member.daemonId, { ...member, ...reported });
   }
 
   private revisionOf(member: MemberRevisions): number {
--- a/src/configuration/RunnerListDocument.spec.ts
+++ b/src/configuration/RunnerListDocument.spec.ts
@@ -1,5 +1,5 @@
 /**
- * How daemons follow the list of runners.
+ * Synchronization of the list of runners.
  */
 import { describe, it } from 'node:test';
 
@@ -13,9 +13,9 @@
 
 describe('following the list of runners', () => {
   it('keeps a runner leaving within its incarnation, however the list flaps', async () => {
-    // Symptom: a stream breaks at the planned stop of a runner that had said it was leaving.
-    // Sequence: leaving, then live again in the lagging list, then off it and live once more.
-    // Cause: believing the newest entry of a list that lags.
+    // Guards against streams that break at the planned stop of a leaving runner. The lagging list shows the runner
+    // as leaving, then as live again, then without it, then as live once more. It goes wrong if the newest entry
+    // of a lagging list is trusted.
     const fleet = new FollowingFleet({ places: places(1, 2, 2) });
     const list = async (state: string, incarnation: bigint): Promise<void> => {
       const record = runnerRecord({ runnerId: 'sales-1', state, incarnation });
@@ -42,10 +42,10 @@
   });
 
   it('is not pulled again because other keys changed, but is when an entry was missed', async () => {
-    // Symptom: every minute each daemon pulls the whole list, although no runner came or went.
-    // Sequence: the configuration changes; a watcher's check reads the list at a newer store revision.
-    // Cause: taking the store's revision of a read for the list's own. The removal is the counter-case: a
-    // watcher that missed it has to tell the others, although no entry shows it.
+    // Guards against every daemon pulling the whole list each minute although no runner was added or removed. The
+    // configuration changes, and a watcher's check then reads the list at a newer store revision. It goes wrong
+    // if the store revision of a read is used as the list's revision. The removal covers the opposite case: a
+    // watcher that missed it has to raise the list's revision, although no remaining entry has a newer one.
     const fleet = new FollowingFleet({ places: places(1, 2, 4), timing: QUICK_CHECKS });
     const records = ['sales-1', 'sales-2'].map((runnerId) => runnerRecord({ runnerId }));
     await fleet.store.transact({ expected: [], writes: records.map(instanceWrite) });
--- a/src/configuration/RunnerListDocument.ts
+++ b/src/configuration/RunnerListDocument.ts
@@ -1,9 +1,9 @@
 /**
- * The platform's list of live and leaving runners, as this daemon knows it.
+ * This daemon's copy of the platform's list of live and leaving runners.
  *
- * Its revision is the platform's store revision of the latest change that is in it. The store's revision of
- * a read will not do: it grows with every write of anybody, and each check by a watcher would make the whole
- * fleet pull the whole list again.
+ * Its revision is the store revision of the latest change in the list. The store revision at the time of a
+ * read cannot be used: it increases with every write to the store, so each check by a watcher would make the
+ * whole fleet pull the whole list again.
  */
 import { create, equals, fromBinary, fromJson, toBinary, toJson } from '@bufbuild/protobuf';
 import type { JsonObject } from '@bufbuild/protobuf';
@@ -25,13 +25,15 @@
 
 const LENIENT = { ignoreUnknownFields: true } as const;
 
-/** Runners whose leaving is remembered after they went off the list. */
+/** Maximum number of runners whose `leaving` state is remembered, also after they are removed from the list. */
 const MAXIMUM_REMEMBERED_LEAVING = 10_000;
 
 /**
- * @param revision - the store's revision after the changes.
- * @param changes - what happened, in order.
- * @returns They as a source gives them.
+ * Builds an update of the list from changes.
+ *
+ * @param revision - the store revision after the changes.
+ * @param changes - the changes, in order.
+ * @returns The update.
  */
 export function runnerChangesAnswer(
   revision: number,
@@ -42,10 +44,12 @@
 }
 
 /**
- * @param revision - the store's revision of the read, or the revision in force at a peer.
- * @param runners - the list.
- * @param changedRevision - the store's revision of the newest entry, where it is known.
- * @returns It as a source gives it.
+ * Builds an update that contains the whole list.
+ *
+ * @param revision - the store revision at which the list was read, or the revision in force at a peer.
+ * @param runners - the runners' records.
+ * @param changedRevision - the store revision of the newest entry, if known.
+ * @returns The update.
  */
 export function runnerListAnswer(
   revision: number,
@@ -60,7 +64,7 @@
   return { kind: 'whole', revision, digest: '', whole };
 }
 
-/** Goes forward by changes or by whole lists; `leaving` is never taken back within one incarnation. */
+/** The list of runners in force. A runner that was `leaving` stays so for the rest of its incarnation. */
 export class RunnerListDocument extends SyncedDocument {
   readonly name = 'runners';
 
@@ -68,17 +72,17 @@
 
   private readonly runners = new Map<string, RunnerRecord>();
 
-  /** The entries as they were listed, before `leaving` is kept. */
+  /** The records as the platform listed them, without the override that keeps `leaving`. */
   private readonly listed = new Map<string, RunnerRecord>();
 
-  /** The newest incarnation of each runner that was seen leaving, oldest first. */
+  /** The newest incarnation that was `leaving`, by runner id; the least recently updated runner first. */
   private readonly leaving = new Map<string, bigint>();
 
   private currentRevision = 0;
 
   private currentList: RunnerList | undefined;
 
-  /** @returns The list in force; the same object for one revision. */
+  /** @returns The list in force; always the same object for one revision. */
   list(): RunnerList {
     this.currentList ??= create(RunnerListSchema, { runners: [...this.runners.values()] });
     return this.currentList;
@@ -88,16 +92,16 @@
     return this.currentRevision;
   }
 
-  /** Content is not compared: what each daemon remembers of leaving runners differs for a while. */
+  /** Empty, since content is not compared: daemons temporarily differ in the leaving runners they remember. */
   override digest(): string {
     return '';
   }
 
-  override take(answer: DocumentAnswer): TakeResult {
-    if (answer.revision < this.currentRevision || answer.kind === 'same') return 'nothing';
-    if (answer.kind === 'whole') return this.takeWhole(answer);
-    this.takeChanges(answer.changes);
-    return this.enforce(answer.revision);
+  override take(update: DocumentAnswer): TakeResult {
+    if (update.revision < this.currentRevision || update.kind === 'same') return 'nothing';
+    if (update.kind === 'whole') return this.takeWhole(update);
+    this.takeChanges(update.changes);
+    return this.putInForce(update.revision);
   }
 
   override answer(haveRevision: number): DocumentAnswer {
@@ -111,21 +115,22 @@
   private takeWhole({ whole, revision }: DocumentAnswer & { kind: 'whole' }): TakeResult {
     const snapshot = fromBinary(RunnerListSnapshotSchema, Buffer.from(whole, 'base64'));
     const changedRevision = Number(snapshot.revision);
-    const same = this.isListed(snapshot.runners);
+    const same = this.hasSameRecords(snapshot.runners);
     if (same && changedRevision <= this.currentRevision) return 'nothing';
     const listed = new Set(snapshot.runners.map((record) => record.runnerId));
     [...this.runners.keys()]
       .filter((runnerId) => !listed.has(runnerId))
-      .forEach((runnerId) => this.drop(runnerId));
-    snapshot.runners.forEach((record) => this.keep(record));
-    // An entry that was removed leaves no revision behind: only the read's own revision is above it.
+      .forEach((runnerId) => this.removeRunner(runnerId));
+    snapshot.runners.forEach((record) => this.storeRecord(record));
+    // No remaining entry has the revision at which another one was removed. If only removals have happened,
+    // the revision of the read is used, because it is above that of the removal.
     const removedOnly = this.currentRevision > 0 && changedRevision <= this.currentRevision;
     const reached = removedOnly ? revision : changedRevision;
     this.log.restart(reached);
-    return this.enforce(reached);
+    return this.putInForce(reached);
   }
 
-  private isListed(runners: readonly RunnerRecord[]): boolean {
+  private hasSameRecords(runners: readonly RunnerRecord[]): boolean {
     if (runners.length !== this.listed.size) return false;
     return runners.every((record) => {
       const known = this.listed.get(record.runnerId);
@@ -133,13 +138,13 @@
     });
   }
 
-  private enforce(revision: number): TakeResult {
+  private putInForce(revision: number): TakeResult {
     this.currentRevision = revision;
     this.currentList = undefined;
     return 'applied';
   }
 
-  private drop(runnerId: string): void {
+  private removeRunner(runnerId: string): void {
     this.runners.delete(runnerId);
     this.listed.delete(runnerId);
   }
@@ -148,27 +153,32 @@
     for (const json of changes) {
       const change = fromJson(RunnerListChangeSchema, json, LENIENT);
       const revision = Number(change.revision);
-      // Several keys can change at one store revision, and a watch reports them one after the other.
+      // Changes at the current revision are applied too: several keys can change at one store revision, and a
+      // watch reports them one after the other.
       if (revision < this.currentRevision) continue;
-      if (change.record) this.keep(change.record);
-      else this.drop(change.runnerId);
+      if (change.record) this.storeRecord(change.record);
+      else this.removeRunner(change.runnerId);
       this.log.add(revision, json);
     }
   }
 
   /**
-   * The list lags and flaps: a runner that said it is leaving can show up as live again for some seconds.
-   * It would then get new work that its stop cuts off; callers would see streams break during planned stops.
+   * Stores a runner's record, but keeps `leaving` within one incarnation. The list lags and flaps: a leaving
+   * runner can be listed as live again for some seconds. It would then get new work that is cut off when it
+   * stops, and callers would see broken streams during planned stops.
    */
-  private keep(record: RunnerRecord): void {
+  private storeRecord(record: RunnerRecord): void {
     const { runnerId, incarnation } = record;
     const before = this.runners.get(runnerId);
     this.listed.set(runnerId, record);
     if (before && before.incarnation > incarnation) return;
     if (record.state === 'leaving') this.rememberLeaving(runnerId, incarnation);
-    const left = this.leaving.get(runnerId);
-    const sticky = left !== undefined && left >= incarnation && record.state !== 'leaving';
-    this.runners.set(runnerId, sticky ? { ...record, state: 'leaving' } : record);
+    const leavingIncarnation = this.leaving.get(runnerId);
+    const staysLeaving =
+      leavingIncarnation !== undefined &&
+      leavingIncarnation >= incarnation &&
+      record.state !== 'leaving';
+    this.runners.set(runnerId, staysLeaving ? { ...record, state: 'leaving' } : record);
   }
 
   private rememberLeaving(runnerId: string, incarnation: bigint): void {
--- a/src/configuration/SnapshotStore.ts
+++ b/src/configuration/SnapshotStore.ts
@@ -1,5 +1,6 @@
 /**
- * Whole documents at the platform: cut into chunks below the value limit, written before the head names them.
+ * Stores snapshots of the configuration, split into chunks below the store's limit for values. A snapshot's
+ * chunks are written before the head references them.
  */
 import { fromBinary, toBinary } from '@bufbuild/protobuf';
 
@@ -10,20 +11,20 @@
 import { CHUNKS_PREFIX, HEAD_KEY, chunkKey } from './configurationKeys.js';
 import { ConfigurationState } from './ConfigurationState.js';
 
-/** Bytes of one chunk: below the platform's largest value with room to spare. */
+/** Bytes of one chunk: well below the largest value that the store accepts. */
 export const CHUNK_BYTES = 900_000;
 
-/** Keys that one transaction removes; below the usual limit of operations in one. */
+/** Keys that one transaction removes; below the usual limit of operations in a transaction. */
 const DELETES_PER_TRANSACTION = 100;
 
-/** Chunks that were written, with what proves that they are still there. */
+/** A written snapshot, with the store revision of each chunk to verify that the chunk still exists. */
 export interface WrittenSnapshot {
   readonly snapshotId: string;
   readonly revision: number;
   readonly chunks: readonly { readonly key: string; readonly modifiedRevision: number }[];
 }
 
-/** Reads, writes and cleans chunks. */
+/** Reads, writes and removes the chunks of snapshots. */
 export class SnapshotStore {
   private readonly store: PlatformStore;
 
@@ -35,31 +36,38 @@
   }
 
   /**
-   * @param head - the head that names the snapshot.
-   * @returns The state it holds; the empty one when there is none yet.
-   * @throws {@link InconsistentStoreError} when chunks are missing or do not fit.
+   * Reads the snapshot that a head references.
+   *
+   * @param head - the head.
+   * @returns The state in the snapshot; the empty state if there is no snapshot yet.
+   * @throws {@link InconsistentStoreError} if a chunk is missing, or digest or revision do not match.
    */
   async read(head: ConfigurationHead): Promise<ConfigurationState> {
     if (head.snapshotChunks === 0) return ConfigurationState.EMPTY;
     const chunks: Uint8Array[] = [];
     for (let index = 0; index < head.snapshotChunks; index += 1) {
       const { entry } = await this.store.get(chunkKey(head.snapshotId, index));
-      if (!entry) throw new InconsistentStoreError(`chunk ${index} of ${head.snapshotId} is gone`);
+      if (!entry)
+        throw new InconsistentStoreError(
+          `chunk ${index} of snapshot ${head.snapshotId} is missing`,
+        );
       chunks.push(entry.value);
     }
     const snapshot = fromBinary(ConfigurationSnapshotSchema, Buffer.concat(chunks));
     const state = ConfigurationState.fromSnapshot(snapshot);
     if (state.digest !== snapshot.digest || BigInt(state.revision) !== head.snapshotRevision)
-      throw new InconsistentStoreError(`snapshot ${head.snapshotId} is not what the head names`);
+      throw new InconsistentStoreError(
+        `digest or revision of snapshot ${head.snapshotId} does not match`,
+      );
     return state;
   }
 
   /**
-   * Writes the chunks of a state; nothing refers to them yet.
+   * Writes the chunks of a state. The head does not reference them yet.
    *
-   * @param state - what to write.
-   * @param snapshotId - a name never used before.
-   * @returns What the head's change has to be conditioned on.
+   * @param state - the state to write.
+   * @param snapshotId - an id that was never used before.
+   * @returns The chunks; the transaction that changes the head has to be conditioned on them.
    */
   async write(state: ConfigurationState, snapshotId: string): Promise<WrittenSnapshot> {
     const bytes = toBinary(ConfigurationSnapshotSchema, state.toSnapshot());
@@ -71,21 +79,23 @@
         expected: [{ key, modifiedRevision: 0 }],
         writes: [{ kind: 'put', key, value }],
       });
-      if (result.kind === 'conflict') throw new InconsistentStoreError(`${key} exists already`);
+      if (result.kind === 'conflict')
+        throw new InconsistentStoreError(`snapshot chunk ${key} already exists`);
       chunks.push({ key, modifiedRevision: result.revision });
     }
     return { snapshotId, revision: state.revision, chunks };
   }
 
   /**
-   * Removes chunks that no head names: of older snapshots, and of writers that died halfway.
+   * Removes chunks that the head does not reference: those of older snapshots, and of writers that stopped
+   * halfway.
    *
-   * A writer may be between its chunks and its head. The removal holds only while the head is unchanged,
-   * and the writer's head is conditioned on its chunks: one of the two fails, so a head never names chunks
-   * that are gone, which would leave cold daemons without a configuration.
+   * Another writer may have written its chunks but not yet its head. The removal is conditioned on an unchanged
+   * head, and the writer's head on its chunks, so one of the two transactions fails. The head therefore never
+   * references removed chunks, which would leave starting daemons without a configuration.
    *
-   * @param readHead - reads the head; called after the keys were listed.
-   * @returns How many were removed.
+   * @param readHead - reads the head; called after the keys have been listed.
+   * @returns The number of removed chunks.
    */
   async removeUnreferenced(
     readHead: () => Promise<{ entry: StoreEntry | undefined; head: ConfigurationHead }>,
@@ -101,9 +111,11 @@
   }
 
   /**
-   * @param keys - keys to remove while the head is unchanged.
-   * @param headRevision - the store's revision of the head.
-   * @returns How many were removed.
+   * Removes keys as long as the head does not change.
+   *
+   * @param keys - the keys to remove.
+   * @param headRevision - the store revision of the head.
+   * @returns The number of removed keys.
    */
   async remove(keys: readonly string[], headRevision: number): Promise<number> {
     for (let start = 0; start < keys.length; start += DELETES_PER_TRANSACTION) {
--- a/src/configuration/SyncTimes.ts
+++ b/src/configuration/SyncTimes.ts
@@ -1,31 +1,32 @@
 /**
- * When a document's sync has to do what: back-off with jitter, pulls, checks.
+ * Schedules the tasks of a document's synchronization: retries with back-off and jitter, pulls, checks.
  */
 
-/** Times of the sync, all in milliseconds. */
+/** Timing of the synchronization, all in milliseconds. */
 export interface SyncTiming {
-  /** How long a daemon that knows nobody waits before it takes itself for a watcher. */
+  /** How long a daemon that knows no other daemon waits before it may become a watcher. */
   readonly startGraceMilliseconds: number;
-  /** First and longest wait after a failure of the platform. */
+  /** First back-off after a failure of the store. */
   readonly backOffBaseMilliseconds: number;
+  /** Longest back-off after failures of the store. */
   readonly backOffMaximumMilliseconds: number;
-  /** A watch that lasted this long ends the row of failures. */
+  /** A watch that lasted this long resets the back-off. */
   readonly stableWatchMilliseconds: number;
-  /** How often a watcher reads although its watch reports nothing. */
+  /** Interval between reads by which a watcher verifies that its watch has missed nothing. */
   readonly checkMilliseconds: number;
-  /** The same for the list of runners, which is read whole. */
+  /** The same interval for the list of runners; longer, because the list is read whole. */
   readonly runnersCheckMilliseconds: number;
-  /** Pulls are spread over this long after a newer revision was heard of. */
+  /** Pulls are spread over this time after a daemon has learned of a newer revision. */
   readonly pullSpreadMilliseconds: number;
-  /** How long a watcher lets its watch report before it pulls from a peer. */
+  /** How long a watcher waits for its watch to report a newer revision before it pulls from a peer. */
   readonly watchPatienceMilliseconds: number;
-  /** How long a peer that failed is passed over. */
+  /** How long a peer is avoided after a pull from it failed or returned nothing new. */
   readonly peerAvoidMilliseconds: number;
-  /** Reads for comparing content are spread over this long. */
+  /** Reads of the store that compare content are spread over this time. */
   readonly compareSpreadMilliseconds: number;
 }
 
-/** Defaults; see docs/design/configuration.md for their reasons. */
+/** Default timing; docs/design/configuration.md gives the reasons. */
 export const DEFAULT_SYNC_TIMING: SyncTiming = {
   startGraceMilliseconds: 1000,
   backOffBaseMilliseconds: 500,
@@ -39,17 +40,17 @@
   compareSpreadMilliseconds: 60_000,
 };
 
-/** What can be due. */
+/** Tasks that can be scheduled; `grace` is the end of the start grace period. */
 export type DueKind = 'grace' | 'retry' | 'check' | 'pull' | 'compare';
 
 /** Options of {@link SyncTimes}. */
 export interface SyncTimesOptions {
   timing: SyncTiming;
-  /** From 0 up to 1; seeded. */
+  /** Seeded random source: at least 0, below 1. */
   random: () => number;
 }
 
-/** Holds what is due when. */
+/** Due times of one document's tasks, and the back-off after failures of the store. */
 export class SyncTimes {
   readonly timing: SyncTiming;
 
@@ -64,22 +65,24 @@
   private startedAt: number | undefined;
 
   /**
-   * @param options - times and the random source.
+   * @param options - timing and the random source.
    */
   constructor({ timing, random }: SyncTimesOptions) {
     this.timing = timing;
     this.random = random;
   }
 
-  /** @returns The earliest time at which something is due. */
+  /** @returns When the next task is due, in monotonic milliseconds; `undefined` if none is scheduled. */
   nextWake(): number | undefined {
     return this.due.size === 0 ? undefined : Math.min(...this.due.values());
   }
 
   /**
-   * @param kind - what may be due.
+   * Removes a task from the schedule if it is due.
+   *
+   * @param kind - the task.
    * @param now - monotonic milliseconds.
-   * @returns Whether it was due; it is then no longer planned.
+   * @returns Whether the task was due.
    */
   take(kind: DueKind, now: number): boolean {
     const at = this.due.get(kind);
@@ -89,15 +92,20 @@
   }
 
   /**
-   * @param kind - what is not wanted any more.
+   * Removes a task from the schedule.
+   *
+   * @param kind - the task.
    */
   cancel(kind: DueKind): void {
     this.due.delete(kind);
   }
 
   /**
+   * Checks the grace period, which begins with the first call: during it, a daemon that knows no other daemon
+   * does not become a watcher.
+   *
    * @param now - monotonic milliseconds.
-   * @returns Whether the daemon has waited for company long enough.
+   * @returns Whether the grace period is over.
    */
   waitedForCompany(now: number): boolean {
     if (this.startedAt === undefined) {
@@ -109,8 +117,9 @@
   }
 
   /**
-   * Plans the next try after a failure. After an outage all watchers come back within the last wait's
-   * spread instead of at one moment, so the platform's return does not end in the next overload.
+   * Schedules the next attempt after a failure. Jitter spreads the watchers' retries after an outage over half
+   * of the last back-off; without it, they would all retry at once and overload the store that has just
+   * recovered.
    *
    * @param now - monotonic milliseconds.
    */
@@ -122,6 +131,8 @@
   }
 
   /**
+   * Schedules the first check of a new watch.
+   *
    * @param now - monotonic milliseconds.
    */
   watchStarted(now: number): void {
@@ -130,6 +141,8 @@
   }
 
   /**
+   * Cancels the check, and resets the back-off if the watch lasted long enough.
+   *
    * @param now - monotonic milliseconds.
    */
   watchEnded(now: number): void {
@@ -137,16 +150,16 @@
     if (now - this.watchingSince >= this.timing.stableWatchMilliseconds) this.watchWorks();
   }
 
-  /** Ends the row of failures. */
+  /** Resets the back-off after a success. */
   watchWorks(): void {
     this.failures = 0;
   }
 
   /**
-   * Plans a pull, unless one is planned.
+   * Schedules a pull, unless one is scheduled.
    *
    * @param now - monotonic milliseconds.
-   * @param watching - whether the own watch may report first.
+   * @param watching - whether this daemon's own watch is given time to report the revision first.
    */
   planPull(now: number, watching: boolean): void {
     if (this.due.has('pull')) return;
@@ -156,10 +169,10 @@
   }
 
   /**
-   * Plans a read that compares content, unless one is planned.
+   * Schedules a read of the store that compares content, unless one is scheduled.
    *
    * @param now - monotonic milliseconds.
-   * @returns Whether it was planned now.
+   * @returns Whether it was scheduled by this call.
    */
   planCompare(now: number): boolean {
     if (this.due.has('compare')) return false;
--- a/src/configuration/SyncedDocument.ts
+++ b/src/configuration/SyncedDocument.ts
@@ -1,42 +1,45 @@
 /**
- * A document that every daemon follows: what is in force here, and the changes that others may lack.
+ * Base class of the documents that every daemon keeps a copy of: the content in force, and the latest changes
+ * to send to peers that lack them.
  */
 import type { DocumentAnswer, DocumentName } from './configurationTypes.js';
 
-/** How taking an answer in ended. */
+/** Result of applying an update. */
 export type TakeResult =
-  /** The document is at a higher revision now, or has its right content at the same one. */
+  /** The document has a higher revision now, or its content at the same revision was corrected. */
   | 'applied'
-  /** Nothing new in it. */
+  /** The update contained nothing new. */
   | 'nothing'
-  /** Its changes do not follow on what is here: the whole is needed. */
+  /** The changes start after a later revision than the local one: the whole document is needed. */
   | 'gap'
-  /** Its content has not the digest that it claims: another source is needed. */
+  /** The content does not match its stated digest: another source is needed. */
   | 'differs';
 
-/** Only ever goes forward. */
+/** A local copy of one document. Its revision never decreases. */
 export abstract class SyncedDocument {
-  /** Which one it is. */
+  /** Which document it is. */
   abstract readonly name: DocumentName;
 
-  /** @returns The revision in force here; 0 before the first. */
+  /** @returns The revision in force on this daemon; 0 before the first. */
   abstract revision(): number;
 
-  /** @returns Digest of the content; empty where content is not compared. */
+  /** @returns Digest of the content; empty if the document's content is not compared between daemons. */
   abstract digest(): string;
 
   /**
-   * Takes in what a source gave. A lower revision is never applied.
+   * Applies an update. A lower revision is never applied.
    *
-   * @param answer - what the source gave.
-   * @returns What came of it; after anything but `applied` the document is as before, except that the
-   *   first changes of a broken series may have been taken in.
+   * @param update - the update.
+   * @returns The result. Unless it is `applied`, the document is unchanged, except that the first changes of
+   *   an invalid series may have been applied.
    */
-  abstract take(answer: DocumentAnswer): TakeResult;
+  abstract take(update: DocumentAnswer): TakeResult;
 
   /**
-   * @param haveRevision - what the asker has; 0 for nothing.
-   * @returns What it lacks, as changes where they are still kept and as the whole otherwise.
+   * Builds the update for a recipient.
+   *
+   * @param haveRevision - the recipient's revision; 0 if it has none.
+   * @returns The changes after that revision if they are still kept, the whole document otherwise.
    */
   abstract answer(haveRevision: number): DocumentAnswer;
 }
--- a/src/configuration/configurationErrors.ts
+++ b/src/configuration/configurationErrors.ts
@@ -1,12 +1,12 @@
 /**
- * What the platform's copy of the configuration can be found to be, other than readable.
+ * Errors in reading the configuration from the platform's store.
  */
 
-/** Thrown when what the platform holds does not fit together: a read met old data or a half-made change. */
+/** Thrown when records in the store contradict each other: a read returned stale data or met a partial change. */
 export class InconsistentStoreError extends Error {
   /**
-   * @param message - what does not fit.
-   * @param options - the cause.
+   * @param message - the inconsistency.
+   * @param options - the cause, if any.
    */
   constructor(message: string, options?: ErrorOptions) {
     super(message, options);
--- a/src/configuration/configurationFeature.ts
+++ b/src/configuration/configurationFeature.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration: its settings and its log events, numbers 1200 to 1299.
+ * Settings and log events of the synchronization of the configuration; event numbers 1200 to 1299.
  */
 import { z } from 'zod';
 
@@ -10,47 +10,47 @@
 const milliseconds = (standard: number, text: string) =>
   z.int().positive().default(standard).describe(`${text}, in milliseconds.`);
 
-/** Settings of the configuration's sync. */
+/** Schema of the settings for synchronizing the configuration and the list of runners. */
 export const configurationSettings = z.strictObject({
   watchersPerDataCentre: z
     .int()
     .min(1)
     .max(10)
     .default(2)
-    .describe('Daemons of each data centre that hold a watch at the platform.'),
+    .describe("Daemons in each data centre that hold a watch on the platform's store."),
   backOffBaseMilliseconds: milliseconds(
     DEFAULT_SYNC_TIMING.backOffBaseMilliseconds,
-    'First wait after the platform failed',
+    "First back-off after a failure of the platform's store",
   ),
   backOffMaximumMilliseconds: milliseconds(
     DEFAULT_SYNC_TIMING.backOffMaximumMilliseconds,
-    'Longest wait after the platform failed',
+    "Longest back-off after a failure of the platform's store",
   ),
   checkMilliseconds: milliseconds(
     DEFAULT_SYNC_TIMING.checkMilliseconds,
-    'How often a watcher reads although its watch reports nothing',
+    'Interval between the reads by which a watcher verifies that its watch has missed nothing',
   ),
   runnersCheckMilliseconds: milliseconds(
     DEFAULT_SYNC_TIMING.runnersCheckMilliseconds,
-    'The same for the list of runners, which is read whole',
+    'Interval between these reads for the list of runners, which is read whole',
   ),
   pullSpreadMilliseconds: milliseconds(
     DEFAULT_SYNC_TIMING.pullSpreadMilliseconds,
-    'How long pulls are spread over after a newer revision was heard of',
+    'Time over which daemons spread their pulls after learning of a newer revision',
   ),
-  pullTimeoutMilliseconds: milliseconds(3000, 'How long a pull from a peer may take'),
+  pullTimeoutMilliseconds: milliseconds(3000, 'Timeout of a pull from a peer'),
   historyChanges: z
     .int()
     .min(1000)
     .max(1_000_000)
     .default(20_000)
-    .describe('Changes that the history keeps at least.'),
+    .describe('Minimum number of changes that the history keeps.'),
 });
 
-/** Settings of the configuration's sync, with defaults filled in. */
+/** Settings for synchronizing the configuration and the list of runners, with defaults filled in. */
 export type ConfigurationSettings = z.infer<typeof configurationSettings>;
 
-/** Events of the configuration. */
+/** Log events of the configuration. */
 export const configurationLogEvents = {
   applied: defineLogEvent({
     number: 1200,
@@ -63,78 +63,79 @@
     number: 1201,
     name: 'configuration.behind_refused',
     level: 'warn',
-    text: 'A source offered an older revision than the fleet has in force; it was not applied.',
+    text: 'A source offered an older revision of a document than the fleet has in force; it was not applied.',
     operatorAction:
-      'Look whether the platform answers with old data or was restored from an older copy.',
+      "Check whether the platform's store returns stale data or was restored from an older backup.",
   }),
   contentDiffers: defineLogEvent({
     number: 1202,
     name: 'configuration.content_differs',
     level: 'error',
-    text: 'A document has another content than its digest, or than a peer has at the same revision.',
+    text: 'The content of a document does not match its digest, or differs from a peer at the same revision.',
     operatorAction:
-      'The daemon fetches the whole again. If it repeats, report a fault of the program.',
+      'None: the daemon fetches the whole document again. If it repeats, report a bug.',
   }),
   platformFailed: defineLogEvent({
     number: 1203,
     name: 'configuration.platform_failed',
     level: 'warn',
-    text: 'A watcher could not read or watch a document at the platform; it tries again later.',
-    operatorAction: 'None while peers serve revisions; look at the platform if it lasts.',
+    text: "A watcher could not read or watch a document in the platform's store; it retries with back-off.",
+    operatorAction:
+      "None while peers serve new revisions; check the platform's store if it persists.",
   }),
   pullFailed: defineLogEvent({
     number: 1204,
     name: 'configuration.pull_failed',
     level: 'info',
-    text: 'A peer did not give a document; another one is asked.',
-    operatorAction: 'None, unless one peer is named again and again.',
+    text: 'A pull of a document from a peer failed; another peer is tried.',
+    operatorAction: 'None, unless the same peer is named repeatedly; then check that peer.',
   }),
   watchStarted: defineLogEvent({
     number: 1205,
     name: 'configuration.watch_started',
     level: 'info',
-    text: 'This daemon watches a document at the platform.',
+    text: "This daemon started to watch a document in the platform's store.",
     operatorAction: 'None.',
   }),
   watchStopped: defineLogEvent({
     number: 1206,
     name: 'configuration.watch_stopped',
     level: 'info',
-    text: 'This daemon no longer watches a document at the platform.',
+    text: "This daemon stopped watching a document in the platform's store.",
     operatorAction: 'None.',
   }),
   snapshotWritten: defineLogEvent({
     number: 1207,
     name: 'configuration.snapshot_written',
     level: 'info',
-    text: 'The whole configuration was written in chunks, so that cold daemons read fewer changes.',
+    text: 'A snapshot of the configuration was written, so that starting daemons read fewer changes.',
     operatorAction: 'None.',
   }),
   snapshotFailed: defineLogEvent({
     number: 1208,
     name: 'configuration.snapshot_failed',
     level: 'warn',
-    text: 'The whole configuration could not be written in chunks; the next change tries again.',
-    operatorAction: 'Look at the platform if it repeats.',
+    text: 'A snapshot of the configuration could not be written; the next change retries it.',
+    operatorAction: "Check the platform's store if it repeats.",
   }),
   platformBehind: defineLogEvent({
     number: 1209,
     name: 'configuration.platform_behind',
     level: 'error',
-    text: 'The platform holds an older revision than is in force; changes are not accepted.',
+    text: "The platform's store holds an older revision than this daemon has in force; changes are refused.",
     operatorAction:
-      'If the platform was restored from an older copy, have a daemon write its configuration back.',
+      'If the store was restored from an older backup, have a daemon write its configuration back.',
   }),
   badInstance: defineLogEvent({
     number: 1210,
     name: 'configuration.bad_instance',
     level: 'warn',
-    text: "An entry of the platform's list of instances is unreadable and is left out.",
+    text: "An entry of the platform's list of instances is invalid and is skipped.",
     operatorAction: 'Correct the entry in the list of instances.',
   }),
 } as const;
 
-/** The configuration feature. */
+/** The configuration feature: its settings and log events. */
 export const configurationFeature = defineFeature({
   name: 'configuration',
   settings: configurationSettings,
--- a/src/configuration/configurationKeys.ts
+++ b/src/configuration/configurationKeys.ts
@@ -1,23 +1,23 @@
 /**
- * Where the platform's service keeps what: the keys of configuration and of the list of runners.
+ * Key layout of the platform's store: the keys of the configuration and of the list of runners.
  */
 
-/** The one key that changes only by compare-and-swap. */
+/** The configuration's head: newest revision and snapshot. It changes only by compare-and-swap. */
 export const HEAD_KEY = 'configuration/head';
 
-/** Accepted changes; watched. */
+/** Accepted changes; watchers watch this prefix. */
 export const CHANGES_PREFIX = 'configuration/changes/';
 
-/** One key for each change id, so that a repeated change is recognized anywhere. */
+/** One key per change id, so that every daemon recognizes a repeated change. */
 export const CHANGE_IDS_PREFIX = 'configurationIds/';
 
-/** Chunks of snapshots; not watched, because they are large. */
+/** Chunks of snapshots. They are outside the watched prefix, because they are large. */
 export const CHUNKS_PREFIX = 'configurationChunks/';
 
-/** The platform's list of live and leaving instances: our assumption, see docs/INTERFACES.md. */
+/** The platform's list of live and leaving instances; an assumption of the project, see docs/INTERFACES.md. */
 export const INSTANCES_PREFIX = 'instances/';
 
-/** Changes whose keys share a prefix, so that one range call reads them. */
+/** Number of changes in a block: their keys share a prefix, so that one range call reads them. */
 export const CHANGES_PER_BLOCK = 100;
 
 const BLOCK_DIGITS = 10;
@@ -26,7 +26,7 @@
 
 /**
  * @param revision - a revision of the configuration.
- * @returns The number of its block.
+ * @returns The number of the block that contains its change.
  */
 export function blockOf(revision: number): number {
   return Math.floor(revision / CHANGES_PER_BLOCK);
@@ -34,7 +34,7 @@
 
 /**
  * @param block - a block's number.
- * @returns The prefix of its changes.
+ * @returns The key prefix of the block's changes.
  */
 export function blockPrefix(block: number): string {
   return `${CHANGES_PREFIX}${String(block).padStart(BLOCK_DIGITS, '0')}/`;
@@ -49,15 +49,15 @@
 }
 
 /**
- * @param changeId - as its author gave it.
- * @returns The key that remembers it.
+ * @param changeId - the id that the change's author chose.
+ * @returns The key that stores the revision of the change with this id.
  */
 export function changeIdKey(changeId: string): string {
   return `${CHANGE_IDS_PREFIX}${encodeURIComponent(changeId)}`;
 }
 
 /**
- * @param snapshotId - a snapshot.
+ * @param snapshotId - the snapshot's id.
  * @param index - number of the chunk, from 0.
  * @returns The chunk's key.
  */
@@ -66,16 +66,16 @@
 }
 
 /**
- * @param runnerId - a runner.
- * @returns Its key in the list of instances.
+ * @param runnerId - the runner's id.
+ * @returns The runner's key in the list of instances.
  */
 export function instanceKey(runnerId: string): string {
   return `${INSTANCES_PREFIX}${runnerId}`;
 }
 
 /**
- * @param key - a key of the list of instances.
- * @returns The runner.
+ * @param key - a key in the list of instances.
+ * @returns The id of the runner that it lists.
  */
 export function runnerOfKey(key: string): string {
   return key.slice(INSTANCES_PREFIX.length);
--- a/src/configuration/configurationTypes.ts
+++ b/src/configuration/configurationTypes.ts
@@ -1,21 +1,22 @@
 /**
- * Messages and actions of the configuration's decisions: JSON data throughout.
+ * Messages and actions of the configuration's decisions. All of them are JSON data, so that sessions can be
+ * recorded and replayed.
  */
 import type { JsonObject } from '@bufbuild/protobuf';
 
-/** The two documents that every daemon follows. */
+/** The two documents that every daemon keeps a copy of. */
 export const DOCUMENT_NAMES = ['configuration', 'runners'] as const;
 
-/** See {@link DOCUMENT_NAMES}. */
+/** Name of a synchronized document; see {@link DOCUMENT_NAMES}. */
 export type DocumentName = (typeof DOCUMENT_NAMES)[number];
 
 /**
- * What a source gives to somebody who has a revision: from a peer, from the platform, from a watch.
- * Changes are in the JSON form of their schema; a whole document is its serialized form in base64,
- * because it can have megabytes.
+ * Update of a document relative to the revision that the recipient has. It comes from a peer, a read of the
+ * store or a watch. Changes are in the JSON form of their schema; a whole document is its protobuf encoding
+ * in base64, because it can be megabytes large.
  */
 export type DocumentAnswer =
-  /** The source's revision is not above the one asked with. */
+  /** The source has no newer revision than the recipient. */
   | { readonly kind: 'same'; readonly revision: number; readonly digest: string }
   | {
       readonly kind: 'changes';
@@ -31,32 +32,32 @@
       readonly whole: string;
     };
 
-/** What gossip says of one daemon, as far as the documents are concerned. */
+/** A daemon's membership record, reduced to what the synchronization of documents needs. */
 export interface MemberRevisions {
   readonly daemonId: string;
-  /** Grows with every start of the daemon. */
+  /** Increases with every start of the daemon. */
   readonly incarnation: number;
   readonly peerAddress: string;
   readonly region: string;
   readonly dataCentre: string;
-  /** Whether it is alive: not suspected, leaving, dead or gone. */
+  /** Whether the daemon is alive: not suspected, leaving, dead or gone. */
   readonly alive: boolean;
   readonly configurationRevision: number;
   readonly configurationDigest: string;
   readonly runnersRevision: number;
 }
 
-/** Why a watch ended. */
+/** Why a watch ended: connection lost, or its start revision compacted away by the store. */
 export type WatchEnd = 'lost' | 'compacted';
 
-/** What the decisions are told. */
+/** Inputs of the decisions. */
 export type ConfigurationMessage =
   | { readonly kind: 'tick' }
-  /** The whole picture of the membership, this daemon included. */
+  /** The whole membership list, including this daemon. */
   | { readonly kind: 'members'; readonly members: readonly MemberRevisions[] }
-  /** One record that gossip brought. */
+  /** One membership record that arrived by gossip. */
   | { readonly kind: 'member_revision'; readonly member: MemberRevisions }
-  /** A daemon said of itself what it has in force. */
+  /** A daemon reported the revision that it has in force. */
   | {
       readonly kind: 'peer_revision';
       readonly document: DocumentName;
@@ -67,7 +68,7 @@
       readonly kind: 'platform_answered';
       readonly document: DocumentName;
       readonly answer: DocumentAnswer;
-      /** The store's revision of the read: a watch goes on from the next one. */
+      /** Store revision at which the read happened: a watch continues from the next one. */
       readonly storeRevision: number;
     }
   | { readonly kind: 'platform_failed'; readonly document: DocumentName; readonly reason: string }
@@ -95,20 +96,20 @@
       readonly from: string;
       readonly reason: string;
     }
-  /** A peer asks; answered by `answer_pull` with the same id. */
+  /** A peer requests a pull; answered by an `answer_pull` action with the same id. */
   | {
       readonly kind: 'pull_requested';
       readonly id: number;
       readonly document: DocumentName;
       readonly haveRevision: number;
     }
-  /** A change that this daemon committed at the platform. */
+  /** This daemon committed a change to the store. */
   | { readonly kind: 'committed'; readonly answer: DocumentAnswer };
 
-/** Where applied content came from. */
+/** Where applied content came from; `platform` is a read of the store. */
 export type DocumentSource = 'platform' | 'watch' | 'peer' | 'commit';
 
-/** Events that the decisions ask to log; see configurationFeature.ts. */
+/** Log events that the decisions request; see configurationFeature.ts. */
 export type ConfigurationReport =
   | 'applied'
   | 'behind_refused'
@@ -118,7 +119,7 @@
   | 'watch_started'
   | 'watch_stopped';
 
-/** What the decisions ask for. */
+/** Outputs of the decisions. */
 export type ConfigurationAction =
   | {
       readonly kind: 'read_platform';
@@ -145,7 +146,7 @@
       readonly document: DocumentName;
       readonly answer: DocumentAnswer;
     }
-  /** The document in force here has changed. */
+  /** The document in force on this daemon has changed. */
   | {
       readonly kind: 'applied';
       readonly document: DocumentName;
--- a/src/configuration/editChecks.ts
+++ b/src/configuration/editChecks.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of the edits of one change, apart from those of the configuration as a whole.
+ * Checks of the edits of one change. The checks of the whole configuration are in validateConfiguration.ts.
  */
 import type { Finding } from '../findings/Findings.js';
 import { Findings } from '../findings/Findings.js';
@@ -8,15 +8,16 @@
 import type { ConfigurationState } from './ConfigurationState.js';
 import { entityField, entityKey, nameOfEdit } from './entities.js';
 
-/** Edits of one change, at most: the change has to fit into one value of the platform. */
+/** Maximum number of edits in one change: the change has to fit into one value of the store. */
 export const MAXIMUM_EDITS = 1000;
 
-const MAXIMUM_TEXT = 200;
+/** Maximum length of a change id and of an author, in characters; a comment may be ten times as long. */
+const MAXIMUM_TEXT_LENGTH = 200;
 
 /**
- * Checks what needs no state: names, doubles, lengths.
+ * Runs the checks that do not need the current state: names, lengths, and several edits of one entity.
  *
- * @param requested - the change.
+ * @param requested - the requested change.
  * @returns All findings.
  */
 export function findEditFindings({
@@ -27,12 +28,12 @@
 }: RequestedChange): readonly Finding[] {
   const findings = new Findings();
   const filled = (field: string, value: string): void => {
-    const right = value !== '' && value.length <= MAXIMUM_TEXT;
-    if (!right) findings.add({ field }, `has to be 1 to ${MAXIMUM_TEXT} characters`);
+    const right = value !== '' && value.length <= MAXIMUM_TEXT_LENGTH;
+    if (!right) findings.add({ field }, `has to be 1 to ${MAXIMUM_TEXT_LENGTH} characters`);
   };
   filled('changeId', changeId);
   filled('author', author);
-  if (comment.length > MAXIMUM_TEXT * 10) findings.add({ field: 'comment' }, 'is too long');
+  if (comment.length > MAXIMUM_TEXT_LENGTH * 10) findings.add({ field: 'comment' }, 'is too long');
   if (edits.length === 0) findings.add({ field: 'edits' }, 'are missing');
   if (edits.length > MAXIMUM_EDITS)
     findings.add({ field: 'edits' }, `are more than ${MAXIMUM_EDITS}`);
@@ -53,11 +54,11 @@
 }
 
 /**
- * Compares what an operator saw with what there is.
+ * Compares the revisions that an operator's edits are based on with the current ones.
  *
  * @param state - the newest state.
- * @param edits - with the revisions that the operator saw.
- * @returns The conflict of the first edit that lost, with the newer value; `undefined` when none lost.
+ * @param edits - the edits, with the revisions that the operator saw.
+ * @returns The first conflict, with the entity's current value; `undefined` if there is none.
  */
 export function findConflict(
   state: ConfigurationState,
@@ -74,11 +75,11 @@
 }
 
 /**
- * Moves findings of the whole to the edits that caused them, where an edit is about the entity.
+ * Replaces the field paths of findings by paths of the edits that caused them, if an edit concerns the entity.
  *
- * @param findings - with fields such as `services[tile-sales].model`.
+ * @param findings - findings with fields such as `services[tile-sales].model`.
  * @param edits - the edits of the change.
- * @returns The same with fields such as `edits[2].model`.
+ * @returns The same findings, with fields such as `edits[2].model`.
  */
 export function placeAtEdits(
   findings: readonly Finding[],
--- a/src/configuration/entities.ts
+++ b/src/configuration/entities.ts
@@ -1,5 +1,5 @@
 /**
- * The entities that operators configure: their names, where findings place them, and their digest.
+ * The entities that operators configure: their names, their place in validation findings, and their digest.
  */
 import { createHash } from 'node:crypto';
 
@@ -10,7 +10,7 @@
 import { keyOf } from '../operators/resourceKinds.js';
 import type { EntityKind } from '../operators/resourceKinds.js';
 
-/** Field of the whole document that holds entities of a kind. */
+/** Field of the configuration that holds the entities of each kind. */
 export const ENTITY_FIELDS: Readonly<Record<EntityKind, string>> = {
   client_account: 'clientAccounts',
   service: 'services',
@@ -20,29 +20,29 @@
   rollout: 'rollouts',
 };
 
-/** An entity's kind and name: unique within the document. */
+/** An entity's kind and name, which identify it within the document. */
 export interface EntityName {
   readonly kind: EntityKind;
   readonly name: string;
 }
 
-/** Bytes of an entity's digest that are kept. */
+/** Length to which an entity's digest is truncated, in bytes. */
 const DIGEST_BYTES = 16;
 
-/** The digest of a document without entities. */
+/** Digest of a document without entities, hexadecimal. */
 export const EMPTY_DIGEST = '00'.repeat(DIGEST_BYTES);
 
 /**
  * @param entity - an entity.
- * @returns Its kind and name, or `undefined` when it is empty or of a newer schema.
+ * @returns Its kind and name, or `undefined` if it is empty or of a kind from a newer schema.
  */
 export function nameOfEntity({ entity }: ConfigurationEntity): EntityName | undefined {
   return entity.case === undefined ? undefined : keyOf(entity);
 }
 
 /**
- * @param edit - what an operator wants.
- * @returns The entity that it is about, or `undefined` when it names none.
+ * @param edit - an edit of a change.
+ * @returns Kind and name of the edited entity, or `undefined` if the edit names no entity of a known kind.
  */
 export function nameOfEdit({ edit }: EntityEdit): EntityName | undefined {
   if (edit.case === 'upsert') return nameOfEntity(edit.value);
@@ -52,7 +52,7 @@
 
 /**
  * @param name - kind and name of an entity.
- * @returns A key for maps.
+ * @returns The entity's key in maps.
  */
 export function entityKey({ kind, name }: EntityName): string {
   return `${kind}/${name}`;
@@ -60,7 +60,7 @@
 
 /**
  * @param name - kind and name of an entity.
- * @returns Where it stands in the document, for example `services[tile-sales]`.
+ * @returns The entity's field path in the document, for example `services[tile-sales]`.
  */
 export function entityField({ kind, name }: EntityName): string {
   return `${ENTITY_FIELDS[kind]}[${name}]`;
@@ -71,13 +71,13 @@
 }
 
 /**
- * Adds entities to, or takes them from, a document's digest. The digest of a document is the exclusive or
- * of its entities' digests: a change costs what it touches, not a reading of the whole document. It finds
- * mistakes, not forgery: peers and the platform are authenticated. Fields of a newer schema are kept and
- * counted, so that daemons of different versions agree.
+ * Adds entities to a document's digest, or removes them from it. The digest of a document is the exclusive or
+ * of its entities' digests, so the cost of an update depends on the changed entities, not on the size of the
+ * document. It detects accidental differences, not forgery: peers and the platform are authenticated. Unknown
+ * fields from a newer schema are kept and included, so that daemons of different versions get the same digest.
  *
  * @param digest - the document's digest, hexadecimal.
- * @param entities - what comes or goes.
+ * @param entities - the entities to add or to remove.
  * @returns The document's new digest.
  */
 export function toggleDigest(digest: string, entities: Iterable<ConfigurationEntity>): string {
--- a/src/configuration/memberRevisions.ts
+++ b/src/configuration/memberRevisions.ts
@@ -1,12 +1,14 @@
 /**
- * What the membership's records say of documents.
+ * Extracts the revisions of documents from membership records.
  */
 import type { Member } from '../generated/baobabdock/v1/peers_pb.js';
 import type { MemberRevisions } from './configurationTypes.js';
 
 /**
- * @param member - a record of the membership.
- * @returns What the configuration's decisions need of it.
+ * Reduces a membership record to what the configuration's decisions need.
+ *
+ * @param member - a membership record.
+ * @returns The daemon's location, liveness and revisions.
  */
 export function toMemberRevisions(member: Member): MemberRevisions {
   return {
--- a/src/configuration/pullMessages.ts
+++ b/src/configuration/pullMessages.ts
@@ -1,5 +1,5 @@
 /**
- * Documents on their way between daemons: the binary content of `PullDocument` answers.
+ * Encodes and decodes documents sent between daemons: the binary content of `PullDocument` responses.
  */
 import { create, fromBinary, fromJson, toBinary, toJson } from '@bufbuild/protobuf';
 import type { JsonObject } from '@bufbuild/protobuf';
@@ -18,8 +18,8 @@
 const LENIENT = { ignoreUnknownFields: true } as const;
 
 /**
- * @param text - as a peer wrote it.
- * @returns Whether it names a document.
+ * @param text - a document name received from a peer.
+ * @returns Whether it is the name of a known document.
  */
 export function isDocumentName(text: string): text is DocumentName {
   return (DOCUMENT_NAMES as readonly string[]).includes(text);
@@ -51,9 +51,11 @@
 }
 
 /**
- * @param document - which document.
- * @param answer - what a peer is given.
- * @returns The same as it goes over the wire; its size is what a pull costs.
+ * Encodes an update for a peer.
+ *
+ * @param document - the document's name.
+ * @param answer - the update.
+ * @returns The response message; its size determines the traffic of a pull.
  */
 export function encodeAnswer(document: DocumentName, answer: DocumentAnswer): PullDocumentResponse {
   const { kind, revision, digest } = answer;
@@ -71,10 +73,12 @@
 }
 
 /**
- * @param document - which document.
- * @param response - what a peer sent.
- * @returns The same for the decisions.
- * @throws {@link RangeError} for a kind that is not known; what the codec throws for broken content.
+ * Decodes a peer's response.
+ *
+ * @param document - the document's name.
+ * @param response - the response message.
+ * @returns The update for the decisions.
+ * @throws {@link RangeError} for an unknown kind; the codec's own errors for malformed content.
  */
 export function decodeAnswer(
   document: DocumentName,
@@ -84,5 +88,7 @@
   if (kind === 'same') return { kind, ...common };
   if (kind === 'whole') return { kind, ...common, whole: Buffer.from(content).toString('base64') };
   if (kind === 'changes') return { kind, ...common, changes: decodeChanges(document, content) };
-  throw new RangeError(`a peer answered with the unknown kind ${kind}`);
+  throw new RangeError(
+    `a peer answered a pull with the unknown kind ${kind}; expected same, whole or changes`,
+  );
 }
--- a/src/configuration/readState.ts
+++ b/src/configuration/readState.ts
@@ -1,5 +1,5 @@
 /**
- * Works out a state from another one and what a source gave, without putting it in force.
+ * Computes the configuration state after an update, without putting it in force.
  */
 import { fromBinary, fromJson } from '@bufbuild/protobuf';
 
@@ -12,10 +12,12 @@
 import type { DocumentAnswer } from './configurationTypes.js';
 
 /**
- * @param state - what the asker has.
- * @param answer - what the source gave for it.
- * @returns The state after the answer.
- * @throws {@link InconsistentStoreError} when the answer does not follow on the state.
+ * Computes the state after an update.
+ *
+ * @param state - the state that the update was requested for.
+ * @param answer - the update from the store.
+ * @returns The state after the update.
+ * @throws {@link InconsistentStoreError} if a change cannot be applied to the state before it.
  */
 export function readState(state: ConfigurationState, answer: DocumentAnswer): ConfigurationState {
   if (answer.kind === 'same') return state;
@@ -26,7 +28,10 @@
   return answer.changes.reduce<ConfigurationState>((before, json) => {
     const change = fromJson(ConfigurationChangeSchema, json, { ignoreUnknownFields: true });
     const after = before.withChange(change);
-    if (!after) throw new InconsistentStoreError(`change ${change.revision} does not fit`);
+    if (!after)
+      throw new InconsistentStoreError(
+        `change ${change.revision} has another revision or digest than expected`,
+      );
     return after;
   }, state);
 }
--- a/src/configuration/replayedConfiguration.spec.ts
+++ b/src/configuration/replayedConfiguration.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The recorded sessions of the configuration: the decisions still choose what was recorded.
+ * Replays the recorded sessions of the configuration: the decisions have to choose the recorded actions.
  */
 import { readFile } from 'node:fs/promises';
 import { describe, it } from 'node:test';
@@ -13,9 +13,9 @@
 import { replayedConfiguration } from './replayedConfiguration.js';
 
 describe('recorded sessions of the configuration', () => {
-  for (const story of CONFIGURATION_SESSIONS) {
-    it(`replay and happen again byte for byte: ${story.name}`, async () => {
-      const { name, lines } = await story();
+  for (const recordSession of CONFIGURATION_SESSIONS) {
+    it(`replay and happen again byte for byte: ${recordSession.name}`, async () => {
+      const { name, lines } = await recordSession();
       const file = new URL(`../../golden/configuration-${name}.jsonl`, import.meta.url);
       const recorded = await readFile(file, 'utf8');
       const findings = new Findings();
--- a/src/configuration/replayedConfiguration.ts
+++ b/src/configuration/replayedConfiguration.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the configuration's decisions from the options of a recorded session.
+ * Creates the configuration's decisions for the replay of a recorded session.
  */
 import { z } from 'zod';
 
@@ -13,8 +13,10 @@
 });
 
 /**
- * @param options - of the session's header: this daemon, the seed, how many watchers.
- * @returns New decisions.
+ * Creates decisions from the options in a session's header.
+ *
+ * @param options - the daemon's location, the random seed, and the number of watchers.
+ * @returns The decisions in their initial state.
  */
 export function replayedConfiguration(
   options: Readonly<Record<string, unknown>>,
--- a/src/configuration/testFollowing.ts
+++ b/src/configuration/testFollowing.ts
@@ -1,28 +1,33 @@
 /**
- * Fleets that follow the platform's documents, for tests.
+ * Test helpers for fleets that synchronize their documents with the platform's store.
  */
 import { expect } from 'earl';
 
 import type { FollowingFleet, FleetPlace } from '../../standIns/platform/FollowingFleet.js';
 import { policyEdit } from '../../standIns/platform/sampleConfiguration.js';
 
-/** In ms. */
+/** One second, in milliseconds. */
 export const SECOND = 1000;
 
-/** Longest time for all of a small fleet to follow: gossip in turns, a pull, and a failed peer or two. */
+/**
+ * Upper limit for a change to reach every daemon of a small fleet, in milliseconds: several gossip rounds, a
+ * pull, and one or two failed peers.
+ */
 export const SETTLE = 6 * SECOND;
 
-/** Checks that come several times in a test. */
+/** Check intervals that are short enough for several checks within one test, in milliseconds. */
 export const QUICK_CHECKS = {
   checkMilliseconds: 8 * SECOND,
   runnersCheckMilliseconds: 8 * SECOND,
 } as const;
 
 /**
- * @param regions - how many.
- * @param dataCentres - of each region.
- * @param daemons - of each data centre.
- * @returns Where each daemon is.
+ * Lists the locations of a fleet's daemons.
+ *
+ * @param regions - number of regions.
+ * @param dataCentres - number of data centres in each region.
+ * @param daemons - number of daemons in each data centre.
+ * @returns The location of each daemon.
  */
 export function places(regions: number, dataCentres: number, daemons: number): FleetPlace[] {
   return Array.from({ length: regions }, (_r, region) =>
@@ -35,7 +40,7 @@
   ).flat(2);
 }
 
-/** Commits one change of a policy through a daemon. */
+/** Commits a change of the routing policy `warm` through one daemon. */
 export const change = (fleet: FollowingFleet, index: number, name: string, bound = 1.2) =>
   fleet.editor(index).change({
     changeId: name,
@@ -44,6 +49,6 @@
     edits: [policyEdit('warm', bound)],
   });
 
-/** Every daemon is at this revision. */
+/** Expects every daemon to be at a revision. */
 export const allEqual = (fleet: FollowingFleet, revision: number): void =>
   expect(fleet.revisions()).toEqual(fleet.revisions().map(() => revision));
--- a/src/configuration/validateConfiguration.ts
+++ b/src/configuration/validateConfiguration.ts
@@ -1,5 +1,6 @@
 /**
- * What a configuration has to fulfil as a whole. A change that breaks it is refused whole, with all findings.
+ * Validates a whole configuration. A change that leads to an invalid configuration is refused as a whole, with
+ * all findings.
  */
 import { Findings } from '../findings/Findings.js';
 import type { Finding } from '../findings/Findings.js';
@@ -18,7 +19,7 @@
 
 const PRIORITIES = ['urgent', 'standard', 'background'];
 const SERVICE_KINDS = ['engine', 'plain'];
-/** Empty leaves a runner's role as it is. */
+/** An empty role leaves the runner's role unchanged. */
 const WANTED_ROLES = ['', 'prefill', 'decode', 'mixed'];
 const VERSION_STATES = ['available', 'withdrawn'];
 const OVERFLOWS = ['never', 'region', 'anywhere'];
@@ -33,18 +34,18 @@
 const DIGEST_BYTES = 32;
 const MAXIMUM_KEYS = 16;
 
-/** Paths that the callers' interface uses itself. */
+/** Path prefixes that the callers' interface itself uses. */
 const RESERVED_PREFIXES = ['/v1', '/locate', '/health', '/metrics'];
 
 const METHOD = /^[A-Z]{1,20}$/u;
 const PATH_PREFIX = /^(?:\/[A-Za-z0-9._~-]+)+$/u;
 
-/** Whether one path begins with all segments of the other. */
+/** Whether one of two paths begins with all segments of the other. */
 function overlap(a: string, b: string): boolean {
   return `${a}/`.startsWith(`${b}/`) || `${b}/`.startsWith(`${a}/`);
 }
 
-/** Looks at all entities of one state. */
+/** Validates all entities of one state. */
 class ConfigurationValidator {
   private readonly findings = new Findings();
 
@@ -69,15 +70,15 @@
     whole.routingPolicies.forEach((policy) => this.policy(policy));
     whole.drains.forEach((drain) => this.drain(drain));
     whole.rollouts.forEach((rollout) => this.rollout(rollout));
-    this.keysAreUnique(whole.clientAccounts);
-    this.modelsAreUnique(whole.services);
-    this.versionsAreUnique();
-    this.prefixesAreApart(whole.services);
+    this.checkKeysUnique(whole.clientAccounts);
+    this.checkModelsUnique(whole.services);
+    this.checkVersionsUnique();
+    this.checkPrefixesDisjoint(whole.services);
     return this.findings.list();
   }
 
   private account(account: ClientAccount): void {
-    const check = this.checks('client_account', account.name);
+    const check = this.checksFor('client_account', account.name);
     check.name('name', account.name);
     check.filled('firm', account.firm);
     check.oneOf('highestPriority', account.highestPriority, PRIORITIES);
@@ -99,7 +100,7 @@
   }
 
   private service(service: Service): void {
-    const check = this.checks('service', service.name);
+    const check = this.checksFor('service', service.name);
     check.name('name', service.name);
     check.filled('firm', service.firm);
     check.oneOf('kind', service.kind, SERVICE_KINDS);
@@ -148,7 +149,7 @@
   }
 
   private version(version: ModelVersion): void {
-    const check = this.checks('model_version', version.name);
+    const check = this.checksFor('model_version', version.name);
     check.name('name', version.name);
     check.filled('model', version.model);
     check.filled('version', version.version);
@@ -159,7 +160,7 @@
   }
 
   private policy(policy: RoutingPolicy): void {
-    const check = this.checks('routing_policy', policy.name);
+    const check = this.checksFor('routing_policy', policy.name);
     check.name('name', policy.name);
     check.range('bound', policy.bound, MINIMUM_BOUND, MAXIMUM_BOUND);
     check.range('warmChoices', policy.warmChoices, 1, MAXIMUM_CHOICES);
@@ -169,13 +170,13 @@
   }
 
   private drain(drain: Drain): void {
-    const check = this.checks('drain', drainName(drain));
+    const check = this.checksFor('drain', drainName(drain));
     check.oneOf('kind', drain.kind, DRAIN_KINDS);
     check.filled('id', drain.id);
   }
 
   private rollout(rollout: Rollout): void {
-    const check = this.checks('rollout', rollout.name);
+    const check = this.checksFor('rollout', rollout.name);
     check.filled('name', rollout.name);
     check.oneOf('state', rollout.state, ROLLOUT_STATES);
     check.range('maximumUnavailableShare', rollout.maximumUnavailableShare, 0, 1);
@@ -188,45 +189,48 @@
     check.that('toVersion', known || !service, `names a missing version of ${service?.model}`);
   }
 
-  /** Callers are known by their key alone: one key id at two accounts would mix up their answers' owners. */
-  private keysAreUnique(accounts: readonly ClientAccount[]): void {
+  /**
+   * Callers are identified by their key alone: with one key id in two accounts, requests could be attributed to
+   * the wrong account.
+   */
+  private checkKeysUnique(accounts: readonly ClientAccount[]): void {
     const owners = new Map<string, string>();
     for (const { name, keys } of accounts) {
       keys.forEach(({ keyId }, index) => {
         const owner = owners.get(keyId);
         const field = `keys[${index}].keyId`;
-        const check = this.checks('client_account', name);
+        const check = this.checksFor('client_account', name);
         check.that(field, owner === undefined, `${keyId} is already a key of ${owner}`);
         owners.set(keyId, owner ?? name);
       });
     }
   }
 
-  private modelsAreUnique(services: readonly Service[]): void {
+  private checkModelsUnique(services: readonly Service[]): void {
     const owners = new Map<string, string>();
     for (const { kind, firm, model, name } of services) {
       if (kind !== 'engine' || model === '') continue;
       const key = JSON.stringify([firm, model]);
       const owner = owners.get(key);
-      const check = this.checks('service', name);
+      const check = this.checksFor('service', name);
       check.that('model', owner === undefined, `${model} is already served by ${owner}`);
       owners.set(key, owner ?? name);
     }
   }
 
-  private versionsAreUnique(): void {
+  private checkVersionsUnique(): void {
     const owners = new Map<string, string>();
     for (const { model, version, name } of this.versions) {
       const key = JSON.stringify([model, version]);
       const owner = owners.get(key);
-      const check = this.checks('model_version', name);
+      const check = this.checksFor('model_version', name);
       check.that('version', owner === undefined, `${model} ${version} is already ${owner}`);
       owners.set(key, owner ?? name);
     }
   }
 
-  /** With overlapping prefixes a call's service would depend on which one a daemon looks at first. */
-  private prefixesAreApart(services: readonly Service[]): void {
+  /** With overlapping prefixes, the service of a request would depend on the order in which a daemon checks them. */
+  private checkPrefixesDisjoint(services: readonly Service[]): void {
     const plain = services
       .filter(({ kind, pathPrefix }) => kind === 'plain' && pathPrefix !== '')
       .sort((a, b) => (a.pathPrefix < b.pathPrefix ? -1 : 1));
@@ -234,12 +238,12 @@
       const other = plain
         .slice(0, index)
         .find((known) => overlap(known.pathPrefix, service.pathPrefix));
-      const check = this.checks('service', service.name);
+      const check = this.checksFor('service', service.name);
       check.that('pathPrefix', !other, `overlaps with ${other?.pathPrefix} of ${other?.name}`);
     });
   }
 
-  private checks(kind: Parameters<typeof entityField>[0]['kind'], name: string): FieldChecks {
+  private checksFor(kind: Parameters<typeof entityField>[0]['kind'], name: string): FieldChecks {
     return new FieldChecks({ findings: this.findings, entity: entityField({ kind, name }) });
   }
 }
@@ -247,7 +251,7 @@
 /**
  * Checks a whole configuration.
  *
- * @param state - what a change would lead to.
+ * @param state - the state that a change would lead to.
  * @returns All findings, with fields such as `services[tile-sales].routingPolicy`.
  */
 export function validateConfiguration(state: ConfigurationState): readonly Finding[] {
