--- a/measure/control/VirtualConfiguration.ts
+++ b/measure/control/VirtualConfiguration.ts
@@ -8,7 +8,7 @@
 import type {
   ConfigurationAction,
   ConfigurationMessage,
-  DocumentAnswer,
+  DocumentUpdate,
   MemberRevisions,
 } from '../../src/configuration/configurationTypes.js';
 import type { LocalNews, MemberRecord } from '../../src/membership/membershipTypes.js';
@@ -57,7 +57,7 @@
 
   private readonly wake: Wake;
 
-  private readonly pulls = new Map<number, (answer: DocumentAnswer) => void>();
+  private readonly pulls = new Map<number, (answer: DocumentUpdate) => void>();
 
   private readonly revisions = new Map<string, MemberRevisions>();
 
@@ -188,7 +188,7 @@
 
   private answerPull(
     haveRevision: number,
-    answer: (given: DocumentAnswer, size: SizeOf) => void,
+    answer: (given: DocumentUpdate, size: SizeOf) => void,
   ): void {
     this.exchanges += 1;
     const id = this.exchanges;
@@ -196,7 +196,7 @@
     this.tell({ kind: 'pull_requested', id, document: 'configuration', haveRevision });
   }
 
-  private pullBytes(haveRevision: number, given: DocumentAnswer): number {
+  private pullBytes(haveRevision: number, given: DocumentUpdate): number {
     if (given.kind === 'same') return RESPONSE_OVERHEAD_BYTES;
     if (given.kind === 'whole') return RESPONSE_OVERHEAD_BYTES + given.whole.length;
     let bytes = RESPONSE_OVERHEAD_BYTES;
--- a/measure/control/VirtualStore.ts
+++ b/measure/control/VirtualStore.ts
@@ -4,10 +4,10 @@
 import { create, toBinary } from '@bufbuild/protobuf';
 
 import {
-  changesAnswer,
+  changesUpdate,
   ConfigurationDocument,
 } from '../../src/configuration/ConfigurationDocument.js';
-import type { DocumentAnswer } from '../../src/configuration/configurationTypes.js';
+import type { DocumentUpdate } from '../../src/configuration/configurationTypes.js';
 import {
   ConfigurationChangeSchema,
   ConfigurationEntitySchema,
@@ -29,7 +29,7 @@
   /** Bytes of each change in the schema's form, by revision. */
   readonly changeBytes = new Map<number, number>();
 
-  private readonly watches = new Map<string, (answer: DocumentAnswer, revision: number) => void>();
+  private readonly watches = new Map<string, (answer: DocumentUpdate, revision: number) => void>();
 
   private readonly time: VirtualTime;
 
@@ -44,9 +44,9 @@
    * @param haveRevision - what the reader has.
    * @param arrive - takes the answer.
    */
-  read(haveRevision: number, arrive: (answer: DocumentAnswer, revision: number) => void): void {
+  read(haveRevision: number, arrive: (answer: DocumentUpdate, revision: number) => void): void {
     this.time.after(STORE_MILLISECONDS, () =>
-      arrive(this.document.answer(haveRevision), this.document.revision()),
+      arrive(this.document.updateSince(haveRevision), this.document.revision()),
     );
   }
 
@@ -54,7 +54,7 @@
    * @param daemonId - who watches.
    * @param report - told of each change.
    */
-  watch(daemonId: string, report: (answer: DocumentAnswer, revision: number) => void): void {
+  watch(daemonId: string, report: (answer: DocumentUpdate, revision: number) => void): void {
     this.watches.set(daemonId, report);
   }
 
@@ -92,8 +92,8 @@
       digest: this.document.state().withEdits(edits).digest,
     });
     this.changeBytes.set(revision, toBinary(ConfigurationChangeSchema, change).length);
-    const answer = changesAnswer([change]);
-    this.document.take(answer);
+    const answer = changesUpdate([change]);
+    this.document.apply(answer);
     for (const report of this.watches.values()) {
       this.time.after(STORE_MILLISECONDS, () => report(answer, revision));
     }
--- a/src/configuration/BoundedRetries.ts
+++ b/src/configuration/BoundedRetries.ts
@@ -56,7 +56,7 @@
    *
    * @returns Whether another attempt is allowed; `false` without a wait if a limit is reached.
    */
-  async next(): Promise<boolean> {
+  async waitForNextAttempt(): Promise<boolean> {
     if (this.attempts >= this.maximumAttempts) return false;
     const milliseconds = this.nextWait * (0.5 + this.random());
     if (this.clock.monotonicMilliseconds() + milliseconds > this.deadline) return false;
--- a/src/configuration/ConfigurationDecisions.spec.ts
+++ b/src/configuration/ConfigurationDecisions.spec.ts
@@ -11,50 +11,57 @@
 import { ConfigurationDecisions } from './ConfigurationDecisions.js';
 import { instanceWrite } from './InstanceDirectory.js';
 import { seededRandom } from '../random/seededRandom.js';
-import { DEFAULT_SYNC_TIMING, SyncTimes } from './SyncTimes.js';
-import { allEqual, change, places, QUICK_CHECKS, SECOND, SETTLE } from './testFollowing.js';
+import { DEFAULT_SYNC_TIMING, SyncSchedule } from './SyncSchedule.js';
+import {
+  expectAllAtRevision,
+  commitPolicyChange,
+  fleetPlaces,
+  SHORT_CHECK_INTERVALS,
+  SECOND,
+  SETTLE_MILLISECONDS,
+} from './testDocumentSync.js';
 
 describe('following the configuration', () => {
   it('brings a change into force everywhere with two watches for each data centre', async () => {
-    const fleet = new FollowingFleet({ places: places(2, 2, 5) });
-    await fleet.pass(SETTLE);
+    const fleet = new FollowingFleet({ places: fleetPlaces(2, 2, 5) });
+    await fleet.pass(SETTLE_MILLISECONDS);
     expect(fleet.meter.read().waitingWatches).toEqual(2 * 4 * 2);
-    await change(fleet, 0, 'one');
-    await fleet.pass(SETTLE);
-    allEqual(fleet, 1);
+    await commitPolicyChange(fleet, 0, 'one');
+    await fleet.pass(SETTLE_MILLISECONDS);
+    expectAllAtRevision(fleet, 1);
   });
 
   it('goes on through an outage: a change committed before it, and a cold start in it', async () => {
     // Guards against a daemon that refuses every caller after a restart during an outage of the store. A change
     // is committed, the store goes down at once, and daemons restart without a configuration. It goes wrong if a
     // daemon can load its configuration from the store only, not from peers.
-    const fleet = new FollowingFleet({ places: places(1, 2, 4) });
-    await fleet.pass(SETTLE);
-    await change(fleet, 0, 'one');
+    const fleet = new FollowingFleet({ places: fleetPlaces(1, 2, 4) });
+    await fleet.pass(SETTLE_MILLISECONDS);
+    await commitPolicyChange(fleet, 0, 'one');
     fleet.store.faults.set({ outage: true });
-    await fleet.pass(SETTLE);
+    await fleet.pass(SETTLE_MILLISECONDS);
     [1, 2, 5].forEach((index) => fleet.start(index));
-    await fleet.pass(SETTLE);
-    allEqual(fleet, 1);
+    await fleet.pass(SETTLE_MILLISECONDS);
+    expectAllAtRevision(fleet, 1);
     fleet.store.faults.set({ outage: false });
     await fleet.pass(40 * SECOND);
     expect(fleet.meter.read().waitingWatches).toEqual(2 * 2 * 2);
-    expect((await change(fleet, 1, 'two')).kind).toEqual('accepted');
-    await fleet.pass(SETTLE);
-    allEqual(fleet, 2);
+    expect((await commitPolicyChange(fleet, 1, 'two')).kind).toEqual('accepted');
+    await fleet.pass(SETTLE_MILLISECONDS);
+    expectAllAtRevision(fleet, 2);
   });
 
   it('never goes back in a region that is cut off with a platform that shows old data', async () => {
     // Guards against a withdrawn key that becomes valid again on a restarted daemon. A change is in force; a region
     // is cut off, one of its daemons restarts, and the store answers reads as of before the change. It goes wrong
     // if the restarted daemon trusts the store although its peers have a newer revision.
-    const fleet = new FollowingFleet({ places: places(2, 1, 3) });
-    await fleet.pass(SETTLE);
-    await change(fleet, 0, 'one');
-    await fleet.pass(SETTLE);
+    const fleet = new FollowingFleet({ places: fleetPlaces(2, 1, 3) });
+    await fleet.pass(SETTLE_MILLISECONDS);
+    await commitPolicyChange(fleet, 0, 'one');
+    await fleet.pass(SETTLE_MILLISECONDS);
     const old = fleet.store.state.revision;
-    await change(fleet, 0, 'two', 1.3);
-    await fleet.pass(SETTLE);
+    await commitPolicyChange(fleet, 0, 'two', 1.3);
+    await fleet.pass(SETTLE_MILLISECONDS);
     fleet.cut('region-2', true);
     fleet.store.faults.set({ oldDataRevision: old });
     fleet.start(4);
@@ -66,12 +73,15 @@
   it('notices a watch that is open and dead', async () => {
     // Guards against a data centre that keeps outdated limits without any log line. The store keeps the watches open
     // but reports no events, and a change is committed. It goes wrong if a watch without events is trusted.
-    const fleet = new FollowingFleet({ places: places(2, 1, 2), timing: QUICK_CHECKS });
-    await fleet.pass(SETTLE);
+    const fleet = new FollowingFleet({
+      places: fleetPlaces(2, 1, 2),
+      timing: SHORT_CHECK_INTERVALS,
+    });
+    await fleet.pass(SETTLE_MILLISECONDS);
     fleet.store.faults.set({ muteWatches: true });
-    await change(fleet, 0, 'one');
-    await fleet.pass(SETTLE);
-    allEqual(fleet, 1);
+    await commitPolicyChange(fleet, 0, 'one');
+    await fleet.pass(SETTLE_MILLISECONDS);
+    expectAllAtRevision(fleet, 1);
     const record = runnerRecord({ runnerId: 'sales-1' });
     await fleet.store.transact({ expected: [], writes: [instanceWrite(record)] });
     await fleet.pass(20 * SECOND);
@@ -84,17 +94,17 @@
   it('replaces content that differs at the same revision by what the platform holds', async () => {
     // Guards against two daemons at the same revision that treat a client account differently. One daemon has wrong
     // content at the revision of the others. It goes wrong if only revisions are compared, not digests.
-    const fleet = new FollowingFleet({ places: places(1, 1, 4) });
-    await fleet.pass(SETTLE);
-    await change(fleet, 0, 'one');
-    await fleet.pass(SETTLE);
-    const otherFleet = new FollowingFleet({ places: places(1, 1, 1) });
-    await change(otherFleet, 0, 'other', 1.9);
-    const wrong = otherFleet.daemon(0).decisions.configuration.answer(0);
+    const fleet = new FollowingFleet({ places: fleetPlaces(1, 1, 4) });
+    await fleet.pass(SETTLE_MILLISECONDS);
+    await commitPolicyChange(fleet, 0, 'one');
+    await fleet.pass(SETTLE_MILLISECONDS);
+    const otherFleet = new FollowingFleet({ places: fleetPlaces(1, 1, 1) });
+    await commitPolicyChange(otherFleet, 0, 'other', 1.9);
+    const wrong = otherFleet.daemon(0).decisions.configuration.updateSince(0);
     const wrongDaemon = [...fleet.daemons.values()].find(
       ({ decisions }) => decisions.syncState('configuration') === 'following',
     )!;
-    expect(wrongDaemon.decisions.configuration.take(wrong)).toEqual('applied');
+    expect(wrongDaemon.decisions.configuration.apply(wrong)).toEqual('applied');
     expect(wrongDaemon.member().configurationRevision).toEqual(1);
     await fleet.pass(2 * DEFAULT_SYNC_TIMING.compareSpreadMilliseconds);
     const digests = [...fleet.daemons.values()].map(
@@ -114,7 +124,7 @@
     ] as const;
     for (const failure of failures) {
       for (let seed = 0; seed < 20; seed += 1) {
-        const members = new FollowingFleet({ places: places(1, 1, 8) });
+        const members = new FollowingFleet({ places: fleetPlaces(1, 1, 8) });
         const listedMembers = [...members.daemons.values()].map((daemon) => ({
           ...daemon.member(),
           configurationRevision: daemon.self.daemonId === 'daemon-1' ? 0 : 7,
@@ -153,17 +163,17 @@
       fc.array(event, { maxLength: 14 }),
       fc.nat(1000),
       async (events, seed) => {
-        const timing = { ...QUICK_CHECKS, backOffMaximumMilliseconds: 4 * SECOND };
-        const fleet = new FollowingFleet({ places: places(2, 1, 3), seed, timing });
-        await fleet.pass(SETTLE);
-        await change(fleet, 0, 'first');
-        await fleet.pass(SETTLE);
+        const timing = { ...SHORT_CHECK_INTERVALS, backOffMaximumMilliseconds: 4 * SECOND };
+        const fleet = new FollowingFleet({ places: fleetPlaces(2, 1, 3), seed, timing });
+        await fleet.pass(SETTLE_MILLISECONDS);
+        await commitPolicyChange(fleet, 0, 'first');
+        await fleet.pass(SETTLE_MILLISECONDS);
         const { faults, state } = fleet.store;
         const accepted: number[] = [1];
         const appliedByIncarnation: (readonly number[])[] = [];
         for (const [index, step] of events.entries()) {
           if (step.kind === 'change') {
-            const outcome = await change(fleet, step.daemon, `change-${index}`);
+            const outcome = await commitPolicyChange(fleet, step.daemon, `change-${index}`);
             if (outcome.kind === 'accepted') accepted.push(outcome.revision);
           }
           if (step.kind === 'restart') {
@@ -187,7 +197,7 @@
         );
         for (const revisions of appliedByIncarnation)
           expect(revisions).toEqual([...revisions].sort((a, b) => a - b));
-        allEqual(fleet, Math.max(...accepted));
+        expectAllAtRevision(fleet, Math.max(...accepted));
       },
     );
     await fc.assert(property, { numRuns: 40, seed: 20_261_202 });
@@ -203,18 +213,19 @@
     [4, 3],
   ] as const) {
     it(`of ${daemons} daemons in each of ${dataCentres} data centres`, async () => {
-      const fleet = new FollowingFleet({ places: places(1, dataCentres, daemons) });
-      await fleet.pass(SETTLE);
+      const fleet = new FollowingFleet({ places: fleetPlaces(1, dataCentres, daemons) });
+      await fleet.pass(SETTLE_MILLISECONDS);
       const before = fleet.meter.read();
       expect(before.waitingWatches).toEqual(2 * 2 * dataCentres);
       const changes = 10;
-      for (let index = 0; index < changes; index += 1) await change(fleet, 0, `change-${index}`);
+      for (let index = 0; index < changes; index += 1)
+        await commitPolicyChange(fleet, 0, `change-${index}`);
       await fleet.pass(4 * SECOND);
       const after = fleet.meter.read();
       expect(after.totals.transact - before.totals.transact).toEqual(changes);
       expect(after.totals.get - before.totals.get).toEqual(changes);
       expect(after.totals.range).toEqual(before.totals.range);
-      allEqual(fleet, changes);
+      expectAllAtRevision(fleet, changes);
     });
   }
 
@@ -222,8 +233,8 @@
     // Guards against overloading the store with reads of the whole document after a restart of the whole fleet. All
     // daemons start before any of them knows another one. It goes wrong if a daemon that knows no other daemon
     // chooses itself as its data centre's only watcher at once.
-    const fleet = new FollowingFleet({ places: places(1, 2, 12) });
-    await fleet.pass(SETTLE);
+    const fleet = new FollowingFleet({ places: fleetPlaces(1, 2, 12) });
+    await fleet.pass(SETTLE_MILLISECONDS);
     const { totals } = fleet.meter.read();
     expect([totals.get, totals.range, totals.watch]).toEqual([4, 4, 8]);
   });
@@ -235,7 +246,7 @@
     const { backOffMaximumMilliseconds: longest } = DEFAULT_SYNC_TIMING;
     const watchers = 200;
     const wakes = Array.from({ length: watchers }, (_, seed) => {
-      const times = new SyncTimes({ timing: DEFAULT_SYNC_TIMING, random: seededRandom(seed) });
+      const times = new SyncSchedule({ timing: DEFAULT_SYNC_TIMING, random: seededRandom(seed) });
       for (let failure = 0; failure < 12; failure += 1) times.backOff(0);
       return times.nextWake()!;
     });
--- a/src/configuration/ConfigurationDecisions.ts
+++ b/src/configuration/ConfigurationDecisions.ts
@@ -11,17 +11,17 @@
   DocumentName,
 } from './configurationTypes.js';
 import { DocumentSync } from './DocumentSync.js';
-import type { DaemonPlace } from './PeerRevisions.js';
+import type { DaemonLocation } from './PeerRevisions.js';
 import { RunnerListDocument } from './RunnerListDocument.js';
-import { DEFAULT_SYNC_TIMING } from './SyncTimes.js';
-import type { SyncTiming } from './SyncTimes.js';
+import { DEFAULT_SYNC_TIMING } from './SyncSchedule.js';
+import type { SyncTiming } from './SyncSchedule.js';
 
 /** Watchers in each data centre: with two, one may fail without delaying changes. */
 export const DEFAULT_WATCHERS_PER_DATA_CENTRE = 2;
 
 /** Options of {@link ConfigurationDecisions}. */
 export interface ConfigurationDecisionsOptions {
-  self: DaemonPlace;
+  self: DaemonLocation;
   /** Seeded random source: at least 0, below 1. */
   random: () => number;
   timing?: Partial<SyncTiming>;
@@ -62,7 +62,11 @@
 
   override decide(now: number, message: ConfigurationMessage): readonly ConfigurationAction[] {
     const answers = this.dispatch(now, message);
-    return [...this.syncs.configuration.drain(), ...this.syncs.runners.drain(), ...answers];
+    return [
+      ...this.syncs.configuration.takeActions(),
+      ...this.syncs.runners.takeActions(),
+      ...answers,
+    ];
   }
 
   override nextWake(): number | undefined {
@@ -81,42 +85,42 @@
   private dispatch(now: number, message: ConfigurationMessage): ConfigurationAction[] {
     const all = Object.values(this.syncs);
     match(message)
-      .with({ kind: 'tick' }, () => all.forEach((sync) => sync.wake(now)))
+      .with({ kind: 'tick' }, () => all.forEach((sync) => sync.runDueTasks(now)))
       .with({ kind: 'members' }, ({ members }) => {
-        all.forEach((sync) => sync.members(now, members));
+        all.forEach((sync) => sync.replaceMembers(now, members));
       })
       .with({ kind: 'member_revision' }, ({ member }) => {
-        all.forEach((sync) => sync.memberRevision(now, member));
+        all.forEach((sync) => sync.updateMember(now, member));
       })
       .with({ kind: 'peer_revision' }, ({ document, daemonId, revision }) => {
-        this.syncs[document].peerRevision(now, daemonId, revision);
+        this.syncs[document].raisePeerRevision(now, daemonId, revision);
       })
       .with({ kind: 'platform_answered' }, ({ document, answer, storeRevision }) => {
-        this.syncs[document].platformAnswered(now, answer, storeRevision);
+        this.syncs[document].handlePlatformAnswer(now, answer, storeRevision);
       })
       .with({ kind: 'platform_failed' }, ({ document, reason }) => {
-        this.syncs[document].platformFailed(now, reason);
+        this.syncs[document].handlePlatformFailure(now, reason);
       })
       .with({ kind: 'watch_reported' }, ({ document, answer, storeRevision }) => {
-        this.syncs[document].watchReported(now, answer, storeRevision);
+        this.syncs[document].handleWatchReport(now, answer, storeRevision);
       })
       .with({ kind: 'watch_ended' }, ({ document, end, reason }) => {
-        this.syncs[document].watchEnded(now, end, reason);
+        this.syncs[document].handleWatchEnd(now, end, reason);
       })
       .with({ kind: 'pull_answered' }, ({ document, from, answer }) => {
-        this.syncs[document].pullAnswered(now, from, answer);
+        this.syncs[document].handlePullAnswer(now, from, answer);
       })
       .with({ kind: 'pull_failed' }, ({ document, from, reason }) => {
-        this.syncs[document].pullFailed(now, from, reason);
+        this.syncs[document].handlePullFailure(now, from, reason);
       })
       .with({ kind: 'committed' }, ({ answer }) => {
-        this.syncs.configuration.committed(now, answer);
+        this.syncs.configuration.applyCommitted(now, answer);
       })
       .with({ kind: 'pull_requested' }, () => {})
       .exhaustive();
     if (message.kind !== 'pull_requested') return [];
     const { id, document, haveRevision } = message;
     const source = document === 'configuration' ? this.configuration : this.runners;
-    return [{ kind: 'answer_pull', id, document, answer: source.answer(haveRevision) }];
+    return [{ kind: 'answer_pull', id, document, answer: source.updateSince(haveRevision) }];
   }
 }
--- a/src/configuration/ConfigurationDocument.spec.ts
+++ b/src/configuration/ConfigurationDocument.spec.ts
@@ -14,11 +14,11 @@
 } from '../../standIns/platform/sampleConfiguration.js';
 import type { EntityEdit } from '../generated/baobabdock/v1/changes_pb.js';
 import { ConfigurationDecisions } from './ConfigurationDecisions.js';
-import { ConfigurationDocument, wholeAnswer } from './ConfigurationDocument.js';
+import { ConfigurationDocument, wholeDocumentUpdate } from './ConfigurationDocument.js';
 import { ConfigurationState } from './ConfigurationState.js';
-import type { DocumentAnswer } from './configurationTypes.js';
-import { placeAtEdits } from './editChecks.js';
-import { decodeAnswer, encodeAnswer } from './pullMessages.js';
+import type { DocumentUpdate } from './configurationTypes.js';
+import { moveFindingsToEdits } from './editChecks.js';
+import { decodeUpdate, encodeUpdate } from './pullMessages.js';
 import { seededRandom } from '../random/seededRandom.js';
 import { validateConfiguration } from './validateConfiguration.js';
 
@@ -26,14 +26,14 @@
   (made, bound) => [...made, made.at(-1)!.withEdits([policyEdit('warm', bound)])],
   [ConfigurationState.EMPTY],
 );
-const whole = (revision: number): DocumentAnswer => wholeAnswer(states[revision]!);
+const whole = (revision: number): DocumentUpdate => wholeDocumentUpdate(states[revision]!);
 
 describe('a document', () => {
   // Guards against a withdrawn key that becomes valid again, and against a daemon with half a change. An update
   // arrives that is older, malformed, or does not continue from the local revision. It goes wrong if updates are
   // applied without comparing revision and digest.
-  const other = wholeAnswer(states[1]!.withEdits([policyEdit('other', 2)]));
-  const table: readonly (readonly [string, DocumentAnswer, string, number])[] = [
+  const other = wholeDocumentUpdate(states[1]!.withEdits([policyEdit('other', 2)]));
+  const table: readonly (readonly [string, DocumentUpdate, string, number])[] = [
     ['an older whole', whole(1), 'nothing', 2],
     ['the same whole', whole(2), 'nothing', 2],
     ['a newer whole', whole(3), 'applied', 3],
@@ -55,8 +55,8 @@
   for (const [name, answer, result, revision] of table) {
     it(`takes ${name} as "${result}"`, () => {
       const document = new ConfigurationDocument();
-      document.take(whole(2));
-      expect(document.take(answer)).toEqual(result as 'applied');
+      document.apply(whole(2));
+      expect(document.apply(answer)).toEqual(result as 'applied');
       expect(document.revision()).toEqual(revision);
     });
   }
@@ -79,11 +79,11 @@
 
   it('travels between daemons unchanged', () => {
     const document = new ConfigurationDocument();
-    document.take(whole(1));
+    document.apply(whole(1));
     const change = new ConfigurationDocument();
-    change.take(whole(3));
-    for (const answer of [document.answer(0), document.answer(1), change.answer(0)])
-      expect(decodeAnswer('configuration', encodeAnswer('configuration', answer))).toEqual(answer);
+    change.apply(whole(3));
+    for (const answer of [document.updateSince(0), document.updateSince(1), change.updateSince(0)])
+      expect(decodeUpdate('configuration', encodeUpdate('configuration', answer))).toEqual(answer);
   });
 });
 
@@ -173,7 +173,7 @@
   ];
   for (const [name, edits, fields] of table) {
     it(`find ${name}`, () => {
-      const findings = placeAtEdits(validateConfiguration(base.withEdits(edits)), edits);
+      const findings = moveFindingsToEdits(validateConfiguration(base.withEdits(edits)), edits);
       expect(findings.map(({ place }) => place.field)).toEqual([...fields]);
     });
   }
--- a/src/configuration/ConfigurationDocument.ts
+++ b/src/configuration/ConfigurationDocument.ts
@@ -11,9 +11,9 @@
 import type { ConfigurationChange } from '../generated/baobabdock/v1/changes_pb.js';
 import { ChangeLog } from './ChangeLog.js';
 import { ConfigurationState } from './ConfigurationState.js';
-import type { DocumentAnswer } from './configurationTypes.js';
+import type { DocumentUpdate } from './configurationTypes.js';
 import { SyncedDocument } from './SyncedDocument.js';
-import type { TakeResult } from './SyncedDocument.js';
+import type { ApplyResult } from './SyncedDocument.js';
 
 /** Tolerates unknown fields, which daemons of a newer version may send. */
 const LENIENT = { ignoreUnknownFields: true } as const;
@@ -24,7 +24,7 @@
  * @param state - the state to send.
  * @returns The update.
  */
-export function wholeAnswer(state: ConfigurationState): DocumentAnswer {
+export function wholeDocumentUpdate(state: ConfigurationState): DocumentUpdate {
   const bytes = toBinary(ConfigurationSnapshotSchema, state.toSnapshot());
   const whole = Buffer.from(bytes).toString('base64');
   return { kind: 'whole', revision: state.revision, digest: state.digest, whole };
@@ -37,7 +37,7 @@
  * @returns The update.
  * @throws {@link RangeError} if there is no change.
  */
-export function changesAnswer(changes: readonly ConfigurationChange[]): DocumentAnswer {
+export function changesUpdate(changes: readonly ConfigurationChange[]): DocumentUpdate {
   const last = changes.at(-1);
   if (!last) throw new RangeError('an update by changes needs at least one change, got none');
   return {
@@ -56,7 +56,7 @@
 
   private current = ConfigurationState.EMPTY;
 
-  private cachedWhole: DocumentAnswer | undefined;
+  private cachedWhole: DocumentUpdate | undefined;
 
   /** @returns The state in force. */
   state(): ConfigurationState {
@@ -71,21 +71,21 @@
     return this.current.digest;
   }
 
-  override take(update: DocumentAnswer): TakeResult {
+  override apply(update: DocumentUpdate): ApplyResult {
     if (update.kind === 'same') return 'nothing';
     return update.kind === 'whole' ? this.takeWhole(update) : this.takeChanges(update.changes);
   }
 
-  override answer(haveRevision: number): DocumentAnswer {
+  override updateSince(haveRevision: number): DocumentUpdate {
     const { revision, digest } = this.current;
     if (haveRevision >= revision) return { kind: 'same', revision, digest };
     const changes = haveRevision > 0 ? this.log.since(haveRevision) : undefined;
     if (changes) return { kind: 'changes', revision, digest, changes };
-    this.cachedWhole ??= wholeAnswer(this.current);
+    this.cachedWhole ??= wholeDocumentUpdate(this.current);
     return this.cachedWhole;
   }
 
-  private takeWhole({ whole, digest }: DocumentAnswer & { kind: 'whole' }): TakeResult {
+  private takeWhole({ whole, digest }: DocumentUpdate & { kind: 'whole' }): ApplyResult {
     const snapshot = fromBinary(ConfigurationSnapshotSchema, Buffer.from(whole, 'base64'));
     const state = ConfigurationState.fromSnapshot(snapshot);
     if (state.digest !== digest) return 'differs';
@@ -99,7 +99,7 @@
     return 'applied';
   }
 
-  private takeChanges(changes: readonly JsonObject[]): TakeResult {
+  private takeChanges(changes: readonly JsonObject[]): ApplyResult {
     const before = this.current.revision;
     for (const json of changes) {
       const change = fromJson(ConfigurationChangeSchema, json, LENIENT);
--- a/src/configuration/ConfigurationEditor.spec.ts
+++ b/src/configuration/ConfigurationEditor.spec.ts
@@ -43,7 +43,7 @@
     repository,
     document,
     onCommitted: (answer) => {
-      document.take(answer);
+      document.apply(answer);
     },
     clock: new ManualClock(),
     log: new SilentLog(),
@@ -184,7 +184,7 @@
     await editor.change(requestedChange('two', policyEdit('warm', 1.3)));
     const restored = new MemoryPlatformStore();
     const before = createEditor(restored);
-    before.document.take(document.answer(0));
+    before.document.apply(document.updateSince(0));
     const refused = await before.editor.change(requestedChange('three', policyEdit('cold', 1.2)));
     expect(refused.kind).toEqual('unavailable');
     expect(await before.editor.restore()).toEqual(true);
@@ -283,13 +283,13 @@
       const edits = Array.from({ length: 1000 }, (_, index) => account(start + index));
       await editor.change(requestedChange(`batch-${start}`, ...edits));
     }
-    await editor.idle();
+    await editor.snapshotFinished();
     const { entries } = await store.range(CHUNKS_PREFIX);
     expect(entries.length > 1).toEqual(true);
     expect(entries.every(({ value }) => value.length <= CHUNK_BYTES)).toEqual(true);
     const cold = new ConfigurationDocument();
     const { answer } = await createEditor(store).repository.read(0, '');
-    expect(cold.take(answer)).toEqual('applied');
+    expect(cold.apply(answer)).toEqual('applied');
     expect([cold.revision(), cold.digest()]).toEqual([document.revision(), document.digest()]);
     expect((await createEditor(store).repository.readHead()).head.snapshotRevision).toEqual(12n);
   });
@@ -306,7 +306,7 @@
       .withEdits([policyEdit('warm', 1.2)]);
     const read = await repository.readHead();
     const written = await repository.snapshots.write(state, 'slow-writer');
-    await createEditor(store).repository.clean();
+    await createEditor(store).repository.removeObsoleteKeys();
     expect(await repository.publishSnapshot(written, read)).toEqual(false);
     const second = await repository.snapshots.write(state, 'quick-writer');
     const cleaning = createEditor(store).repository.snapshots.removeUnreferenced(async () => {
--- a/src/configuration/ConfigurationEditor.ts
+++ b/src/configuration/ConfigurationEditor.ts
@@ -15,17 +15,17 @@
 import type { EntityKind } from '../operators/resourceKinds.js';
 import { PlatformStoreError } from '../store/PlatformStore.js';
 import type { Clock } from '../time/Clock.js';
-import { changesAnswer, wholeAnswer } from './ConfigurationDocument.js';
+import { changesUpdate, wholeDocumentUpdate } from './ConfigurationDocument.js';
 import type { ConfigurationDocument } from './ConfigurationDocument.js';
 import { InconsistentStoreError } from './configurationErrors.js';
 import { configurationLogEvents } from './configurationFeature.js';
 import type { ConfigurationRepository, ReadHead } from './ConfigurationRepository.js';
 import type { ConfigurationState } from './ConfigurationState.js';
-import type { DocumentAnswer } from './configurationTypes.js';
-import { findConflict, findEditFindings, placeAtEdits } from './editChecks.js';
+import type { DocumentUpdate } from './configurationTypes.js';
+import { findConflict, validateEdits, moveFindingsToEdits } from './editChecks.js';
 import { BoundedRetries } from './BoundedRetries.js';
 import type { BoundedRetriesOptions } from './BoundedRetries.js';
-import { readState } from './readState.js';
+import { stateAfterUpdate } from './stateAfterUpdate.js';
 import { validateConfiguration } from './validateConfiguration.js';
 
 /** Changes between two snapshots in the store: the most that a starting daemon reads one by one. */
@@ -40,7 +40,7 @@
   /** The configuration in force on this daemon. */
   document: ConfigurationDocument;
   /** Called with a change that this daemon has committed, to put it in force here at once. */
-  onCommitted: (answer: DocumentAnswer) => void;
+  onCommitted: (answer: DocumentUpdate) => void;
   clock: Clock;
   log: Log;
   /** Generates a snapshot id that was never used before. */
@@ -89,7 +89,7 @@
 
   private readonly document: ConfigurationDocument;
 
-  private readonly onCommitted: (answer: DocumentAnswer) => void;
+  private readonly onCommitted: (answer: DocumentUpdate) => void;
 
   private readonly clock: Clock;
 
@@ -141,14 +141,14 @@
   }
 
   override async change(requested: RequestedChange): Promise<ChangeOutcome> {
-    const findings = findEditFindings(requested);
+    const findings = validateEdits(requested);
     if (findings.length > 0) return { kind: 'invalid', findings };
     const budget = new BoundedRetries(this.retry);
     const progress = new ChangeProgress();
     for (;;) {
       const attempt = await this.attempt(requested, progress);
       if (attempt.kind === 'done') return attempt.outcome;
-      if (await budget.next()) continue;
+      if (await budget.waitForNextAttempt()) continue;
       const { message } = attempt;
       return { kind: progress.outcomeUnknown ? 'unsure' : 'unavailable', message };
     }
@@ -174,7 +174,7 @@
   }
 
   /** Resolves when no write of a snapshot is in progress. */
-  async idle(): Promise<void> {
+  async snapshotFinished(): Promise<void> {
     await this.snapshotWrite;
   }
 
@@ -207,7 +207,7 @@
     // before either is reported, and after a lost response, the change id is looked up.
     const conflict = findConflict(state, edits);
     const after = state.withEdits(edits);
-    const findings = conflict ? [] : placeAtEdits(validateConfiguration(after), edits);
+    const findings = conflict ? [] : moveFindingsToEdits(validateConfiguration(after), edits);
     if (conflict || findings.length > 0 || progress.outcomeUnknown || dryRun) {
       const revision = await this.repository.findChange(changeId, read.storeRevision);
       if (revision !== undefined) return this.acceptRepeated(revision);
@@ -263,13 +263,13 @@
     after: ConfigurationState,
   ): void {
     const follows = this.document.revision() === state.revision;
-    this.onCommitted(follows ? changesAnswer([change]) : wholeAnswer(after));
+    this.onCommitted(follows ? changesUpdate([change]) : wholeDocumentUpdate(after));
   }
 
   private async currentState(read: ReadHead): Promise<ConfigurationState> {
     const state = this.document.state();
-    const answer = await this.repository.answerFor(read.head, state.revision, state.digest);
-    return readState(state, answer);
+    const answer = await this.repository.updateFor(read.head, state.revision, state.digest);
+    return stateAfterUpdate(state, answer);
   }
 
   private reportPlatformBehind({ head }: ReadHead): Attempt {
@@ -301,7 +301,7 @@
       const read = await this.repository.readHead();
       if (Number(read.head.snapshotRevision) >= revision) return;
       if (!(await this.repository.publishSnapshot(written, read))) continue;
-      await this.repository.clean();
+      await this.repository.removeObsoleteKeys();
       this.log.write(configurationLogEvents.snapshotWritten, { revision, chunks });
       return;
     }
--- a/src/configuration/ConfigurationRepository.ts
+++ b/src/configuration/ConfigurationRepository.ts
@@ -12,18 +12,18 @@
   ConfigurationHead,
 } from '../generated/baobabdock/v1/changes_pb.js';
 import type { PlatformStore, StoreEntry, TransactionResult } from '../store/PlatformStore.js';
-import { changesAnswer, wholeAnswer } from './ConfigurationDocument.js';
+import { changesUpdate, wholeDocumentUpdate } from './ConfigurationDocument.js';
 import { InconsistentStoreError } from './configurationErrors.js';
 import {
   CHANGES_PER_BLOCK,
   HEAD_KEY,
-  blockOf,
+  blockNumber,
   blockPrefix,
   changeIdKey,
   changeKey,
 } from './configurationKeys.js';
 import type { ConfigurationState } from './ConfigurationState.js';
-import type { DocumentAnswer } from './configurationTypes.js';
+import type { DocumentUpdate } from './configurationTypes.js';
 import { EMPTY_DIGEST } from './entities.js';
 import { SnapshotStore } from './SnapshotStore.js';
 import type { WrittenSnapshot } from './SnapshotStore.js';
@@ -92,9 +92,9 @@
   async read(
     haveRevision: number,
     haveDigest: string,
-  ): Promise<{ answer: DocumentAnswer; storeRevision: number }> {
+  ): Promise<{ answer: DocumentUpdate; storeRevision: number }> {
     const { head, storeRevision } = await this.readHead();
-    return { answer: await this.answerFor(head, haveRevision, haveDigest), storeRevision };
+    return { answer: await this.updateFor(head, haveRevision, haveDigest), storeRevision };
   }
 
   /**
@@ -105,11 +105,11 @@
    * @param haveDigest - the recipient's digest.
    * @returns The update: single changes if the recipient is close to the head, else the whole document.
    */
-  async answerFor(
+  async updateFor(
     head: ConfigurationHead,
     haveRevision: number,
     haveDigest: string,
-  ): Promise<DocumentAnswer> {
+  ): Promise<DocumentUpdate> {
     const revision = Number(head.revision);
     const current = haveRevision === revision && haveDigest === head.digest;
     if (current || haveRevision > revision || revision === 0)
@@ -119,8 +119,8 @@
       haveRevision < revision &&
       haveRevision + 1 >= Number(head.oldestChange) &&
       haveRevision >= Number(head.snapshotRevision);
-    if (near) return changesAnswer(await this.changes(haveRevision + 1, revision));
-    return wholeAnswer(await this.stateAt(head));
+    if (near) return changesUpdate(await this.changes(haveRevision + 1, revision));
+    return wholeDocumentUpdate(await this.stateAt(head));
   }
 
   /**
@@ -131,7 +131,7 @@
    */
   async changes(from: number, to: number): Promise<ConfigurationChange[]> {
     const found: ConfigurationChange[] = [];
-    for (let block = blockOf(from); block <= blockOf(to); block += 1) {
+    for (let block = blockNumber(from); block <= blockNumber(to); block += 1) {
       const { entries } = await this.store.range(blockPrefix(block));
       found.push(...entries.map(({ value }) => fromBinary(ConfigurationChangeSchema, value)));
     }
@@ -150,9 +150,9 @@
    */
   async history(before: number, maximum: number): Promise<ConfigurationChange[]> {
     const found: ConfigurationChange[] = [];
-    for (let block = blockOf(before); block >= 0 && found.length < maximum; block -= 1) {
+    for (let block = blockNumber(before); block >= 0 && found.length < maximum; block -= 1) {
       const { entries } = await this.store.range(blockPrefix(block));
-      if (entries.length === 0 && block < blockOf(before)) break;
+      if (entries.length === 0 && block < blockNumber(before)) break;
       const changes = entries.map(({ value }) => fromBinary(ConfigurationChangeSchema, value));
       found.push(...changes.filter(({ revision }) => Number(revision) <= before).reverse());
     }
@@ -239,10 +239,10 @@
   }
 
   /** Removes chunks that the head does not reference, and blocks of changes that are too old for the history. */
-  async clean(): Promise<void> {
+  async removeObsoleteKeys(): Promise<void> {
     await this.snapshots.removeUnreferenced(() => this.readHead());
     const { head, entry } = await this.readHead();
-    const oldestKept = blockOf(Number(head.oldestChange));
+    const oldestKept = blockNumber(Number(head.oldestChange));
     const first = Math.max(0, oldestKept - OBSOLETE_BLOCKS_CHECKED);
     for (let block = first; block < oldestKept; block += 1) {
       const { entries } = await this.store.range(blockPrefix(block));
--- a/src/configuration/ConfigurationTask.spec.ts
+++ b/src/configuration/ConfigurationTask.spec.ts
@@ -148,7 +148,7 @@
       await outside.editor.change(requestedChange('one', 1.2));
       await watcher!.configuration.until(1);
       const watcherId = daemons.indexOf(watcher!) === 0 ? 'a' : 'b';
-      other!.task.peerRevision(member(watcherId, 1));
+      other!.task.updateMember(member(watcherId, 1));
       await other!.configuration.until(1);
       standIn.dropConnections();
       await outside.editor.change(requestedChange('two', 1.3));
--- a/src/configuration/ConfigurationTask.ts
+++ b/src/configuration/ConfigurationTask.ts
@@ -19,7 +19,7 @@
 import type { PeerLink } from '../peers/PeerLink.js';
 import type { PlatformStore, WatchEvent } from '../store/PlatformStore.js';
 import type { Clock } from '../time/Clock.js';
-import { changesAnswer } from './ConfigurationDocument.js';
+import { changesUpdate } from './ConfigurationDocument.js';
 import { ConfigurationDecisions } from './ConfigurationDecisions.js';
 import { configurationLogEvents } from './configurationFeature.js';
 import type { ConfigurationSettings } from './configurationFeature.js';
@@ -29,13 +29,13 @@
   ConfigurationAction,
   ConfigurationMessage,
   ConfigurationReport,
-  DocumentAnswer,
+  DocumentUpdate,
   DocumentName,
 } from './configurationTypes.js';
 import { InstanceDirectory } from './InstanceDirectory.js';
 import { toMemberRevisions } from './memberRevisions.js';
-import type { DaemonPlace } from './PeerRevisions.js';
-import { decodeAnswer, encodeAnswer, isDocumentName } from './pullMessages.js';
+import type { DaemonLocation } from './PeerRevisions.js';
+import { decodeUpdate, encodeUpdate, isDocumentName } from './pullMessages.js';
 
 type ActionOf<Kind extends ConfigurationAction['kind']> = Extract<
   ConfigurationAction,
@@ -60,7 +60,7 @@
 
 /** Options of a {@link ConfigurationTask}. */
 export interface ConfigurationTaskOptions {
-  self: DaemonPlace;
+  self: DaemonLocation;
   store: PlatformStore;
   link: PeerLink;
   clock: Clock;
@@ -157,7 +157,7 @@
    *
    * @param member - a record that arrived by gossip.
    */
-  peerRevision(member: Member): void {
+  updateMember(member: Member): void {
     if (!this.mayContainUpdate(member)) return;
     this.send({ kind: 'member_revision', member: toMemberRevisions(member) });
   }
@@ -167,7 +167,7 @@
    *
    * @param newer - the peer, the document and the revision.
    */
-  newerRevision(newer: { document: DocumentName; daemonId: string; revision: number }): void {
+  handlePeerRevision(newer: { document: DocumentName; daemonId: string; revision: number }): void {
     const { document, daemonId, revision } = newer;
     this.send({ kind: 'peer_revision', document, daemonId, revision });
   }
@@ -205,7 +205,7 @@
         this.pull(pull).then((message) => this.send(message));
       })
       .with({ kind: 'answer_pull' }, ({ id, document, answer }) => {
-        this.pendingPulls.get(id)?.(encodeAnswer(document, answer));
+        this.pendingPulls.get(id)?.(encodeUpdate(document, answer));
         this.pendingPulls.delete(id);
       })
       .with({ kind: 'applied' }, ({ document }) => this.notifyListener(document))
@@ -276,16 +276,16 @@
   ): void {
     const storeRevision = event.kind === 'put' ? event.entry.modifiedRevision : event.revision;
     const answer =
-      document === 'runners' ? this.instances.changeOf(event) : this.toConfigurationUpdate(event);
+      document === 'runners' ? this.instances.toUpdate(event) : this.toConfigurationUpdate(event);
     if (answer) this.send({ kind: 'watch_reported', document, answer, storeRevision });
   }
 
   /** Returns `undefined` for deletions: these only remove changes that are too old for the history. */
   private toConfigurationUpdate(
     event: Exclude<WatchEvent, { kind: 'compacted' }>,
-  ): DocumentAnswer | undefined {
+  ): DocumentUpdate | undefined {
     if (event.kind === 'delete') return undefined;
-    return changesAnswer([fromBinary(ConfigurationChangeSchema, event.entry.value)]);
+    return changesUpdate([fromBinary(ConfigurationChangeSchema, event.entry.value)]);
   }
 
   private async pull(pull: ActionOf<'pull'>): Promise<ConfigurationMessage> {
@@ -297,7 +297,7 @@
           { document, haveRevision: BigInt(haveRevision) },
           { timeoutMs: this.pullTimeoutMilliseconds },
         );
-      const answer = decodeAnswer(document, response);
+      const answer = decodeUpdate(document, response);
       return { kind: 'pull_answered', document, from, answer };
     } catch (error) {
       return { kind: 'pull_failed', document, from, reason: (error as Error).message };
--- a/src/configuration/DocumentSync.ts
+++ b/src/configuration/DocumentSync.ts
@@ -10,16 +10,16 @@
 import type {
   ConfigurationAction,
   ConfigurationReport,
-  DocumentAnswer,
+  DocumentUpdate,
   DocumentSource,
   MemberRevisions,
   WatchEnd,
 } from './configurationTypes.js';
 import { PeerRevisions } from './PeerRevisions.js';
-import type { DaemonPlace } from './PeerRevisions.js';
-import { SyncTimes } from './SyncTimes.js';
-import type { SyncTiming } from './SyncTimes.js';
-import type { SyncedDocument, TakeResult } from './SyncedDocument.js';
+import type { DaemonLocation } from './PeerRevisions.js';
+import { SyncSchedule } from './SyncSchedule.js';
+import type { SyncTiming } from './SyncSchedule.js';
+import type { SyncedDocument, ApplyResult } from './SyncedDocument.js';
 
 type SyncState = StateOf<typeof chart>;
 type SyncEvent = EventOf<typeof chart>;
@@ -29,7 +29,7 @@
 /** Options of a {@link DocumentSync}. */
 export interface DocumentSyncOptions {
   document: SyncedDocument;
-  self: DaemonPlace;
+  self: DaemonLocation;
   timing: SyncTiming;
   watchersPerDataCentre: number;
   /** Seeded random source: at least 0, below 1. */
@@ -37,7 +37,7 @@
 }
 
 /** Result of receiving an update: the document's own result, or refused as older than what the fleet has. */
-type ReceiveResult = TakeResult | 'behind';
+type ReceiveResult = ApplyResult | 'behind';
 
 /** State machine that synchronizes one document; its states are in configuration.chart.json. */
 export class DocumentSync {
@@ -47,7 +47,7 @@
 
   private readonly peers: PeerRevisions;
 
-  private readonly schedule: SyncTimes;
+  private readonly schedule: SyncSchedule;
 
   private state: SyncState = interpreter.initial();
 
@@ -72,7 +72,7 @@
     this.document = document;
     this.watchersPerDataCentre = watchersPerDataCentre;
     this.peers = new PeerRevisions({ document: document.name, self, random });
-    this.schedule = new SyncTimes({ timing, random });
+    this.schedule = new SyncSchedule({ timing, random });
   }
 
   /** @returns The current state; see configuration.chart.json. */
@@ -86,41 +86,41 @@
   }
 
   /** Replaces the whole membership list. */
-  members(now: number, members: readonly MemberRevisions[]): void {
-    this.peers.replace(members);
+  replaceMembers(now: number, members: readonly MemberRevisions[]): void {
+    this.peers.replaceMembers(members);
     members.forEach((member) => this.compareDigest(now, member));
-    this.wake(now);
+    this.runDueTasks(now);
   }
 
   /** Updates one member from a record that arrived by gossip. */
-  memberRevision(now: number, member: MemberRevisions): void {
-    this.peers.hear(member);
+  updateMember(now: number, member: MemberRevisions): void {
+    this.peers.updateMember(member);
     this.compareDigest(now, member);
     this.schedulePull(now);
   }
 
   /** Records a revision that a peer has reported for itself. */
-  peerRevision(now: number, daemonId: string, revision: number): void {
-    this.peers.raise(daemonId, revision);
+  raisePeerRevision(now: number, daemonId: string, revision: number): void {
+    this.peers.raiseRevision(daemonId, revision);
     this.schedulePull(now);
   }
 
   /** Updates the watcher role and runs all tasks that are due. */
-  wake(now: number): void {
+  runDueTasks(now: number): void {
     this.updateRole(now);
-    if (this.schedule.take('retry', now))
+    if (this.schedule.takeDue('retry', now))
       this.transition(
         now,
         this.storeRevision > 0 && !this.needsWholeDocument ? 'resume_due' : 'retry_due',
       );
-    if (this.schedule.take('check', now)) this.transition(now, 'check_due');
-    if (this.schedule.take('compare', now)) this.requestPlatformRead();
-    if (this.schedule.take('pull', now)) this.requestPull(now);
+    if (this.schedule.takeDue('check', now)) this.transition(now, 'check_due');
+    if (this.schedule.takeDue('compare', now)) this.requestPlatformRead();
+    if (this.schedule.takeDue('pull', now)) this.requestPull(now);
     this.schedulePull(now);
   }
 
   /** Handles the result of a read of the store. */
-  platformAnswered(now: number, answer: DocumentAnswer, storeRevision: number): void {
+  handlePlatformAnswer(now: number, answer: DocumentUpdate, storeRevision: number): void {
     const result = this.receive(answer, 'platform');
     const confirmed = answer.kind === 'same' && answer.revision === this.document.revision();
     if (confirmed) this.confirmedRevision = answer.revision;
@@ -132,16 +132,16 @@
   }
 
   /** Handles a failed read of the store. */
-  platformFailed(now: number, reason: string): void {
+  handlePlatformFailure(now: number, reason: string): void {
     this.report('platform_failed', { reason });
     this.transition(now, 'failed');
   }
 
   /** Handles an update that the watch reported. */
-  watchReported(now: number, answer: DocumentAnswer, storeRevision: number): void {
+  handleWatchReport(now: number, answer: DocumentUpdate, storeRevision: number): void {
     const result = this.receive(answer, 'watch');
     if (this.state !== 'watching') return;
-    this.schedule.watchWorks();
+    this.schedule.resetBackOff();
     this.storeRevision = Math.max(this.storeRevision, storeRevision);
     if (result === 'differs') this.needsWholeDocument = true;
     if (result !== 'applied' && result !== 'nothing') this.transition(now, 'gap_found');
@@ -149,14 +149,14 @@
   }
 
   /** Handles the end of the watch. */
-  watchEnded(now: number, end: WatchEnd, reason: string): void {
+  handleWatchEnd(now: number, end: WatchEnd, reason: string): void {
     if (this.state !== 'watching') return;
     this.report('platform_failed', { reason });
     this.transition(now, end === 'lost' ? 'watch_lost' : 'watch_compacted');
   }
 
   /** Handles a peer's response to a pull. */
-  pullAnswered(now: number, from: string, answer: DocumentAnswer): void {
+  handlePullAnswer(now: number, from: string, answer: DocumentUpdate): void {
     if (this.pullingFrom === from) this.pullingFrom = undefined;
     const result = this.receive(answer, 'peer');
     if (result === 'applied') {
@@ -166,28 +166,28 @@
       this.transition(now, 'gap_found');
     } else {
       if (result === 'gap' || result === 'differs') this.needsWholeDocument = true;
-      else this.peers.correct(from, answer.revision);
-      this.peers.avoid(from, now + this.schedule.timing.peerAvoidMilliseconds);
+      else this.peers.lowerRevision(from, answer.revision);
+      this.peers.avoidPeer(from, now + this.schedule.timing.peerAvoidMilliseconds);
     }
     this.schedulePull(now);
   }
 
   /** Handles a failed pull. */
-  pullFailed(now: number, from: string, reason: string): void {
+  handlePullFailure(now: number, from: string, reason: string): void {
     if (this.pullingFrom === from) this.pullingFrom = undefined;
     this.report('pull_failed', { from, reason });
-    this.peers.avoid(from, now + this.schedule.timing.peerAvoidMilliseconds);
+    this.peers.avoidPeer(from, now + this.schedule.timing.peerAvoidMilliseconds);
     this.schedulePull(now);
   }
 
   /** Applies a change that this daemon itself committed to the store. */
-  committed(now: number, answer: DocumentAnswer): void {
+  applyCommitted(now: number, answer: DocumentUpdate): void {
     this.receive(answer, 'commit');
     this.schedulePull(now);
   }
 
   /** @returns The actions requested since the last call. */
-  drain(): ConfigurationAction[] {
+  takeActions(): ConfigurationAction[] {
     const { actions } = this;
     this.actions = [];
     return actions;
@@ -196,8 +196,8 @@
   private updateRole(now: number): void {
     // A daemon that has just started knows no other daemon and would choose itself as the only watcher. After
     // a restart of the whole fleet, all daemons would then read the whole document from the store at once.
-    const waited = this.schedule.waitedForCompany(now);
-    if (!this.peers.company && !waited) return;
+    const waited = this.schedule.isStartGraceOver(now);
+    if (!this.peers.hasLivePeers && !waited) return;
     const chosen = this.peers.isWatcher(this.watchersPerDataCentre);
     this.transition(now, chosen ? 'chosen' : 'not_chosen');
   }
@@ -232,9 +232,9 @@
     });
   }
 
-  private receive(answer: DocumentAnswer, source: DocumentSource): ReceiveResult {
+  private receive(answer: DocumentUpdate, source: DocumentSource): ReceiveResult {
     const offered = answer.revision;
-    const fleetRevision = this.peers.floor();
+    const fleetRevision = this.peers.highestKnownRevision();
     const have = this.document.revision();
     // A restarted daemon has no revision of its own to compare with. The store, or a peer that was cut off,
     // may offer an older revision than the fleet has in force; applying it would make a withdrawn key valid
@@ -254,9 +254,9 @@
   }
 
   /** Treats a malformed update like one with wrong content, so that it does not crash the daemon. */
-  private applySafely(answer: DocumentAnswer): TakeResult {
+  private applySafely(answer: DocumentUpdate): ApplyResult {
     try {
-      return this.document.take(answer);
+      return this.document.apply(answer);
     } catch {
       return 'differs';
     }
@@ -274,21 +274,22 @@
       member.configurationRevision === revision &&
       revision > this.confirmedRevision;
     if (!comparable || member.configurationDigest === this.document.digest()) return;
-    if (this.schedule.planCompare(now))
+    if (this.schedule.scheduleCompare(now))
       this.report('content_differs', { source: member.daemonId, offered: revision });
   }
 
   private schedulePull(now: number): void {
-    const newer = this.peers.newest() > this.document.revision() || this.needsWholeDocument;
+    const newer =
+      this.peers.highestLiveRevision() > this.document.revision() || this.needsWholeDocument;
     if (!newer) this.schedule.cancel('pull');
     else if (this.pullingFrom === undefined)
-      this.schedule.planPull(now, this.state === 'watching' && !this.needsWholeDocument);
+      this.schedule.schedulePull(now, this.state === 'watching' && !this.needsWholeDocument);
   }
 
   private requestPull(now: number): void {
     const have = this.document.revision();
-    const lowestAtStart = have === 0 ? this.peers.newest() : 0;
-    const peer = this.peers.choose(
+    const lowestAtStart = have === 0 ? this.peers.highestLiveRevision() : 0;
+    const peer = this.peers.choosePeer(
       now,
       Math.max(lowestAtStart, this.needsWholeDocument ? have : have + 1),
     );
--- a/src/configuration/FieldChecks.ts
+++ b/src/configuration/FieldChecks.ts
@@ -33,35 +33,35 @@
    * @param holds - whether the condition holds.
    * @param message - the problem, as the rest of a sentence that begins with the field.
    */
-  that(field: string, holds: boolean, message: string): void {
+  requireThat(field: string, holds: boolean, message: string): void {
     if (!holds) this.findings.add({ field: `${this.entity}.${field}` }, message);
   }
 
   /** Requires a name that is valid in keys, paths and log lines. */
   name(field: string, value: string): void {
     const rule = 'has to be 1 to 63 of a-z, 0-9, ".", "_", "-", beginning with a letter or digit';
-    this.that(field, NAME.test(value), rule);
+    this.requireThat(field, NAME.test(value), rule);
   }
 
   /** Requires a non-empty text. */
-  filled(field: string, value: string): void {
-    this.that(field, value !== '', 'is missing');
+  notEmpty(field: string, value: string): void {
+    this.requireThat(field, value !== '', 'is missing');
   }
 
   /** Requires one of the given values. */
   oneOf(field: string, value: string, words: readonly string[]): void {
-    this.that(field, words.includes(value), `has to be one of ${words.join(', ')}`);
+    this.requireThat(field, words.includes(value), `has to be one of ${words.join(', ')}`);
   }
 
   /** Requires a number from `least` to `most`, both included; NaN is refused. */
   range(field: string, value: number, least: number, most: number): void {
     const holds = value >= least && value <= most;
-    this.that(field, holds, `has to be ${least} to ${most}, not ${value}`);
+    this.requireThat(field, holds, `has to be ${least} to ${most}, not ${value}`);
   }
 
   /** Requires that no value is listed twice. */
   distinct(field: string, values: readonly string[]): void {
     const twice = values.find((value, index) => values.indexOf(value) !== index);
-    this.that(field, twice === undefined, `lists ${twice} twice`);
+    this.requireThat(field, twice === undefined, `lists ${twice} twice`);
   }
 }
--- a/src/configuration/InstanceDirectory.ts
+++ b/src/configuration/InstanceDirectory.ts
@@ -9,9 +9,9 @@
 import { RunnerRecordSchema } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { RunnerRecord } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { PlatformStore, StoreEntry, StoreWrite, WatchEvent } from '../store/PlatformStore.js';
-import { INSTANCES_PREFIX, instanceKey, runnerOfKey } from './configurationKeys.js';
-import type { DocumentAnswer } from './configurationTypes.js';
-import { runnerChangesAnswer, runnerListAnswer } from './RunnerListDocument.js';
+import { INSTANCES_PREFIX, instanceKey, runnerIdOfKey } from './configurationKeys.js';
+import type { DocumentUpdate } from './configurationTypes.js';
+import { runnerChangesUpdate, wholeRunnerListUpdate } from './RunnerListDocument.js';
 
 const LENIENT = { ignoreUnknownFields: true } as const;
 
@@ -27,19 +27,19 @@
 }
 
 /** Called with the key of an entry that is not a valid runner record, and the reason. */
-export type BadInstanceListener = (key: string, reason: string) => void;
+export type InvalidInstanceListener = (key: string, reason: string) => void;
 
 /** Options of an {@link InstanceDirectory}. */
 export interface InstanceDirectoryOptions {
   store: PlatformStore;
-  onBadInstance?: BadInstanceListener;
+  onBadInstance?: InvalidInstanceListener;
 }
 
 /** Reads the list of runners from the store and converts watch events to updates of it. */
 export class InstanceDirectory {
   private readonly store: PlatformStore;
 
-  private readonly onBadInstance: BadInstanceListener;
+  private readonly onBadInstance: InvalidInstanceListener;
 
   /**
    * @param options - the platform's store and a listener for invalid entries.
@@ -50,11 +50,11 @@
   }
 
   /** @returns The whole list, and the store revision at which it was read. */
-  async read(): Promise<{ answer: DocumentAnswer; storeRevision: number }> {
+  async read(): Promise<{ answer: DocumentUpdate; storeRevision: number }> {
     const { entries, revision } = await this.store.range(INSTANCES_PREFIX);
     const runners = entries.flatMap((entry) => this.parseRecord(entry) ?? []);
     const changedRevision = Math.max(0, ...entries.map((entry) => entry.modifiedRevision));
-    const answer = runnerListAnswer(revision, runners, changedRevision);
+    const answer = wholeRunnerListUpdate(revision, runners, changedRevision);
     return { answer, storeRevision: revision };
   }
 
@@ -64,22 +64,22 @@
    * @param event - a put or a deletion that a watch reported.
    * @returns The update, or `undefined` if the entry is invalid: the runner's previous record then stays.
    */
-  changeOf(event: Exclude<WatchEvent, { kind: 'compacted' }>): DocumentAnswer | undefined {
+  toUpdate(event: Exclude<WatchEvent, { kind: 'compacted' }>): DocumentUpdate | undefined {
     if (event.kind === 'delete') {
       const { key, revision } = event;
-      return this.runnerUpdate(revision, runnerOfKey(key));
+      return this.runnerUpdate(revision, runnerIdOfKey(key));
     }
     const record = this.parseRecord(event.entry);
     return record && this.runnerUpdate(event.entry.modifiedRevision, record.runnerId, record);
   }
 
-  private runnerUpdate(revision: number, runnerId: string, record?: RunnerRecord): DocumentAnswer {
+  private runnerUpdate(revision: number, runnerId: string, record?: RunnerRecord): DocumentUpdate {
     const change = create(RunnerListChangeSchema, {
       revision: BigInt(revision),
       runnerId,
       ...(record && { record }),
     });
-    return runnerChangesAnswer(revision, [change]);
+    return runnerChangesUpdate(revision, [change]);
   }
 
   /** Reports an invalid entry and skips it, so that one bad entry does not hide all other runners. */
@@ -87,7 +87,7 @@
     try {
       const json = new TextDecoder().decode(value);
       const record = fromJsonString(RunnerRecordSchema, json, LENIENT);
-      if (record.runnerId === runnerOfKey(key)) return record;
+      if (record.runnerId === runnerIdOfKey(key)) return record;
       this.onBadInstance(key, `the record is of another runner: ${record.runnerId}`);
     } catch (error) {
       this.onBadInstance(key, (error as Error).message);
--- a/src/configuration/PeerRevisions.ts
+++ b/src/configuration/PeerRevisions.ts
@@ -6,7 +6,7 @@
 import type { DocumentName, MemberRevisions } from './configurationTypes.js';
 
 /** A daemon's id and location. */
-export interface DaemonPlace {
+export interface DaemonLocation {
   readonly daemonId: string;
   readonly region: string;
   readonly dataCentre: string;
@@ -15,7 +15,7 @@
 /** Options of {@link PeerRevisions}. */
 export interface PeerRevisionsOptions {
   document: DocumentName;
-  self: DaemonPlace;
+  self: DaemonLocation;
   /** Seeded random source: at least 0, below 1. */
   random: () => number;
 }
@@ -42,7 +42,7 @@
 export class PeerRevisions {
   private readonly document: DocumentName;
 
-  private readonly self: DaemonPlace;
+  private readonly self: DaemonLocation;
 
   private readonly random: () => number;
 
@@ -67,7 +67,7 @@
    *
    * @param members - the whole membership list.
    */
-  replace(members: readonly MemberRevisions[]): void {
+  replaceMembers(members: readonly MemberRevisions[]): void {
     const before = this.members;
     this.members = new Map();
     this.isSelfUnavailable = false;
@@ -85,24 +85,24 @@
    *
    * @param member - a record that arrived by gossip.
    */
-  hear(member: MemberRevisions): void {
+  updateMember(member: MemberRevisions): void {
     if (member.daemonId === this.self.daemonId) return;
     const before = this.members.get(member.daemonId);
     this.members.set(member.daemonId, mergeRecords(before, member));
   }
 
   /** @returns Whether any other daemon is known to be alive. */
-  get company(): boolean {
+  get hasLivePeers(): boolean {
     return [...this.members.values()].some((member) => member.alive);
   }
 
   /** @returns The highest known revision of all listed daemons, alive or not; 0 if there is none. */
-  floor(): number {
+  highestKnownRevision(): number {
     return Math.max(0, ...[...this.members.values()].map((member) => this.revisionOf(member)));
   }
 
   /** @returns The highest revision of all live peers; 0 if there is none. */
-  newest(): number {
+  highestLiveRevision(): number {
     return Math.max(0, ...this.livePeers().map((member) => this.revisionOf(member)));
   }
 
@@ -135,7 +135,7 @@
    * @param wanted - lowest useful revision.
    * @returns A peer, or `undefined` if every peer with that revision is avoided or there is none.
    */
-  choose(now: number, wanted: number): MemberRevisions | undefined {
+  choosePeer(now: number, wanted: number): MemberRevisions | undefined {
     const useful = this.livePeers().filter(
       (member) =>
         this.revisionOf(member) >= wanted && (this.avoidedUntil.get(member.daemonId) ?? 0) <= now,
@@ -153,7 +153,7 @@
    * @param daemonId - a peer whose pull failed or returned nothing new.
    * @param until - end of the exclusion, in monotonic milliseconds.
    */
-  avoid(daemonId: string, until: number): void {
+  avoidPeer(daemonId: string, until: number): void {
     this.avoidedUntil.set(daemonId, until);
   }
 
@@ -163,7 +163,7 @@
    * @param daemonId - the peer.
    * @param revision - its revision of this document.
    */
-  correct(daemonId: string, revision: number): void {
+  lowerRevision(daemonId: string, revision: number): void {
     const member = this.members.get(daemonId);
     if (member && this.revisionOf(member) > revision) this.setRevision(member, revision);
   }
@@ -174,7 +174,7 @@
    * @param daemonId - the peer.
    * @param revision - its revision of this document.
    */
-  raise(daemonId: string, revision: number): void {
+  raiseRevision(daemonId: string, revision: number): void {
     const member = this.members.get(daemonId);
     if (member && this.revisionOf(member) < revision) this.setRevision(member, revision);
   }
--- a/src/configuration/RunnerListDocument.ts
+++ b/src/configuration/RunnerListDocument.ts
@@ -19,9 +19,9 @@
 } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { RunnerList, RunnerRecord } from '../generated/baobabdock/v1/configuration_pb.js';
 import { ChangeLog } from './ChangeLog.js';
-import type { DocumentAnswer } from './configurationTypes.js';
+import type { DocumentUpdate } from './configurationTypes.js';
 import { SyncedDocument } from './SyncedDocument.js';
-import type { TakeResult } from './SyncedDocument.js';
+import type { ApplyResult } from './SyncedDocument.js';
 
 const LENIENT = { ignoreUnknownFields: true } as const;
 
@@ -35,10 +35,10 @@
  * @param changes - the changes, in order.
  * @returns The update.
  */
-export function runnerChangesAnswer(
+export function runnerChangesUpdate(
   revision: number,
   changes: readonly RunnerListChange[],
-): DocumentAnswer {
+): DocumentUpdate {
   const json = changes.map((change) => toJson(RunnerListChangeSchema, change) as JsonObject);
   return { kind: 'changes', revision, digest: '', changes: json };
 }
@@ -51,11 +51,11 @@
  * @param changedRevision - the store revision of the newest entry, if known.
  * @returns The update.
  */
-export function runnerListAnswer(
+export function wholeRunnerListUpdate(
   revision: number,
   runners: readonly RunnerRecord[],
   changedRevision = revision,
-): DocumentAnswer {
+): DocumentUpdate {
   const snapshot = create(RunnerListSnapshotSchema, {
     revision: BigInt(changedRevision),
     runners: [...runners],
@@ -97,22 +97,22 @@
     return '';
   }
 
-  override take(update: DocumentAnswer): TakeResult {
+  override apply(update: DocumentUpdate): ApplyResult {
     if (update.revision < this.currentRevision || update.kind === 'same') return 'nothing';
     if (update.kind === 'whole') return this.takeWhole(update);
     this.takeChanges(update.changes);
     return this.putInForce(update.revision);
   }
 
-  override answer(haveRevision: number): DocumentAnswer {
+  override updateSince(haveRevision: number): DocumentUpdate {
     const revision = this.currentRevision;
     if (haveRevision >= revision) return { kind: 'same', revision, digest: '' };
     const changes = haveRevision > 0 ? this.log.since(haveRevision) : undefined;
     if (changes) return { kind: 'changes', revision, digest: '', changes };
-    return runnerListAnswer(revision, [...this.runners.values()]);
+    return wholeRunnerListUpdate(revision, [...this.runners.values()]);
   }
 
-  private takeWhole({ whole, revision }: DocumentAnswer & { kind: 'whole' }): TakeResult {
+  private takeWhole({ whole, revision }: DocumentUpdate & { kind: 'whole' }): ApplyResult {
     const snapshot = fromBinary(RunnerListSnapshotSchema, Buffer.from(whole, 'base64'));
     const changedRevision = Number(snapshot.revision);
     const same = this.hasSameRecords(snapshot.runners);
@@ -138,7 +138,7 @@
     });
   }
 
-  private putInForce(revision: number): TakeResult {
+  private putInForce(revision: number): ApplyResult {
     this.currentRevision = revision;
     this.currentList = undefined;
     return 'applied';
--- a/src/configuration/SyncTimes.ts
+++ b/src/configuration/SyncSchedule.ts
@@ -43,15 +43,15 @@
 /** Tasks that can be scheduled; `grace` is the end of the start grace period. */
 export type DueKind = 'grace' | 'retry' | 'check' | 'pull' | 'compare';
 
-/** Options of {@link SyncTimes}. */
-export interface SyncTimesOptions {
+/** Options of {@link SyncSchedule}. */
+export interface SyncScheduleOptions {
   timing: SyncTiming;
   /** Seeded random source: at least 0, below 1. */
   random: () => number;
 }
 
 /** Due times of one document's tasks, and the back-off after failures of the store. */
-export class SyncTimes {
+export class SyncSchedule {
   readonly timing: SyncTiming;
 
   private readonly random: () => number;
@@ -67,7 +67,7 @@
   /**
    * @param options - timing and the random source.
    */
-  constructor({ timing, random }: SyncTimesOptions) {
+  constructor({ timing, random }: SyncScheduleOptions) {
     this.timing = timing;
     this.random = random;
   }
@@ -84,7 +84,7 @@
    * @param now - monotonic milliseconds.
    * @returns Whether the task was due.
    */
-  take(kind: DueKind, now: number): boolean {
+  takeDue(kind: DueKind, now: number): boolean {
     const at = this.due.get(kind);
     if (at === undefined || at > now) return false;
     this.due.delete(kind);
@@ -107,12 +107,12 @@
    * @param now - monotonic milliseconds.
    * @returns Whether the grace period is over.
    */
-  waitedForCompany(now: number): boolean {
+  isStartGraceOver(now: number): boolean {
     if (this.startedAt === undefined) {
       this.startedAt = now;
       this.due.set('grace', now + this.timing.startGraceMilliseconds * (1 + this.random()));
     }
-    this.take('grace', now);
+    this.takeDue('grace', now);
     return !this.due.has('grace');
   }
 
@@ -147,11 +147,11 @@
    */
   watchEnded(now: number): void {
     this.due.delete('check');
-    if (now - this.watchingSince >= this.timing.stableWatchMilliseconds) this.watchWorks();
+    if (now - this.watchingSince >= this.timing.stableWatchMilliseconds) this.resetBackOff();
   }
 
   /** Resets the back-off after a success. */
-  watchWorks(): void {
+  resetBackOff(): void {
     this.failures = 0;
   }
 
@@ -161,7 +161,7 @@
    * @param now - monotonic milliseconds.
    * @param watching - whether this daemon's own watch is given time to report the revision first.
    */
-  planPull(now: number, watching: boolean): void {
+  schedulePull(now: number, watching: boolean): void {
     if (this.due.has('pull')) return;
     const { watchPatienceMilliseconds, pullSpreadMilliseconds } = this.timing;
     const patience = watching ? watchPatienceMilliseconds : 0;
@@ -174,7 +174,7 @@
    * @param now - monotonic milliseconds.
    * @returns Whether it was scheduled by this call.
    */
-  planCompare(now: number): boolean {
+  scheduleCompare(now: number): boolean {
     if (this.due.has('compare')) return false;
     this.due.set('compare', now + this.timing.compareSpreadMilliseconds * this.random());
     return true;
--- a/src/configuration/SyncedDocument.ts
+++ b/src/configuration/SyncedDocument.ts
@@ -2,10 +2,10 @@
  * Base class of the documents that every daemon keeps a copy of: the content in force, and the latest changes
  * to send to peers that lack them.
  */
-import type { DocumentAnswer, DocumentName } from './configurationTypes.js';
+import type { DocumentUpdate, DocumentName } from './configurationTypes.js';
 
 /** Result of applying an update. */
-export type TakeResult =
+export type ApplyResult =
   /** The document has a higher revision now, or its content at the same revision was corrected. */
   | 'applied'
   /** The update contained nothing new. */
@@ -33,7 +33,7 @@
    * @returns The result. Unless it is `applied`, the document is unchanged, except that the first changes of
    *   an invalid series may have been applied.
    */
-  abstract take(update: DocumentAnswer): TakeResult;
+  abstract apply(update: DocumentUpdate): ApplyResult;
 
   /**
    * Builds the update for a recipient.
@@ -41,5 +41,5 @@
    * @param haveRevision - the recipient's revision; 0 if it has none.
    * @returns The changes after that revision if they are still kept, the whole document otherwise.
    */
-  abstract answer(haveRevision: number): DocumentAnswer;
+  abstract updateSince(haveRevision: number): DocumentUpdate;
 }
--- a/src/configuration/configurationFeature.ts
+++ b/src/configuration/configurationFeature.ts
@@ -5,7 +5,7 @@
 
 import { defineFeature } from '../features/Feature.js';
 import { defineLogEvent } from '../logging/logEvent.js';
-import { DEFAULT_SYNC_TIMING } from './SyncTimes.js';
+import { DEFAULT_SYNC_TIMING } from './SyncSchedule.js';
 
 const milliseconds = (standard: number, text: string) =>
   z.int().positive().default(standard).describe(`${text}, in milliseconds.`);
--- a/src/configuration/configurationKeys.ts
+++ b/src/configuration/configurationKeys.ts
@@ -28,7 +28,7 @@
  * @param revision - a revision of the configuration.
  * @returns The number of the block that contains its change.
  */
-export function blockOf(revision: number): number {
+export function blockNumber(revision: number): number {
   return Math.floor(revision / CHANGES_PER_BLOCK);
 }
 
@@ -45,7 +45,7 @@
  * @returns The key of the change that made it.
  */
 export function changeKey(revision: number): string {
-  return `${blockPrefix(blockOf(revision))}${String(revision).padStart(REVISION_DIGITS, '0')}`;
+  return `${blockPrefix(blockNumber(revision))}${String(revision).padStart(REVISION_DIGITS, '0')}`;
 }
 
 /**
@@ -77,6 +77,6 @@
  * @param key - a key in the list of instances.
  * @returns The id of the runner that it lists.
  */
-export function runnerOfKey(key: string): string {
+export function runnerIdOfKey(key: string): string {
   return key.slice(INSTANCES_PREFIX.length);
 }
--- a/src/configuration/configurationTypes.ts
+++ b/src/configuration/configurationTypes.ts
@@ -15,7 +15,7 @@
  * store or a watch. Changes are in the JSON form of their schema; a whole document is its protobuf encoding
  * in base64, because it can be megabytes large.
  */
-export type DocumentAnswer =
+export type DocumentUpdate =
   /** The source has no newer revision than the recipient. */
   | { readonly kind: 'same'; readonly revision: number; readonly digest: string }
   | {
@@ -67,7 +67,7 @@
   | {
       readonly kind: 'platform_answered';
       readonly document: DocumentName;
-      readonly answer: DocumentAnswer;
+      readonly answer: DocumentUpdate;
       /** Store revision at which the read happened: a watch continues from the next one. */
       readonly storeRevision: number;
     }
@@ -75,7 +75,7 @@
   | {
       readonly kind: 'watch_reported';
       readonly document: DocumentName;
-      readonly answer: DocumentAnswer;
+      readonly answer: DocumentUpdate;
       readonly storeRevision: number;
     }
   | {
@@ -88,7 +88,7 @@
       readonly kind: 'pull_answered';
       readonly document: DocumentName;
       readonly from: string;
-      readonly answer: DocumentAnswer;
+      readonly answer: DocumentUpdate;
     }
   | {
       readonly kind: 'pull_failed';
@@ -104,7 +104,7 @@
       readonly haveRevision: number;
     }
   /** This daemon committed a change to the store. */
-  | { readonly kind: 'committed'; readonly answer: DocumentAnswer };
+  | { readonly kind: 'committed'; readonly answer: DocumentUpdate };
 
 /** Where applied content came from; `platform` is a read of the store. */
 export type DocumentSource = 'platform' | 'watch' | 'peer' | 'commit';
@@ -144,7 +144,7 @@
       readonly kind: 'answer_pull';
       readonly id: number;
       readonly document: DocumentName;
-      readonly answer: DocumentAnswer;
+      readonly answer: DocumentUpdate;
     }
   /** The document in force on this daemon has changed. */
   | {
--- a/src/configuration/editChecks.ts
+++ b/src/configuration/editChecks.ts
@@ -20,7 +20,7 @@
  * @param requested - the requested change.
  * @returns All findings.
  */
-export function findEditFindings({
+export function validateEdits({
   changeId,
   author,
   comment,
@@ -81,7 +81,7 @@
  * @param edits - the edits of the change.
  * @returns The same findings, with fields such as `edits[2].model`.
  */
-export function placeAtEdits(
+export function moveFindingsToEdits(
   findings: readonly Finding[],
   edits: readonly EntityEdit[],
 ): readonly Finding[] {
--- a/src/configuration/pullMessages.ts
+++ b/src/configuration/pullMessages.ts
@@ -13,7 +13,7 @@
 import { PullDocumentResponseSchema } from '../generated/baobabdock/v1/peers_pb.js';
 import type { PullDocumentResponse } from '../generated/baobabdock/v1/peers_pb.js';
 import { DOCUMENT_NAMES } from './configurationTypes.js';
-import type { DocumentAnswer, DocumentName } from './configurationTypes.js';
+import type { DocumentUpdate, DocumentName } from './configurationTypes.js';
 
 const LENIENT = { ignoreUnknownFields: true } as const;
 
@@ -57,7 +57,7 @@
  * @param answer - the update.
  * @returns The response message; its size determines the traffic of a pull.
  */
-export function encodeAnswer(document: DocumentName, answer: DocumentAnswer): PullDocumentResponse {
+export function encodeUpdate(document: DocumentName, answer: DocumentUpdate): PullDocumentResponse {
   const { kind, revision, digest } = answer;
   const common = { kind, revision: BigInt(revision), digest };
   if (answer.kind === 'whole')
@@ -80,10 +80,10 @@
  * @returns The update for the decisions.
  * @throws {@link RangeError} for an unknown kind; the codec's own errors for malformed content.
  */
-export function decodeAnswer(
+export function decodeUpdate(
   document: DocumentName,
   { kind, revision, digest, content }: PullDocumentResponse,
-): DocumentAnswer {
+): DocumentUpdate {
   const common = { revision: Number(revision), digest };
   if (kind === 'same') return { kind, ...common };
   if (kind === 'whole') return { kind, ...common, whole: Buffer.from(content).toString('base64') };
--- a/src/configuration/readState.ts
+++ b/src/configuration/stateAfterUpdate.ts
@@ -9,7 +9,7 @@
 } from '../generated/baobabdock/v1/changes_pb.js';
 import { InconsistentStoreError } from './configurationErrors.js';
 import { ConfigurationState } from './ConfigurationState.js';
-import type { DocumentAnswer } from './configurationTypes.js';
+import type { DocumentUpdate } from './configurationTypes.js';
 
 /**
  * Computes the state after an update.
@@ -19,7 +19,10 @@
  * @returns The state after the update.
  * @throws {@link InconsistentStoreError} if a change cannot be applied to the state before it.
  */
-export function readState(state: ConfigurationState, answer: DocumentAnswer): ConfigurationState {
+export function stateAfterUpdate(
+  state: ConfigurationState,
+  answer: DocumentUpdate,
+): ConfigurationState {
   if (answer.kind === 'same') return state;
   if (answer.kind === 'whole')
     return ConfigurationState.fromSnapshot(
--- a/src/configuration/testFollowing.ts
+++ b/src/configuration/testDocumentSync.ts
@@ -13,10 +13,10 @@
  * Upper limit for a change to reach every daemon of a small fleet, in milliseconds: several gossip rounds, a
  * pull, and one or two failed peers.
  */
-export const SETTLE = 6 * SECOND;
+export const SETTLE_MILLISECONDS = 6 * SECOND;
 
 /** Check intervals that are short enough for several checks within one test, in milliseconds. */
-export const QUICK_CHECKS = {
+export const SHORT_CHECK_INTERVALS = {
   checkMilliseconds: 8 * SECOND,
   runnersCheckMilliseconds: 8 * SECOND,
 } as const;
@@ -29,7 +29,7 @@
  * @param daemons - number of daemons in each data centre.
  * @returns The location of each daemon.
  */
-export function places(regions: number, dataCentres: number, daemons: number): FleetPlace[] {
+export function fleetPlaces(regions: number, dataCentres: number, daemons: number): FleetPlace[] {
   return Array.from({ length: regions }, (_r, region) =>
     Array.from({ length: dataCentres }, (_d, dataCentre) =>
       Array.from({ length: daemons }, () => ({
@@ -41,7 +41,12 @@
 }
 
 /** Commits a change of the routing policy `warm` through one daemon. */
-export const change = (fleet: FollowingFleet, index: number, name: string, bound = 1.2) =>
+export const commitPolicyChange = (
+  fleet: FollowingFleet,
+  index: number,
+  name: string,
+  bound = 1.2,
+) =>
   fleet.editor(index).change({
     changeId: name,
     author: 'ana',
@@ -50,5 +55,5 @@
   });
 
 /** Expects every daemon to be at a revision. */
-export const allEqual = (fleet: FollowingFleet, revision: number): void =>
+export const expectAllAtRevision = (fleet: FollowingFleet, revision: number): void =>
   expect(fleet.revisions()).toEqual(fleet.revisions().map(() => revision));
--- a/src/configuration/validateConfiguration.ts
+++ b/src/configuration/validateConfiguration.ts
@@ -80,56 +80,72 @@
   private account(account: ClientAccount): void {
     const check = this.checksFor('client_account', account.name);
     check.name('name', account.name);
-    check.filled('firm', account.firm);
+    check.notEmpty('firm', account.firm);
     check.oneOf('highestPriority', account.highestPriority, PRIORITIES);
     check.range('weight', account.weight, 0, MAXIMUM_WEIGHT);
     check.range('keys', account.keys.length, 0, MAXIMUM_KEYS);
     check.distinct('services', account.services);
     account.keys.forEach(({ keyId, salt, digest }, index) => {
-      check.filled(`keys[${index}].keyId`, keyId);
-      check.that(`keys[${index}].salt`, salt.length >= SALT_BYTES, `needs ${SALT_BYTES} bytes`);
-      check.that(`keys[${index}].digest`, digest.length === DIGEST_BYTES, 'is no SHA-256 digest');
+      check.notEmpty(`keys[${index}].keyId`, keyId);
+      check.requireThat(
+        `keys[${index}].salt`,
+        salt.length >= SALT_BYTES,
+        `needs ${SALT_BYTES} bytes`,
+      );
+      check.requireThat(
+        `keys[${index}].digest`,
+        digest.length === DIGEST_BYTES,
+        'is no SHA-256 digest',
+      );
     });
     account.services.forEach((name, index) => {
       const service = this.services.get(name);
       const field = `services[${index}]`;
-      if (!service) check.that(field, false, `names the missing service ${name}`);
+      if (!service) check.requireThat(field, false, `names the missing service ${name}`);
       else if (service.firm !== account.firm)
-        check.that(field, false, `names ${name} of firm ${service.firm}, not of ${account.firm}`);
+        check.requireThat(
+          field,
+          false,
+          `names ${name} of firm ${service.firm}, not of ${account.firm}`,
+        );
     });
   }
 
   private service(service: Service): void {
     const check = this.checksFor('service', service.name);
     check.name('name', service.name);
-    check.filled('firm', service.firm);
+    check.notEmpty('firm', service.firm);
     check.oneOf('kind', service.kind, SERVICE_KINDS);
     const { routingPolicy } = service;
     const known = routingPolicy === '' || this.policies.has(routingPolicy);
-    check.that('routingPolicy', known, `names the missing policy ${routingPolicy}`);
+    check.requireThat('routingPolicy', known, `names the missing policy ${routingPolicy}`);
     check.distinct('idempotentMethods', service.idempotentMethods);
     service.idempotentMethods.forEach((method, index) =>
-      check.that(`idempotentMethods[${index}]`, METHOD.test(method), 'is no method in capitals'),
+      check.requireThat(
+        `idempotentMethods[${index}]`,
+        METHOD.test(method),
+        'is no method in capitals',
+      ),
     );
     if (service.kind === 'engine') this.engine(service, check);
     if (service.kind === 'plain') this.plain(service, check);
   }
 
   private engine(service: Service, check: FieldChecks): void {
-    check.filled('model', service.model);
-    check.that('pathPrefix', service.pathPrefix === '', 'belongs to plain services only');
+    check.notEmpty('model', service.model);
+    check.requireThat('pathPrefix', service.pathPrefix === '', 'belongs to plain services only');
     const knownRole = WANTED_ROLES.includes(service.wantedRole);
-    check.that('wantedRole', knownRole, 'has to be prefill, decode or mixed, or empty');
+    check.requireThat('wantedRole', knownRole, 'has to be prefill, decode or mixed, or empty');
     if (service.wantedVersion === '') return;
     const wanted = this.versions.find(
       ({ model, version }) => model === service.model && version === service.wantedVersion,
     );
     const field = 'wantedVersion';
-    check.that(field, wanted !== undefined, `names a missing version of ${service.model}`);
+    check.requireThat(field, wanted !== undefined, `names a missing version of ${service.model}`);
     if (!wanted) return;
-    check.that(field, wanted.state !== 'withdrawn', `names the withdrawn ${wanted.version}`);
+    check.requireThat(field, wanted.state !== 'withdrawn', `names the withdrawn ${wanted.version}`);
     service.wantedAdapters.forEach((adapter, index) =>
-      check.that(
+      check.requireThat(
         `wantedAdapters[${index}]`,
         wanted.adapters.includes(adapter),
         `names ${adapter}, which ${wanted.name} does not have`,
@@ -139,22 +155,34 @@
 
   private plain(service: Service, check: FieldChecks): void {
     const { pathPrefix } = service;
-    check.that('pathPrefix', PATH_PREFIX.test(pathPrefix), 'has to be a path like "/services/x"');
+    check.requireThat(
+      'pathPrefix',
+      PATH_PREFIX.test(pathPrefix),
+      'has to be a path like "/services/x"',
+    );
     const reserved = RESERVED_PREFIXES.find((prefix) => overlap(prefix, pathPrefix));
-    check.that('pathPrefix', reserved === undefined, `overlaps with the reserved ${reserved}`);
-    check.that('model', service.model === '', 'belongs to engines only');
-    check.that('wantedVersion', service.wantedVersion === '', 'belongs to engines only');
-    check.that('wantedRole', service.wantedRole === '', 'belongs to engines only');
-    check.that('wantedAdapters', service.wantedAdapters.length === 0, 'belongs to engines only');
+    check.requireThat(
+      'pathPrefix',
+      reserved === undefined,
+      `overlaps with the reserved ${reserved}`,
+    );
+    check.requireThat('model', service.model === '', 'belongs to engines only');
+    check.requireThat('wantedVersion', service.wantedVersion === '', 'belongs to engines only');
+    check.requireThat('wantedRole', service.wantedRole === '', 'belongs to engines only');
+    check.requireThat(
+      'wantedAdapters',
+      service.wantedAdapters.length === 0,
+      'belongs to engines only',
+    );
   }
 
   private version(version: ModelVersion): void {
     const check = this.checksFor('model_version', version.name);
     check.name('name', version.name);
-    check.filled('model', version.model);
-    check.filled('version', version.version);
-    check.filled('weightLocation', version.weightLocation);
-    check.that('weightBytes', version.weightBytes > 0n, 'has to be above 0');
+    check.notEmpty('model', version.model);
+    check.notEmpty('version', version.version);
+    check.notEmpty('weightLocation', version.weightLocation);
+    check.requireThat('weightBytes', version.weightBytes > 0n, 'has to be above 0');
     check.oneOf('state', version.state, VERSION_STATES);
     check.distinct('adapters', version.adapters);
   }
@@ -172,21 +200,29 @@
   private drain(drain: Drain): void {
     const check = this.checksFor('drain', drainName(drain));
     check.oneOf('kind', drain.kind, DRAIN_KINDS);
-    check.filled('id', drain.id);
+    check.notEmpty('id', drain.id);
   }
 
   private rollout(rollout: Rollout): void {
     const check = this.checksFor('rollout', rollout.name);
-    check.filled('name', rollout.name);
+    check.notEmpty('name', rollout.name);
     check.oneOf('state', rollout.state, ROLLOUT_STATES);
     check.range('maximumUnavailableShare', rollout.maximumUnavailableShare, 0, 1);
     if (rollout.state === 'finished' || rollout.state === 'rolled_back') return;
     const service = this.services.get(rollout.service);
-    check.that('service', service !== undefined, `names the missing service ${rollout.service}`);
+    check.requireThat(
+      'service',
+      service !== undefined,
+      `names the missing service ${rollout.service}`,
+    );
     const known = this.versions.some(
       ({ model, version }) => model === service?.model && version === rollout.toVersion,
     );
-    check.that('toVersion', known || !service, `names a missing version of ${service?.model}`);
+    check.requireThat(
+      'toVersion',
+      known || !service,
+      `names a missing version of ${service?.model}`,
+    );
   }
 
   /**
@@ -200,7 +236,7 @@
         const owner = owners.get(keyId);
         const field = `keys[${index}].keyId`;
         const check = this.checksFor('client_account', name);
-        check.that(field, owner === undefined, `${keyId} is already a key of ${owner}`);
+        check.requireThat(field, owner === undefined, `${keyId} is already a key of ${owner}`);
         owners.set(keyId, owner ?? name);
       });
     }
@@ -213,7 +249,7 @@
       const key = JSON.stringify([firm, model]);
       const owner = owners.get(key);
       const check = this.checksFor('service', name);
-      check.that('model', owner === undefined, `${model} is already served by ${owner}`);
+      check.requireThat('model', owner === undefined, `${model} is already served by ${owner}`);
       owners.set(key, owner ?? name);
     }
   }
@@ -224,7 +260,7 @@
       const key = JSON.stringify([model, version]);
       const owner = owners.get(key);
       const check = this.checksFor('model_version', name);
-      check.that('version', owner === undefined, `${model} ${version} is already ${owner}`);
+      check.requireThat('version', owner === undefined, `${model} ${version} is already ${owner}`);
       owners.set(key, owner ?? name);
     }
   }
@@ -239,7 +275,11 @@
         .slice(0, index)
         .find((known) => overlap(known.pathPrefix, service.pathPrefix));
       const check = this.checksFor('service', service.name);
-      check.that('pathPrefix', !other, `overlaps with ${other?.pathPrefix} of ${other?.name}`);
+      check.requireThat(
+        'pathPrefix',
+        !other,
+        `overlaps with ${other?.pathPrefix} of ${other?.name}`,
+      );
     });
   }
 
--- a/src/daemon/Daemon.ts
+++ b/src/daemon/Daemon.ts
@@ -71,7 +71,7 @@
     const self = selfMember(settings.daemon, clock, { peerAddress, callerAddress });
     fleet.applyMember(self);
     this.membership = createMembership(this.context, this.parts, self, {
-      onNewerRevision: (newer) => configuration.newerRevision(newer),
+      onNewerRevision: (newer) => configuration.handlePeerRevision(newer),
       onResumed: () => this.planReview(),
       onSteppedBack: () => this.planReview(),
     });
@@ -151,7 +151,7 @@
     const { configuration, fleet } = this.parts;
     if (change === 'members') configuration.updateMembers(fleet.members());
     // Equal revisions with other content show only when the digests are compared.
-    else if (member) configuration.peerRevision(member);
+    else if (member) configuration.updateMember(member);
     // Waiting for the timer would add half a second to each hop of a new revision on its way to all daemons.
     if (change === 'configuration' || change === 'runners') this.publishNews();
     if (change !== 'pools') this.planReview();
--- a/standIns/platform/FollowingDaemon.ts
+++ b/standIns/platform/FollowingDaemon.ts
@@ -7,20 +7,20 @@
 import { fromBinary } from '@bufbuild/protobuf';
 import { ConfigurationDecisions } from '../../src/configuration/ConfigurationDecisions.js';
 import type { ConfigurationDecisionsOptions } from '../../src/configuration/ConfigurationDecisions.js';
-import { changesAnswer } from '../../src/configuration/ConfigurationDocument.js';
+import { changesUpdate } from '../../src/configuration/ConfigurationDocument.js';
 import { ConfigurationRepository } from '../../src/configuration/ConfigurationRepository.js';
 import { InstanceDirectory } from '../../src/configuration/InstanceDirectory.js';
-import type { DaemonPlace } from '../../src/configuration/PeerRevisions.js';
+import type { DaemonLocation } from '../../src/configuration/PeerRevisions.js';
 import { CHANGES_PREFIX, INSTANCES_PREFIX } from '../../src/configuration/configurationKeys.js';
 import { DOCUMENT_NAMES } from '../../src/configuration/configurationTypes.js';
 import type {
   ConfigurationAction,
   ConfigurationMessage,
-  DocumentAnswer,
+  DocumentUpdate,
   DocumentName,
   MemberRevisions,
 } from '../../src/configuration/configurationTypes.js';
-import { decodeAnswer, encodeAnswer } from '../../src/configuration/pullMessages.js';
+import { decodeUpdate, encodeUpdate } from '../../src/configuration/pullMessages.js';
 import { seededRandom } from '../../src/random/seededRandom.js';
 import type { DecisionStep } from '../../src/decisions/DecisionTask.js';
 import { ConfigurationChangeSchema } from '../../src/generated/baobabdock/v1/changes_pb.js';
@@ -35,7 +35,7 @@
   ConfigurationDecisionsOptions,
   'watchersPerDataCentre' | 'timing'
 > {
-  self: DaemonPlace;
+  self: DaemonLocation;
   incarnation?: number;
   seed: number;
   store: MemoryPlatformStore;
@@ -67,7 +67,7 @@
   /** Bytes of documents that it pulled. */
   pulledBytes = 0;
 
-  readonly self: DaemonPlace;
+  readonly self: DaemonLocation;
 
   /** Seed of its random source. */
   readonly seed: number;
@@ -173,13 +173,13 @@
     now: number,
     document: DocumentName,
     haveRevision: number,
-  ): { answer: DocumentAnswer; bytes: number } {
+  ): { answer: DocumentUpdate; bytes: number } {
     const message = { kind: 'pull_requested', id: 1, document, haveRevision } as const;
     const actions = this.decisions.decide(now, message);
     this.steps.push({ at: now, message, actions });
     const action = actions.find(({ kind }) => kind === 'answer_pull') as ActionOf<'answer_pull'>;
-    const response = encodeAnswer(document, action.answer);
-    return { answer: decodeAnswer(document, response), bytes: response.content.length };
+    const response = encodeUpdate(document, action.answer);
+    return { answer: decodeUpdate(document, response), bytes: response.content.length };
   }
 
   private async perform(
@@ -257,12 +257,12 @@
     }
   }
 
-  private answerOf(document: DocumentName, change: KeyChange): DocumentAnswer | undefined {
+  private answerOf(document: DocumentName, change: KeyChange): DocumentUpdate | undefined {
     const { key, value, revision } = change;
     if (document === 'configuration')
-      return value && changesAnswer([fromBinary(ConfigurationChangeSchema, value)]);
-    if (!value) return this.instances.changeOf({ kind: 'delete', key, revision });
+      return value && changesUpdate([fromBinary(ConfigurationChangeSchema, value)]);
+    if (!value) return this.instances.toUpdate({ kind: 'delete', key, revision });
     const entry = { key, value, modifiedRevision: revision };
-    return this.instances.changeOf({ kind: 'put', entry });
+    return this.instances.toUpdate({ kind: 'put', entry });
   }
 }
--- a/standIns/platform/FollowingFleet.ts
+++ b/standIns/platform/FollowingFleet.ts
@@ -3,7 +3,7 @@
  */
 import { ConfigurationEditor } from '../../src/configuration/ConfigurationEditor.js';
 import { ConfigurationRepository } from '../../src/configuration/ConfigurationRepository.js';
-import type { SyncTiming } from '../../src/configuration/SyncTimes.js';
+import type { SyncTiming } from '../../src/configuration/SyncSchedule.js';
 import { seededRandom } from '../../src/random/seededRandom.js';
 import { SilentLog } from '../../src/logging/Log.js';
 import { CountingPlatformStore } from '../../src/store/CountingPlatformStore.js';
--- a/standIns/platform/sizeConfiguration.ts
+++ b/standIns/platform/sizeConfiguration.ts
@@ -8,11 +8,11 @@
 
 import {
   ConfigurationDocument,
-  changesAnswer,
-  wholeAnswer,
+  changesUpdate,
+  wholeDocumentUpdate,
 } from '../../src/configuration/ConfigurationDocument.js';
 import { ConfigurationState } from '../../src/configuration/ConfigurationState.js';
-import { encodeAnswer } from '../../src/configuration/pullMessages.js';
+import { encodeUpdate } from '../../src/configuration/pullMessages.js';
 import { validateConfiguration } from '../../src/configuration/validateConfiguration.js';
 import { ConfigurationChangeSchema } from '../../src/generated/baobabdock/v1/changes_pb.js';
 import { RunnerRecordSchema } from '../../src/generated/baobabdock/v1/configuration_pb.js';
@@ -58,15 +58,15 @@
   edits: [edit],
   digest: after.digest,
 });
-const whole = wholeAnswer(state);
+const whole = wholeDocumentUpdate(state);
 const runner = runnerRecord({ runnerId: 'litoral-tile-sales-0123', accelerators: 8 });
 
 process.stdout.write(
   `${JSON.stringify({
     accounts,
-    wholeBytes: encodeAnswer('configuration', whole).content.length,
+    wholeBytes: encodeUpdate('configuration', whole).content.length,
     changeBytes: toBinary(ConfigurationChangeSchema, change).length,
-    pulledChangeBytes: encodeAnswer('configuration', changesAnswer([change])).content.length,
+    pulledChangeBytes: encodeUpdate('configuration', changesUpdate([change])).content.length,
     runnerEntryBytes: JSON.stringify(toJson(RunnerRecordSchema, runner)).length,
     runnerRecordBytes: toBinary(RunnerRecordSchema, runner).length,
     checkMilliseconds: millisecondsOf(() => {
@@ -76,10 +76,10 @@
       state.withChange(change)?.configuration();
     }),
     takeWholeMilliseconds: millisecondsOf(() => {
-      new ConfigurationDocument().take(whole);
+      new ConfigurationDocument().apply(whole);
     }),
     answerWholeMilliseconds: millisecondsOf(() => {
-      encodeAnswer('configuration', wholeAnswer(state));
+      encodeUpdate('configuration', wholeDocumentUpdate(state));
     }),
   })}\n`,
 );
