--- a/src/configuration/ConfigurationEditor.ts
+++ b/src/configuration/ConfigurationEditor.ts
@@ -191,7 +191,7 @@
           findings: [{ place: { field: 'edits' }, message: 'are too large for one change' }],
         });
       if (error.failure === 'unsure') progress.recordLostResponse();
-      return retryAttempt(`the platform's store failed (${error.failure}): ${error.message}`);
+      return retryAttempt(`the platform: ${error.failure}: ${error.message}`);
     }
   }
 
--- a/src/configuration/ConfigurationRepository.ts
+++ b/src/configuration/ConfigurationRepository.ts
@@ -139,7 +139,7 @@
       ({ revision }) => Number(revision) >= from && Number(revision) <= to,
     );
     if (wanted.length !== to - from + 1)
-      throw new InconsistentStoreError(`some of the changes ${from} to ${to} are missing`);
+      throw new InconsistentStoreError(`changes ${from} to ${to} are not all there`);
     return wanted;
   }
 
@@ -172,9 +172,7 @@
     // A stale response may lack the id of a change that is in force; the change's author would then be told
     // that it failed.
     if (revision < Math.max(notBefore, this.committedStoreRevision))
-      throw new InconsistentStoreError(
-        `stale read: store revision ${revision} is lower than an earlier one`,
-      );
+      throw new InconsistentStoreError(`store revision ${revision} is older than one seen before`);
     return entry && Number(new TextDecoder().decode(entry.value));
   }
 
@@ -264,10 +262,7 @@
     if (state.revision >= revision) return state;
     for (const change of await this.changes(state.revision + 1, revision)) {
       const after = state.withChange(change);
-      if (!after)
-        throw new InconsistentStoreError(
-          `change ${change.revision} has another revision or digest than expected`,
-        );
+      if (!after) throw new InconsistentStoreError(`change ${change.revision} does not fit`);
       state = after;
     }
     return state;
--- a/src/configuration/SnapshotStore.ts
+++ b/src/configuration/SnapshotStore.ts
@@ -47,18 +47,13 @@
     const chunks: Uint8Array[] = [];
     for (let index = 0; index < head.snapshotChunks; index += 1) {
       const { entry } = await this.store.get(chunkKey(head.snapshotId, index));
-      if (!entry)
-        throw new InconsistentStoreError(
-          `chunk ${index} of snapshot ${head.snapshotId} is missing`,
-        );
+      if (!entry) throw new InconsistentStoreError(`chunk ${index} of ${head.snapshotId} is gone`);
       chunks.push(entry.value);
     }
     const snapshot = fromBinary(ConfigurationSnapshotSchema, Buffer.concat(chunks));
     const state = ConfigurationState.fromSnapshot(snapshot);
     if (state.digest !== snapshot.digest || BigInt(state.revision) !== head.snapshotRevision)
-      throw new InconsistentStoreError(
-        `digest or revision of snapshot ${head.snapshotId} does not match`,
-      );
+      throw new InconsistentStoreError(`snapshot ${head.snapshotId} is not what the head names`);
     return state;
   }
 
@@ -79,8 +74,7 @@
         expected: [{ key, modifiedRevision: 0 }],
         writes: [{ kind: 'put', key, value }],
       });
-      if (result.kind === 'conflict')
-        throw new InconsistentStoreError(`snapshot chunk ${key} already exists`);
+      if (result.kind === 'conflict') throw new InconsistentStoreError(`${key} exists already`);
       chunks.push({ key, modifiedRevision: result.revision });
     }
     return { snapshotId, revision: state.revision, chunks };
--- a/src/configuration/stateAfterUpdate.ts
+++ b/src/configuration/stateAfterUpdate.ts
@@ -31,10 +31,7 @@
   return answer.changes.reduce<ConfigurationState>((before, json) => {
     const change = fromJson(ConfigurationChangeSchema, json, { ignoreUnknownFields: true });
     const after = before.withChange(change);
-    if (!after)
-      throw new InconsistentStoreError(
-        `change ${change.revision} has another revision or digest than expected`,
-      );
+    if (!after) throw new InconsistentStoreError(`change ${change.revision} does not fit`);
     return after;
   }, state);
 }
