--- a/src/peers/ConnectPeerLink.ts
+++ b/src/peers/ConnectPeerLink.ts
@@ -1,5 +1,6 @@
 /**
- * Calls daemons by the Connect protocol over HTTP/1.1, on kept connections; each call and each answer is signed.
+ * Calls other daemons with the Connect protocol over HTTP/1.1 on keep-alive connections. Each call and each answer
+ * is signed.
  */
 import type { Socket } from 'node:net';
 
@@ -20,7 +21,7 @@
 import type { PeersSettings } from './peersFeature.js';
 import { peersLogEvents } from './peersFeature.js';
 
-/** Settings that the calling side needs. */
+/** Settings that the calling side uses. */
 export type PeerLinkSettings = Pick<
   PeersSettings,
   | 'callTimeoutMilliseconds'
@@ -43,22 +44,27 @@
   readonly client: Client<typeof PeerService>;
 }
 
-/** Daemons whose agents are kept; every restart of a daemon on a new port would otherwise leave one behind. */
+/**
+ * Maximum number of daemon addresses whose agents are kept. Without it, every restart of a daemon on a new port would
+ * leave an agent behind.
+ */
 const MAXIMUM_KNOWN_PEERS = 1024;
 
-/** The answer to `Authenticate` is empty; whoever answers more is a stranger. */
+/**
+ * Maximum size of an answer to `Authenticate`, which is empty: a process that sends more is not a daemon of the fleet.
+ */
 const MAXIMUM_AUTHENTICATION_BYTES = 1024;
 
 function keyOf(daemonId: string, peerAddress: string): string {
   return `${daemonId}@${peerAddress}`;
 }
 
-/** Below this size gzip costs more time than it saves bytes. */
+/** Minimum message size for compression: below it, the time that gzip takes outweighs the bytes that it saves. */
 const COMPRESSION_THRESHOLD_BYTES = 256;
 
-/** One agent and client for each daemon and address. */
+/** Calls other daemons, with one agent and one client for each pair of daemon and address. */
 export class ConnectPeerLink extends PeerLink {
-  /** What the calls cost. */
+  /** Number of calls and bytes by kind of call. */
   readonly traffic: PeerTraffic;
 
   private readonly credentials: PeerCredentials;
@@ -70,7 +76,7 @@
   private readonly peers = new Map<string, KnownPeer>();
 
   /**
-   * @param options - credentials, limits, where to count and to log.
+   * @param options - the credentials, the limits, the traffic counter and the log.
    */
   constructor({
     credentials,
@@ -88,7 +94,7 @@
   override to(daemonId: string, peerAddress: string): Client<typeof PeerService> {
     const key = keyOf(daemonId, peerAddress);
     const known = this.peers.get(key) ?? this.connect(daemonId, peerAddress);
-    // Taken out and put back, so that the map's order is the order of the last use.
+    // Removes and adds the entry again, so that the map is ordered by last use, least recently used first.
     this.peers.delete(key);
     this.peers.set(key, known);
     return known.client;
@@ -100,11 +106,11 @@
   }
 
   private connect(daemonId: string, peerAddress: string): KnownPeer {
-    this.forgetIdlePeers();
+    this.evictIdlePeer();
     const authentication = authenticateCalls({
       daemonId,
       credentials: this.credentials,
-      onStranger: () => this.distrust(daemonId, peerAddress),
+      onStranger: () => this.handleUnprovenAnswer(daemonId, peerAddress),
     });
     const { connectTimeoutMilliseconds, idleConnectionMilliseconds, maximumConnectionsPerPeer } =
       this.settings;
@@ -122,7 +128,7 @@
     return { agent, client: createClient(PeerService, transport) };
   }
 
-  private distrust(daemonId: string, peerAddress: string): void {
+  private handleUnprovenAnswer(daemonId: string, peerAddress: string): void {
     this.log.write(peersLogEvents.strangerAnswered, { daemon: daemonId, address: peerAddress });
     this.peers.get(keyOf(daemonId, peerAddress))?.agent.distrust();
   }
@@ -136,7 +142,7 @@
       httpVersion: '1.1',
       baseUrl: `http://${peerAddress}`,
       interceptors: [authentication],
-      // A request without an agent closes its connection unless it says otherwise.
+      // Without an agent, Node.js sends `connection: close`; this connection is used for further calls.
       nodeOptions: { createConnection, headers: { connection: 'keep-alive' } },
       acceptCompression: [],
       readMaxBytes: MAXIMUM_AUTHENTICATION_BYTES,
@@ -145,7 +151,10 @@
     return createClient(PeerService, transport).authenticate({}, { timeoutMs });
   }
 
-  /** Calls are short and repetitive, so they are compressed and timed; streams carry their own deadline. */
+  /**
+   * Unary calls are short and repetitive, so they are compressed and have a timeout. Streams are not compressed, and
+   * their requests carry their own deadline.
+   */
   private transport(peerAddress: string, authentication: Interceptor, agent: PeerAgent): Transport {
     const { maximumMessageBytes, callTimeoutMilliseconds } = this.settings;
     const shared = {
@@ -170,7 +179,8 @@
     } as Transport;
   }
 
-  private forgetIdlePeers(): void {
+  /** Removes the least recently used idle peer when the limit is reached. */
+  private evictIdlePeer(): void {
     if (this.peers.size < MAXIMUM_KNOWN_PEERS) return;
     for (const [key, { agent }] of this.peers) {
       if (!agent.idle) continue;
--- a/src/peers/NonceMemory.spec.ts
+++ b/src/peers/NonceMemory.spec.ts
@@ -18,15 +18,15 @@
 
 describe(NonceMemory.name, () => {
   it('takes no nonce twice while its token is good, at any rate of calls', () => {
-    // Symptom: a recorded call runs again. Sequence: more calls than the memory holds push its nonce out, or
-    // the generations turn; then it is sent again. Cause: what was forgotten looked new.
+    // Guards against a recorded call that runs again: more calls than the memory holds drop its nonce, or a new
+    // generation starts, and then the call is sent again. A dropped nonce must not count as new.
     const call = fc.record({
       // Mostly short, so that the memory is full long before the window has passed.
       wait: fc.oneof(
         { weight: 5, arbitrary: fc.nat({ max: 4 }) },
         fc.nat({ max: CLOCK_DIFFERENCE }),
       ),
-      // How far the caller's clock is ahead.
+      // Milliseconds by which the caller's clock is ahead.
       ahead: fc.integer({ min: -CLOCK_DIFFERENCE, max: CLOCK_DIFFERENCE }),
       repeat: fc.option(fc.nat({ max: 20 }), { freq: 2 }),
     });
@@ -53,8 +53,8 @@
   });
 
   it('goes on taking fresh nonces when it is full', () => {
-    // Symptom: after a burst a daemon is deaf to all others for two minutes. Sequence: more calls within the
-    // window than nonces are kept. Cause: a full memory refused everything instead of the oldest.
+    // Guards against a daemon that refuses all calls for two minutes after a burst of more calls than the memory
+    // holds: a full memory must drop the oldest nonces and not refuse new ones.
     const nonces = memory();
     const refused: number[] = [];
     for (let now = 1_000; now < 1_000 + 10 * MAXIMUM_NONCES; now += 1) {
--- a/src/peers/NonceMemory.ts
+++ b/src/peers/NonceMemory.ts
@@ -1,31 +1,31 @@
 /**
- * Remembers nonces for a while, so that a recorded token cannot be used a second time.
+ * Remembers the nonces of recent tokens, so that a recorded token is refused as a replay.
  */
 
 /** Options of a {@link NonceMemory}. */
 export interface NonceMemoryOptions {
-  /** How long a nonce is remembered while there is room, in milliseconds. */
+  /** Milliseconds for which a nonce is remembered unless the memory is full. */
   windowMilliseconds?: number;
-  /** Nonces remembered at most in one generation; two generations are kept. */
+  /** Maximum number of nonces in one generation; two generations are kept. */
   maximumNonces?: number;
 }
 
 const DEFAULT_WINDOW_MILLISECONDS = 120_000;
 
-/** Over the default window 833 calls a second; a full memory shortens the window, see `takeOnce`. */
+/** Allows 833 calls a second over the default window; more calls shorten the window, see `addIfNew`. */
 const DEFAULT_MAXIMUM_NONCES = 100_000;
 
 interface Generation {
   readonly nonces: Set<string>;
-  /** Latest time of issue among the tokens of this generation, in wall-clock milliseconds. */
-  newestIssue: number;
+  /** Latest time of issue among this generation's tokens, in wall-clock milliseconds. */
+  latestIssuedAt: number;
 }
 
 function emptyGeneration(): Generation {
-  return { nonces: new Set(), newestIssue: 0 };
+  return { nonces: new Set(), latestIssuedAt: 0 };
 }
 
-/** Two generations of nonces: the older one is dropped whole, so that no timer for each nonce is needed. */
+/** Keeps two generations of nonces and drops the older one whole, so that no timer for each nonce is needed. */
 export class NonceMemory {
   private readonly windowMilliseconds: number;
 
@@ -37,11 +37,11 @@
 
   private currentSince = 0;
 
-  /** Tokens issued up to this time may have been forgotten. */
+  /** Nonces of tokens issued up to this wall-clock time, in milliseconds, may have been dropped already. */
   private forgottenUntil = 0;
 
   /**
-   * @param options - how long and how many.
+   * @param options - the window and the maximum number of nonces.
    */
   constructor({
     windowMilliseconds = DEFAULT_WINDOW_MILLISECONDS,
@@ -52,29 +52,29 @@
   }
 
   /**
-   * Takes a nonce once.
+   * Adds a nonce unless it is, or may be, one that was added before.
    *
-   * @param now - monotonic milliseconds.
+   * @param now - the current time, in monotonic milliseconds.
    * @param nonce - the nonce, as text.
-   * @param issuedAt - when its token was issued, in wall-clock milliseconds.
-   * @returns Whether it is certain that the nonce is new.
+   * @param issuedAt - the time when the token was issued, in wall-clock milliseconds.
+   * @returns Whether the nonce is certainly new; only then it was added.
    */
   takeOnce(now: number, nonce: string, issuedAt: number): boolean {
     const isFull = this.current.nonces.size >= this.maximumNonces;
     if (isFull || now - this.currentSince >= this.windowMilliseconds) this.startGeneration(now);
-    // More calls than there is room for would either grow the memory until the daemon dies, or stop all calls
-    // until the window has passed. Instead the oldest nonces go early, and tokens as old as these are refused:
-    // fresh calls go on and a replay still fails. One notices it by refusals as "replayed" of callers whose
-    // clock is behind.
+    // When there are more calls than the memory holds, keeping every nonce would exhaust the daemon's memory, and
+    // refusing every call would interrupt service until the window has passed. Instead, the oldest nonces are dropped
+    // early and tokens as old as these are refused: fresh calls still succeed and a replay still fails. The sign of
+    // this state is that callers whose clock is behind are refused as "replayed".
     if (issuedAt <= this.forgottenUntil) return false;
     if (this.current.nonces.has(nonce) || this.previous.nonces.has(nonce)) return false;
     this.current.nonces.add(nonce);
-    this.current.newestIssue = Math.max(this.current.newestIssue, issuedAt);
+    this.current.latestIssuedAt = Math.max(this.current.latestIssuedAt, issuedAt);
     return true;
   }
 
   private startGeneration(now: number): void {
-    this.forgottenUntil = Math.max(this.forgottenUntil, this.previous.newestIssue);
+    this.forgottenUntil = Math.max(this.forgottenUntil, this.previous.latestIssuedAt);
     this.previous = this.current;
     this.current = emptyGeneration();
     this.currentSince = now;
--- a/src/peers/PeerAgent.ts
+++ b/src/peers/PeerAgent.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps connections to one daemon, bounds and counts them, and knows when nothing was sent.
+ * HTTP agent for the connections to one daemon. It limits and authenticates them, counts their bytes, and marks
+ * failures that occurred before any byte of a call was sent.
  */
 import { Agent } from 'node:http';
 import type { AgentOptions, ClientRequest, ClientRequestArgs } from 'node:http';
@@ -18,31 +19,36 @@
   traffic: PeerTraffic;
   connectTimeoutMilliseconds: number;
   /**
-   * Makes a call without content over a new connection. Calls with content follow only when it succeeded, so that
-   * a process that has got the address of a former daemon never sees a prompt.
+   * Sends an empty call over a new connection. Calls with content follow only after it succeeded, so that a process
+   * that took over the address of a former daemon never receives a prompt.
    */
   authenticate: (createConnection: () => Socket) => Promise<unknown>;
 }
 
-/** What Node's typings leave out of `http.Agent`. */
+/** Declares a method of `http.Agent` that Node's typings leave out. */
 const agentPrototype = Agent.prototype as Agent & {
   addRequest(clientRequest: ClientRequest, options: ClientRequestArgs): void;
 };
 
-function notReached(message: string, code: Code, cause?: unknown): ConnectError {
+function notReachedError(message: string, code: Code, cause?: unknown): ConnectError {
   const reason = new PeerNotReachedError(message, { cause });
   return new ConnectError(message, code, undefined, undefined, reason);
 }
 
-/** Waits until a call over a connection is over and the connection may carry the next one. */
-function freed(socket: Socket): Promise<void> {
+/** Waits until the call on a connection has ended and the connection can carry the next one. */
+function waitUntilFree(socket: Socket): Promise<void> {
   return new Promise((resolve, reject) => {
     socket.once('free', resolve);
-    socket.once('close', () => reject(new Error('The connection was closed.')));
+    socket.once('close', () =>
+      reject(new Error('The connection was closed before its authentication ended.')),
+    );
   });
 }
 
-/** An `http.Agent` that counts, and whose failures say that nothing was sent. */
+/**
+ * An `http.Agent` that authenticates each connection before its first call and counts bytes by kind of call. Failures
+ * to open a connection have a {@link PeerNotReachedError} as their cause.
+ */
 export class PeerAgent extends Agent {
   private readonly traffic: PeerTraffic;
 
@@ -50,10 +56,10 @@
 
   private readonly authenticate: PeerAgentOptions['authenticate'];
 
-  private trusted = new WeakSet<Duplex>();
+  private authenticatedSockets = new WeakSet<Duplex>();
 
   /**
-   * @param options - limits, where to count, and how a connection is authenticated.
+   * @param options - the limits, the traffic counter, and how to authenticate a connection.
    */
   constructor({ traffic, connectTimeoutMilliseconds, authenticate, ...options }: PeerAgentOptions) {
     super(options);
@@ -66,7 +72,7 @@
     options: ClientRequestArgs,
     callback?: (error: Error | null, stream: Duplex) => void,
   ): undefined {
-    this.open(options).then(
+    this.openAuthenticated(options).then(
       (socket) => callback?.(null, socket),
       (error: Error) => callback?.(error, undefined as unknown as Duplex),
     );
@@ -75,18 +81,18 @@
   override keepSocketAlive(socket: Duplex): boolean {
     this.traffic.settle(socket);
     super.keepSocketAlive(socket);
-    return this.trusted.has(socket);
+    return this.authenticatedSockets.has(socket);
   }
 
   /**
-   * Called by `http.request` for each call. The hooks for reused connections are not enough to count by kind
-   * of call: a call that waited gets the next free connection without them.
+   * Called by `http.request` for each call, and counts the call. The agent's hooks for reused connections do not
+   * suffice for that: a queued call gets the next free connection without these hooks.
    *
    * @param clientRequest - the call.
-   * @param options - where to.
+   * @param options - the target of the call.
    */
   addRequest(clientRequest: ClientRequest, options: ClientRequestArgs): void {
-    // HTTP/1.1 keeps a connection without being told; in each call the header would cost 24 bytes.
+    // HTTP/1.1 keeps connections open by default; the header would add 24 bytes to each call.
     clientRequest.removeHeader('connection');
     clientRequest.once('socket', (socket) =>
       this.traffic.begin(socket, 'called', callOfPath(clientRequest.path)),
@@ -94,35 +100,35 @@
     agentPrototype.addRequest.call(this, clientRequest, options);
   }
 
-  /** @returns Whether no call is in progress or waiting. */
+  /** @returns Whether no call is in progress or queued. */
   get idle(): boolean {
     return Object.keys(this.sockets).length === 0 && Object.keys(this.requests).length === 0;
   }
 
-  /** Keeps no present connection for further calls; what is in progress goes on. */
+  /** Closes idle connections, and each busy one after its current call, so that further calls authenticate anew. */
   distrust(): void {
-    this.trusted = new WeakSet();
+    this.authenticatedSockets = new WeakSet();
     for (const sockets of Object.values(this.freeSockets)) {
       for (const socket of sockets ?? []) socket.destroy();
     }
   }
 
-  private async open(options: ClientRequestArgs): Promise<Socket> {
+  private async openAuthenticated(options: ClientRequestArgs): Promise<Socket> {
     const socket = await this.connect(options);
     this.traffic.begin(socket, 'called', AUTHENTICATE_CALL);
     socket.once('close', () => this.traffic.settle(socket));
     try {
-      await Promise.all([this.authenticate(() => socket), freed(socket)]);
+      await Promise.all([this.authenticate(() => socket), waitUntilFree(socket)]);
     } catch (error) {
       socket.destroy();
       const { code } = ConnectError.from(error);
-      throw notReached(
-        `${options.host}:${options.port}: could not authenticate`,
+      throw notReachedError(
+        `${options.host}:${options.port}: the daemon could not be authenticated`,
         code === Code.Unauthenticated ? code : Code.Unavailable,
         error,
       );
     }
-    this.trusted.add(socket);
+    this.authenticatedSockets.add(socket);
     return socket;
   }
 
@@ -131,14 +137,15 @@
     return new Promise((resolve, reject) => {
       const fail = (reason: string, cause?: Error) => {
         socket.destroy();
-        reject(notReached(`${host}:${port}: ${reason}`, Code.Unavailable, cause));
+        reject(notReachedError(`${host}:${port}: ${reason}`, Code.Unavailable, cause));
       };
       const timer = setTimeout(
-        () => fail('no connection in time'),
+        () => fail('no connection within the connect timeout'),
         this.connectTimeoutMilliseconds,
       );
-      // Stays: between two calls nobody else listens, and an error without a listener ends the process.
-      socket.on('error', (error) => fail('not reached', error));
+      // This listener stays attached: between two calls there is no other one, and an `error` event without a
+      // listener would end the process.
+      socket.on('error', (error) => fail('the connection failed', error));
       socket.once('connect', () => resolve(socket));
       for (const event of ['connect', 'close']) socket.once(event, () => clearTimeout(timer));
     });
--- a/src/peers/PeerCredentials.ts
+++ b/src/peers/PeerCredentials.ts
@@ -1,5 +1,5 @@
 /**
- * What a daemon shows with each call and each answer, and how it judges what the other side shows.
+ * Mutual authentication between daemons: signs the tokens of calls and answers, and verifies those of other daemons.
  */
 import { randomBytes } from 'node:crypto';
 
@@ -11,29 +11,30 @@
 
 /** Options of {@link PeerCredentials}. */
 export interface PeerCredentialsOptions {
-  /** This daemon's name. */
+  /** Name of this daemon. */
   daemonId: string;
   tokens: SignedTokens;
   clock: Clock;
-  /** How far the wall clocks of two daemons may differ, in milliseconds. */
+  /** Maximum difference between the wall clocks of two daemons, in milliseconds. */
   maximumClockDifferenceMilliseconds?: number;
 }
 
 /**
- * Why a caller was refused; for this daemon's own log only, a stranger is never told. `not_signed`: not by a secret
- * of ours, or for another daemon or method. These are signed but not sent, so which of them is wrong cannot be told.
+ * Why a caller was refused. The reason is written to this daemon's log only and never sent to the caller.
+ * `not_signed` means that the token was not signed with a secret of the fleet, or is for another daemon or method.
+ * Daemon and method are signed but not sent, so these cases cannot be distinguished.
  */
 export type RefusedCaller = 'not_signed' | 'clock_difference' | 'replayed';
 
-/** The judgement on a caller. */
+/** Result of verifying a caller's token; `from` is the caller's name and `answer` the token for the answer. */
 export type CallerJudgement =
   | { readonly kind: 'accepted'; readonly from: string; readonly answer: string }
   | { readonly kind: 'refused'; readonly reason: RefusedCaller; readonly from?: string };
 
-/** What a token says, the part that is not sent included. */
+/** Fields that a token's signature covers, including those that are not sent. */
 type CallFields = Pick<PeerToken, 'from' | 'to' | 'issuedAtMilliseconds' | 'nonce' | 'call'>;
 
-/** A token to send, with what is needed to judge the answer. */
+/** A call's token, with the fields that are needed to verify the answer. */
 export interface OpenedCall {
   readonly token: string;
   readonly fields: CallFields;
@@ -42,20 +43,23 @@
 const DEFAULT_MAXIMUM_CLOCK_DIFFERENCE_MILLISECONDS = 60_000;
 
 /**
- * A nonce is only ever met by chance: nobody but its caller chooses it. With too few bytes a fresh call would be taken
- * for a replay, or an answer recorded from an earlier call would fit a later one. Nonces differ by themselves, also
- * when a clock stands still: against two full generations of the memory (200,000) one in 2^46 calls repeats one. A
- * recorded answer must agree in time, method and both names as well.
+ * Length of a nonce in bytes. Callers choose nonces at random, so two can only be equal by chance. With too few bytes,
+ * a fresh call would be refused as a replay, or an answer recorded from an earlier call would fit a later one. With 8
+ * bytes, one call in 2^46 repeats a nonce among two full generations of the nonce memory (200,000 nonces), even if the
+ * clock stands still. A recorded answer would also have to match in time, method and both names.
  */
 const NONCE_BYTES = 8;
 
-/** What the answer's token covers: the names change sides, the call is told by everything that told it apart. */
-function answerTo(fields: CallFields, from: string): CallFields {
+/**
+ * Fields of the answer's token: caller and called daemon are swapped, and the fields that identify the call are those
+ * of the call.
+ */
+function answerFields(fields: CallFields, from: string): CallFields {
   const { issuedAtMilliseconds, nonce, call } = fields;
   return { from, to: fields.from, issuedAtMilliseconds, nonce, call };
 }
 
-/** Both directions of the mutual authentication between two daemons. */
+/** Signs and verifies the tokens of calls and answers between this daemon and others. */
 export class PeerCredentials {
   private readonly daemonId: string;
 
@@ -68,7 +72,7 @@
   private readonly nonces: NonceMemory;
 
   /**
-   * @param options - who this daemon is and what it trusts.
+   * @param options - the name, the secrets and the clock of this daemon.
    */
   constructor({
     daemonId,
@@ -80,16 +84,16 @@
     this.tokens = tokens;
     this.clock = clock;
     this.maximumClockDifference = maximumClockDifferenceMilliseconds;
-    // A token is good from one clock difference before its time to one after it.
+    // A token is valid from one clock difference before its time of issue until one clock difference after it.
     this.nonces = new NonceMemory({ windowMilliseconds: 2 * maximumClockDifferenceMilliseconds });
   }
 
   /**
-   * Makes a token for one call.
+   * Signs the token of one call.
    *
-   * @param to - the daemon meant; empty when only an address is known.
-   * @param call - the method, as {@link callOfPath} names it.
-   * @returns The token and what it says.
+   * @param to - name of the called daemon; empty if only its address is known.
+   * @param call - name of the method, as {@link callOfPath} returns it.
+   * @returns The token and its fields.
    */
   openCall(to: string, call: string): OpenedCall {
     const nonce = randomBytes(NONCE_BYTES);
@@ -101,15 +105,15 @@
   }
 
   /**
-   * Judges a caller by its token.
+   * Verifies the token of a caller.
    *
-   * @param token - what it sent.
-   * @param call - the method that it calls.
-   * @returns Who it is and the answer that proves who we are, or why it is refused.
+   * @param token - the token that the caller sent.
+   * @param call - name of the called method.
+   * @returns The caller's name and the token that authenticates this daemon's answer, or the reason for a refusal.
    */
   judgeCaller(token: string, call: string): CallerJudgement {
-    // Our name and the method are filled in here, not taken from the token. Without this, whoever gets a token made
-    // out to one daemon could show it to another, and the token of a gossip message could run a request.
+    // This daemon's name and the method are filled in here and not read from the token. Otherwise a token for one
+    // daemon could be used at another one, and the token of a gossip message could run a request.
     const open = (to: string) =>
       this.tokens.openBrief('peer', PeerTokenSchema, token, { to, call });
     const opened = open(this.daemonId) ?? open('');
@@ -122,23 +126,24 @@
       Number(issuedAtMilliseconds),
     );
     if (!isNew) return { kind: 'refused', reason: 'replayed', from };
-    // A caller that meant us by name knows all that is signed; one that had an address only has to learn the name.
+    // A caller that named this daemon knows all signed fields; one that had only an address has to be sent the name.
     const sent = to === '' ? { from: this.daemonId } : {};
-    const known = answerTo(opened, this.daemonId);
+    const known = answerFields(opened, this.daemonId);
     const answer = this.tokens.signBrief('peer-answer', PeerTokenSchema, sent, known);
     return { kind: 'accepted', from, answer };
   }
 
   /**
-   * Judges the answer of a called daemon: an address may by now belong to somebody else.
+   * Verifies the token of an answer, since the address of the called daemon may meanwhile belong to another process.
    *
-   * @param to - the daemon meant; empty when only an address was known.
-   * @param call - the call that is answered.
-   * @param answer - what came back.
-   * @returns The name of the daemon that answered, or `undefined` when it is not the one meant.
+   * @param to - name of the called daemon; empty if only its address was known.
+   * @param call - the call, as signed.
+   * @param answer - the token of the answer.
+   * @returns The name of the daemon that answered, or `undefined` if the token does not prove that the called daemon
+   *   answered this call.
    */
   judgeAnswer(to: string, call: OpenedCall, answer: string): string | undefined {
-    const { from, ...rest } = answerTo(call.fields, to);
+    const { from, ...rest } = answerFields(call.fields, to);
     const known = to === '' ? rest : { from, ...rest };
     const opened = this.tokens.openBrief('peer-answer', PeerTokenSchema, answer, known);
     return opened?.from;
--- a/src/peers/PeerLink.ts
+++ b/src/peers/PeerLink.ts
@@ -1,19 +1,21 @@
 /**
- * How a daemon calls other daemons. The implementation signs each call and bounds its time and size.
+ * Interface through which a daemon calls other daemons. Implementations sign each call and limit its time and size.
  */
 import type { Client } from '@connectrpc/connect';
 
 import type { PeerService } from '../generated/baobabdock/v1/peers_pb.js';
 
-/** Calls to daemons by the address in their member record. */
+/** Provides clients for the daemons at the addresses in their member records. */
 export abstract class PeerLink {
   /**
-   * @param daemonId - the daemon meant: the token is made out to it, so another one refuses it.
-   * @param peerAddress - its `host:port`.
-   * @returns A client over a kept connection; calls throw `ConnectError`.
+   * Returns the client of one daemon.
+   *
+   * @param daemonId - name of the daemon; the token of each call is valid only there, so other daemons refuse it.
+   * @param peerAddress - `host:port` of the daemon.
+   * @returns A client over keep-alive connections; its calls throw `ConnectError`.
    */
   abstract to(daemonId: string, peerAddress: string): Client<typeof PeerService>;
 
-  /** Releases connections. */
+  /** Closes all connections. */
   abstract close(): void;
 }
--- a/src/peers/PeerNotReachedError.ts
+++ b/src/peers/PeerNotReachedError.ts
@@ -1,16 +1,16 @@
 /**
- * How to know that a failed call never left this daemon.
+ * Distinguishes failed calls that were never sent from calls whose outcome is unknown.
  */
 import { ConnectError } from '@connectrpc/connect';
 
 /**
- * No connection could be opened: not a byte of the call can have reached the daemon, so "not run" is true.
- * It is the cause of the `ConnectError` that the call throws.
+ * Thrown when no authenticated connection could be opened: no byte of the call can have reached the daemon, so the call
+ * may be reported as "not run". It is the cause of the `ConnectError` that the call throws.
  */
 export class PeerNotReachedError extends Error {
   /**
-   * @param message - what failed.
-   * @param options - the error below.
+   * @param message - address of the daemon and the failure.
+   * @param options - the underlying error as `cause`.
    */
   constructor(message: string, options?: ErrorOptions) {
     super(message, options);
@@ -19,20 +19,21 @@
 }
 
 /**
- * Tells a call that never left from one whose fate is unknown. Connection resets are of the second kind,
- * even on a connection that was kept and found closed: the other side may have read the call.
+ * Distinguishes a call that was never sent from one whose outcome is unknown. After a connection reset the outcome is
+ * unknown, even if a keep-alive connection turned out to be closed: the other side may have read the call.
  *
- * @param error - what a call of a `PeerLink` threw.
- * @returns Whether it is certain that the daemon saw nothing of the call.
+ * @param error - the error that a call of a `PeerLink` threw.
+ * @returns Whether it is certain that the daemon received nothing of the call.
  */
 export function wasNeverSent(error: unknown): boolean {
   return error instanceof ConnectError && error.cause instanceof PeerNotReachedError;
 }
 
 /**
- * Tells a daemon that does not run from one that cannot be reached: its host answered that nobody listens.
+ * Distinguishes a daemon that is not running from one that cannot be reached: the host of the first one refuses the
+ * connection because no process listens on the port.
  *
- * @param error - what a call of a `PeerLink` threw.
+ * @param error - the error that a call of a `PeerLink` threw.
  * @returns Whether the host refused the connection.
  */
 export function wasRefused(error: unknown): boolean {
--- a/src/peers/PeerServer.spec.ts
+++ b/src/peers/PeerServer.spec.ts
@@ -77,7 +77,7 @@
 }
 
 /** Sends raw bytes and returns everything that comes back until the connection ends. */
-async function raw(address: string, text: string): Promise<string> {
+async function sendRaw(address: string, text: string): Promise<string> {
   const [host, port] = address.split(':');
   const socket = connectSocket(Number(port), host);
   socket.on('error', () => {});
@@ -118,7 +118,8 @@
     expect([unmounted.code, wasNeverSent(unmounted)]).toEqual([Code.Unimplemented, false]);
 
     const counted = new Map(link.traffic.snapshot().map((count) => [count.call, count]));
-    // A call that starts before the last answer is wholly read opens one more connection, never one for each call.
+    // A call that starts before the previous answer is read to its end opens another connection, but not every call
+    // does.
     expect(counted.get('Authenticate')!.calls).toBeLessThanOrEqual(3);
     expect(counted.get('Cancel')!.calls).toEqual(SEQUENTIAL_CALLS);
     link.close();
@@ -163,8 +164,8 @@
   ];
   for (const [name, party, to, served] of refusedCallers) {
     it(`runs nothing for a caller with ${name}`, async () => {
-      // Symptom: somebody who is not of the fleet changes the membership. Sequence: connect, call Gossip.
-      // Cause: a caller's word was taken for who it is.
+      // Guards against an outsider that connects, calls Gossip and changes the membership because the server trusts
+      // the name that the caller claims.
       let calls = 0;
       const { address } = await serve(
         {
@@ -199,9 +200,9 @@
   }
 
   it('gives every stranger the same short answer, and a recorded token works once', async () => {
-    // Symptom: somebody without the secret changes the fleet, or learns what runs here. Sequence: record a
-    // call, wait, send it again, or with another method; or ask without a token of this purpose.
-    // Cause: a signature alone does not say that it is used for the first time, for this call and daemon.
+    // Guards against an outsider without the secret that changes the fleet or learns what runs here: it sends a
+    // recorded call again, uses its token for another method, or sends a token of another purpose. A signature alone
+    // does not prove that a token is used for the first time, for this call and at this daemon.
     let calls = 0;
     const { address } = await serve({
       cancel: () => {
@@ -215,11 +216,15 @@
     const known = { to: 'server', call: 'Cancel' };
     const signed = (purpose: TokenPurpose, secret = SECRET) =>
       new SignedTokens({ secrets: [secret] }).signBrief(purpose, PeerTokenSchema, sent, known);
-    // The body is promised and never sent, so that only a server that does not wait for it answers.
-    const asked = (value: string, path = '/baobabdock.v1.PeerService/Cancel', body?: string) =>
+    // The announced body is never sent, so only a server that does not wait for it answers.
+    const requestText = (
+      value: string,
+      path = '/baobabdock.v1.PeerService/Cancel',
+      body?: string,
+    ) =>
       `POST ${path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Type: application/json\r\n` +
       `Content-Length: ${body?.length ?? 1_000}\r\n${TOKEN_HEADER}: ${value}\r\n\r\n${body ?? ''}`;
-    const accepted = await raw(address, asked(token, undefined, '{}'));
+    const accepted = await sendRaw(address, requestText(token, undefined, '{}'));
     expect(accepted.startsWith('HTTP/1.1 200 OK\r\n')).toEqual(true);
     expect(accepted.endsWith('{"known":true}')).toEqual(true);
     expect(calls).toEqual(1);
@@ -229,46 +234,49 @@
     shortened.signature = shortened.signature.subarray(0, 1);
     const shortToken = Buffer.from(toBinary(SignedTokenSchema, shortened)).toString('base64url');
     const strangers: Record<string, string> = {
-      'a token with one byte of its signature': asked(shortToken),
-      'the same token again': asked(token),
-      'a token for another daemon': asked(client.openCall('another', 'Cancel').token),
-      'a token for another method': asked(client.openCall('server', 'Gossip').token),
-      'a token of another secret': asked(signed('peer', OTHER_SECRET)),
-      'a token of another purpose': asked(signed('resume')),
-      'the token of an answer': asked(signed('peer-answer')),
-      'an old token': asked(
+      'a token with one byte of its signature': requestText(shortToken),
+      'the same token again': requestText(token),
+      'a token for another daemon': requestText(client.openCall('another', 'Cancel').token),
+      'a token for another method': requestText(client.openCall('server', 'Gossip').token),
+      'a token of another secret': requestText(signed('peer', OTHER_SECRET)),
+      'a token of another purpose': requestText(signed('resume')),
+      'the token of an answer': requestText(signed('peer-answer')),
+      'an old token': requestText(
         credentialsOf({ daemonId: 'client', wallMilliseconds: NOW - 60_001 }).openCall(
           'server',
           'Cancel',
         ).token,
       ),
-      'no token': asked(''),
-      'a long token': asked('%'.repeat(3_000)),
-      'two tokens': asked(`${fresh()}, ${fresh()}`),
-      'a path that does not exist': asked('', '/nothing'),
+      'no token': requestText(''),
+      'a long token': requestText('%'.repeat(3_000)),
+      'two tokens': requestText(`${fresh()}, ${fresh()}`),
+      'a path that does not exist': requestText('', '/nothing'),
       'another HTTP method': 'GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n',
       'an upgrade':
         'GET /chat HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n\r\n',
-      'a question before the body': asked('').replace('Host: x', 'Host: x\r\nExpect: 100-continue'),
+      'a question before the body': requestText('').replace(
+        'Host: x',
+        'Host: x\r\nExpect: 100-continue',
+      ),
     };
     const answers: Record<string, string> = {};
     const refusals: Record<string, string> = {};
     for (const [name, text] of Object.entries(strangers)) {
-      answers[name] = await raw(address, text);
+      answers[name] = await sendRaw(address, text);
       refusals[name] =
         'HTTP/1.1 401 Unauthorized\r\ncontent-length: 0\r\nconnection: close\r\n\r\n';
     }
     expect(answers).toEqual(refusals);
     expect(calls).toEqual(1);
-    // The forged tokens are wrong in what they name alone: the same one without a fault is served.
-    const faultless = await raw(address, asked(signed('peer'), undefined, '{}'));
+    // Each forged token differs from a valid one only in the named fault: the same token without a fault is accepted.
+    const faultless = await sendRaw(address, requestText(signed('peer'), undefined, '{}'));
     expect([faultless.startsWith('HTTP/1.1 200 OK\r\n'), calls]).toEqual([true, 2]);
-    expect(await raw(address, 'nonsense\r\n\r\n')).toEqual('');
+    expect(await sendRaw(address, 'nonsense\r\n\r\n')).toEqual('');
   });
 
   it('sends no call to a process that sits at the address of a former daemon', async () => {
-    // Symptom: prompts reach a foreign process. Sequence: a daemon dies, its address is given to another
-    // machine, a peer with an old member record calls it. Cause: only the caller proved who it is.
+    // Guards against prompts that reach a foreign process: a daemon dies, another machine gets its address, and a
+    // peer with an old member record calls it. It must not suffice that the caller authenticates itself.
     const seen: string[] = [];
     const stranger = createServer((request, response) => {
       let body = '';
@@ -277,7 +285,7 @@
       });
       request.on('end', () => {
         seen.push(`${request.method} ${request.url} ${body}`);
-        // The best that a stranger can do: send back the caller's own token.
+        // Sending back the caller's token is the best forgery that a process without the secret can make.
         response.writeHead(200, {
           'content-type': 'application/proto',
           [ANSWER_HEADER]: String(request.headers[TOKEN_HEADER]),
--- a/src/peers/PeerServer.ts
+++ b/src/peers/PeerServer.ts
@@ -1,5 +1,5 @@
 /**
- * Serves the peer service to daemons that proved who they are, and nothing to anybody else.
+ * Serves the peer service to authenticated daemons and refuses all other callers.
  */
 import type { IncomingMessage, RequestListener, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -21,10 +21,10 @@
 import type { PeersSettings } from './peersFeature.js';
 import { peersLogEvents } from './peersFeature.js';
 
-/** Some methods of the peer service, as one feature implements them. */
+/** The methods of the peer service that one feature implements. */
 export type PeerHandlers = Partial<ServiceImpl<typeof PeerService>>;
 
-/** Settings that the serving side needs. */
+/** Settings that the serving side uses. */
 export type PeerServerSettings = Pick<
   PeersSettings,
   | 'idleConnectionMilliseconds'
@@ -41,23 +41,33 @@
   log?: Log;
 }
 
+/** Maximum size of a request's headers, which limits what an unauthenticated caller can send. */
 const MAXIMUM_HEADER_BYTES = 8 * 1024;
+
+/** Time within which a request's headers have to arrive. */
 const HEADERS_TIMEOUT_MILLISECONDS = 5_000;
+
+/** Time within which a whole request has to arrive. */
 const REQUEST_TIMEOUT_MILLISECONDS = 60_000;
+
+/** Minimum size of an answer for compression, as on the calling side. */
 const COMPRESSION_THRESHOLD_BYTES = 256;
 
-/** A kept connection must end at the caller first, or a call would meet a connection that was just closed. */
+/**
+ * Additional time for which the server keeps an idle connection, so that the caller closes it first. Otherwise a call
+ * could be sent on a connection that the server has just closed.
+ */
 const KEEP_ALIVE_MARGIN_MILLISECONDS = 30_000;
 
-/** The same answer for every stranger, whatever it asked: it learns neither names nor methods nor reasons. */
+/** Sends every unauthenticated caller the same answer, so that it learns no names, methods or reasons. */
 function refuseRequest(_request: IncomingMessage, response: ServerResponse): void {
   response.sendDate = false;
   response.writeHead(401, { 'content-length': 0, connection: 'close' }).end();
 }
 
-/** Mount handlers first, then listen. */
+/** HTTP server of the peer service. All handlers have to be mounted before it listens. */
 export class PeerServer {
-  /** What the served calls cost. */
+  /** Number of served calls and bytes by kind of call. */
   readonly traffic: PeerTraffic;
 
   private readonly credentials: PeerCredentials;
@@ -77,7 +87,7 @@
   private listener: RequestListener = refuseRequest;
 
   /**
-   * @param options - credentials, limits, where to count and to log.
+   * @param options - the credentials, the limits, the traffic counter and the log.
    */
   constructor({
     credentials,
@@ -100,16 +110,16 @@
       (request, response) => this.serve(request, response),
     );
     this.server.maxConnections = settings.maximumServedConnections;
-    // Daemons do not ask before they send a body; left to Node, a stranger would be told to go on.
+    // Daemons never send `Expect: 100-continue`; by default, Node.js would ask an unauthenticated caller for its body.
     this.server.on('checkContinue', refuseRequest);
     this.server.on('connection', (socket: Socket) => this.track(socket));
     this.server.on('clientError', (_error, socket) => socket.destroy());
   }
 
   /**
-   * Adds methods; what nobody mounts answers `unimplemented`.
+   * Adds methods; calls of methods that no feature adds fail with `unimplemented`.
    *
-   * @param handlers - methods of one feature.
+   * @param handlers - the methods of one feature.
    * @throws {@link Error} when two features implement the same method.
    */
   mount(handlers: PeerHandlers): void {
@@ -122,9 +132,9 @@
   /**
    * Starts to serve.
    *
-   * @param host - IP number to listen on.
-   * @param port - TCP port; 0 takes a free one.
-   * @returns The port.
+   * @param host - IP address to listen on.
+   * @param port - TCP port; 0 selects a free one.
+   * @returns The actual port.
    */
   async listen(host: string, port: number): Promise<number> {
     this.listener = connectNodeAdapter({
@@ -135,7 +145,7 @@
       writeMaxBytes: this.settings.maximumMessageBytes,
       acceptCompression: [gzipCompression],
       compressMinBytes: COMPRESSION_THRESHOLD_BYTES,
-      interceptors: [this.hideFailures()],
+      interceptors: [this.hideInternalErrors()],
       contextValues: (request) =>
         createContextValues().set(
           peerIdentityKey,
@@ -147,7 +157,10 @@
     return actualPort;
   }
 
-  /** Takes no new connection, lets calls in progress end, then cuts what is left. */
+  /**
+   * Stops accepting connections, waits for calls in progress, and closes the remaining connections after the stop
+   * timeout.
+   */
   async close(): Promise<void> {
     let cutCalls = 0;
     const timer = setTimeout(() => {
@@ -171,7 +184,7 @@
     });
   }
 
-  /** Judges the headers; a stranger's body is not read. */
+  /** Authenticates the caller by its headers; the body of an unauthenticated caller is not read. */
   private serve(request: IncomingMessage, response: ServerResponse): void {
     const call = callOfPath(request.url);
     const judgement = this.credentials.judgeCaller(
@@ -188,18 +201,18 @@
       return;
     }
     this.identities.set(request, judgement.from);
-    // Daemons keep connections by themselves: 86 bytes an answer that no daemon reads.
+    // Daemons keep connections open by default and read neither header; together they take 86 bytes of each answer.
     response.sendDate = false;
     response.removeHeader('connection');
-    // Set before the call is looked at, so that errors of every kind carry it.
+    // Set before the call is handled, so that errors of every kind carry it as well.
     response.setHeader(ANSWER_HEADER, judgement.answer);
     this.traffic.begin(request.socket, 'served', call);
     response.once('close', () => this.traffic.settle(request.socket));
     this.listener(request, response);
   }
 
-  /** An unforeseen error is logged here and told to the caller as "internal", without its text. */
-  private hideFailures(): Interceptor {
+  /** Logs unexpected errors of handlers and reports them to the caller as "internal", without their text. */
+  private hideInternalErrors(): Interceptor {
     return (next) => async (request) => {
       try {
         return await next(request);
--- a/src/peers/PeerTraffic.ts
+++ b/src/peers/PeerTraffic.ts
@@ -1,36 +1,37 @@
 /**
- * Counts what the calls between daemons cost on the wire: the control budget is a promise to be checked.
+ * Counts the calls between daemons and their bytes on the wire, so that compliance with the control traffic budget can
+ * be checked.
  */
 import type { Duplex } from 'node:stream';
 import { Socket } from 'node:net';
 
 import { PeerService } from '../generated/baobabdock/v1/peers_pb.js';
 
-/** Which side of the calls a count is about. */
+/** Side of the calls that a count covers: calls that this daemon made or calls that it served. */
 export type TrafficSide = 'called' | 'served';
 
-/** Totals of one kind of call since the start. */
+/** Totals of one kind of call on one side since the start. */
 export interface TrafficCount {
-  /** Method name of the peer service, or `connection`. */
+  /** Method name of the peer service, or {@link CONNECTION_CALL}. */
   readonly call: string;
   readonly side: TrafficSide;
   readonly calls: number;
-  /** Bytes that TCP was given and gave, headers included. */
+  /** Bytes written to and read from TCP connections, including HTTP headers. */
   readonly sentBytes: number;
   readonly receivedBytes: number;
 }
 
-/** Kind of call under which a served connection is counted until its first request. */
+/** Kind of call to which the bytes of a served connection count until its first request. */
 export const CONNECTION_CALL = 'connection';
 
-/** Kind of the call that opens a connection. */
+/** Kind of the first call on each connection, which authenticates both sides. */
 export const AUTHENTICATE_CALL = PeerService.method.authenticate.name;
 
 /**
- * Names the kind of call that a request path stands for.
+ * Returns the kind of call of a request path.
  *
- * @param path - for example `/baobabdock.v1.PeerService/Gossip`.
- * @returns The last segment, without a query.
+ * @param path - the path, for example `/baobabdock.v1.PeerService/Gossip`.
+ * @returns The last segment without the query, or {@link CONNECTION_CALL} if it is empty.
  */
 export function callOfPath(path: string | null | undefined): string {
   const [withoutQuery = ''] = (path ?? '').split('?', 1);
@@ -44,17 +45,17 @@
   receivedBytes: number;
 }
 
-/** Sums of all sockets by kind of call. */
+/** Counts calls and bytes of all sockets by side and kind of call. */
 export class PeerTraffic {
   private readonly counts = new Map<string, TrafficCount>();
 
   private readonly sockets = new WeakMap<Duplex, MeteredSocket>();
 
   /**
-   * Says that from now on the bytes of a socket belong to a call; what went before is settled first.
+   * Counts a call and attributes the further bytes of its socket to it. Earlier bytes are added to the previous call.
    *
    * @param socket - the connection.
-   * @param side - whether this daemon called or served.
+   * @param side - whether this daemon makes or serves the call.
    * @param call - the kind of call.
    */
   begin(socket: Duplex, side: TrafficSide, call: string): void {
@@ -66,7 +67,7 @@
   }
 
   /**
-   * Adds what a socket carried since the last time to the call it belongs to.
+   * Adds the bytes that a socket carried since the last count to its current call.
    *
    * @param socket - the connection.
    */
@@ -80,7 +81,7 @@
     this.add(metered.side, metered.call, 0, sent, received);
   }
 
-  /** @returns Totals by side and kind of call. */
+  /** @returns The totals by side and kind of call. */
   snapshot(): TrafficCount[] {
     return [...this.counts.values()];
   }
--- a/src/peers/SignedTokens.ts
+++ b/src/peers/SignedTokens.ts
@@ -1,5 +1,5 @@
 /**
- * Tokens that only a holder of the fleet secret can make: HMAC-SHA-256 (RFC 2104) over purpose and payload.
+ * Tokens that only a holder of the fleet secret can create: HMAC-SHA-256 (RFC 2104) over purpose and payload.
  */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 
@@ -8,42 +8,49 @@
 
 import { SignedTokenSchema } from '../generated/baobabdock/v1/peers_pb.js';
 
-/** What a token is for; a token of one purpose never passes for another. */
+/** What a token is used for; a token of one purpose is not valid for another one. */
 export type TokenPurpose = 'peer' | 'peer-answer' | 'binding' | 'resume' | 'resume-event';
 
 /** Options of {@link SignedTokens}. */
 export interface SignedTokensOptions {
-  /** Accepted secrets of the fleet; the first one signs. More than one only while a secret is being replaced. */
+  /**
+   * Accepted secrets of the fleet; the first one signs. There is more than one only while a secret is being replaced.
+   */
   secrets: readonly string[];
 }
 
-/** Shortest secret that is accepted, in bytes: half of what the hash yields. */
+/** Minimum length of a secret in bytes: half of the length of the hash. */
 export const MINIMUM_SECRET_BYTES = 16;
 
-/** Longest token that is looked at, in characters: a stranger must not make us decode megabytes. */
+/**
+ * Maximum length of a token in characters, so that an unauthenticated caller cannot make the daemon decode megabytes.
+ */
 export const MAXIMUM_TOKEN_CHARACTERS = 2_048;
 
-/** Bytes of a tag: a guess is right once in 2^96 tries, each of which is a request. */
+/** Length of a tag in bytes: one guess in 2^96 is right, and each guess takes a request. */
 const TAG_BYTES = 12;
 
-/** Bytes of a whole signature, SHA-256. */
+/** Length of a whole SHA-256 signature in bytes. */
 const SIGNATURE_BYTES = 32;
 
-/** HMAC-SHA-256-128: half of the hash, the shortest that RFC 2104 (section 5) advises and what RFC 4868 uses. */
-const BRIEF_SIGNATURE_BYTES = 16;
+/**
+ * Length of a truncated signature in bytes (HMAC-SHA-256-128): half of the hash, which is the minimum that RFC 2104
+ * (section 5) recommends and the length that RFC 4868 uses.
+ */
+const TRUNCATED_SIGNATURE_BYTES = 16;
 
 function signatureOf(secret: string, purpose: TokenPurpose, payload: Uint8Array | string): Buffer {
-  // The zero byte cannot occur in a purpose, so that no purpose and payload can be shifted into another pair.
+  // A purpose contains no zero byte, so no two pairs of purpose and payload yield the same signed bytes.
   return createHmac('sha256', secret).update(`${purpose}\0`).update(payload).digest();
 }
 
-/** Signs and opens tokens. Expiry is the payload's own business. */
+/** Signs and opens tokens. It does not check expiry, which the users of the payloads have to do. */
 export class SignedTokens {
   private readonly secrets: readonly string[];
 
   /**
    * @param options - the accepted secrets.
-   * @throws RangeError when there is no secret or one is too short.
+   * @throws RangeError if there is no secret or one is too short.
    */
   constructor({ secrets }: SignedTokensOptions) {
     if (secrets.length === 0) throw new RangeError('At least one fleet secret is needed.');
@@ -55,10 +62,10 @@
   /**
    * Signs a payload.
    *
-   * @param purpose - what the token is for.
-   * @param schema - the payload's message type.
-   * @param payload - what the token says.
-   * @returns base64url of a `SignedToken`, safe in headers, URLs and event ids.
+   * @param purpose - the purpose of the token.
+   * @param schema - the message type of the payload.
+   * @param payload - the payload.
+   * @returns A `SignedToken` in base64url, which is safe in headers, URLs and event ids.
    */
   sign<Payload extends DescMessage>(
     purpose: TokenPurpose,
@@ -73,12 +80,13 @@
   }
 
   /**
-   * Opens a token.
+   * Verifies a token and decodes its payload.
    *
-   * @param purpose - what the token has to be for.
-   * @param schema - the payload's message type.
-   * @param token - what somebody sent.
-   * @returns The payload, or `undefined` when the token is malformed, for another purpose, or not ours.
+   * @param purpose - the required purpose.
+   * @param schema - the message type of the payload.
+   * @param token - the received token.
+   * @returns The payload, or `undefined` if the token is malformed, for another purpose, or not signed with an accepted
+   *   secret.
    */
   open<Payload extends DescMessage>(
     purpose: TokenPurpose,
@@ -89,23 +97,25 @@
     try {
       const signed = fromBinary(SignedTokenSchema, Buffer.from(token, 'base64url'));
       if (signed.purpose !== purpose) return undefined;
-      if (!this.signedByUs(purpose, signed.payload, signed.signature)) return undefined;
+      if (!this.hasValidSignature(purpose, signed.payload, signed.signature)) return undefined;
       return fromBinary(schema, signed.payload);
     } catch {
-      // Malformed bytes are a stranger's business; saying what is wrong with them would teach it something.
+      // The reason is not reported, because it would help a forger of tokens.
       return undefined;
     }
   }
 
   /**
-   * Signs a payload of which the receiver knows a part: all is signed, but what it knows is not sent, nor the
-   * purpose, nor the signature's second half. For tokens that go with each call, where bytes count.
+   * Signs a payload of which the receiver already knows a part. The signature covers the whole payload, but the known
+   * part, the purpose and the second half of the signature are not sent. This saves bytes in the tokens that go with
+   * each call.
    *
-   * @param purpose - what the token is for.
-   * @param schema - the payload's message type.
-   * @param sent - what the receiver cannot know.
-   * @param known - what the receiver knows; has to be the same in {@link SignedTokens.openBrief}.
-   * @returns base64url of a `SignedToken`.
+   * @param purpose - the purpose of the token.
+   * @param schema - the message type of the payload.
+   * @param sent - the fields that the receiver does not know.
+   * @param known - the fields that the receiver knows; the same ones have to be given to {@link
+   *   SignedTokens.openBrief}.
+   * @returns A `SignedToken` in base64url.
    */
   signBrief<Payload extends DescMessage>(
     purpose: TokenPurpose,
@@ -115,21 +125,21 @@
   ): string {
     const covered = toBinary(schema, create(schema, { ...sent, ...known }));
     const [secret = ''] = this.secrets;
-    const signature = signatureOf(secret, purpose, covered).subarray(0, BRIEF_SIGNATURE_BYTES);
+    const signature = signatureOf(secret, purpose, covered).subarray(0, TRUNCATED_SIGNATURE_BYTES);
     const payload = toBinary(schema, create(schema, sent));
     const token = create(SignedTokenSchema, { payload, signature });
     return Buffer.from(toBinary(SignedTokenSchema, token)).toString('base64url');
   }
 
   /**
-   * Opens what {@link SignedTokens.signBrief} made.
+   * Verifies and decodes a token that {@link SignedTokens.signBrief} created.
    *
-   * @param purpose - what the token has to be for.
-   * @param schema - the payload's message type.
-   * @param token - what somebody sent.
-   * @param known - what the payload has to say; counts whatever the token says there.
-   * @returns The whole payload, or `undefined` when the token is malformed, not ours, or was made for another
-   *   purpose or with anything else known; which of these cannot be told.
+   * @param purpose - the required purpose.
+   * @param schema - the message type of the payload.
+   * @param token - the received token.
+   * @param known - the required values of the known fields; they replace those in the token, if any.
+   * @returns The whole payload, or `undefined` if the token is malformed, not signed with an accepted secret, or signed
+   *   for another purpose or with other known fields; the last three cannot be distinguished.
    */
   openBrief<Payload extends DescMessage>(
     purpose: TokenPurpose,
@@ -140,30 +150,31 @@
     if (token.length === 0 || token.length > MAXIMUM_TOKEN_CHARACTERS) return undefined;
     try {
       const bytes = Buffer.from(token, 'base64url');
-      // Node skips foreign characters: two tokens with a comma between them could be read as the second one.
+      // Node.js skips characters outside base64url, so two tokens with a comma between them, as in a repeated header,
+      // could be read as the second one.
       if (bytes.toString('base64url') !== token) return undefined;
       const { payload, signature } = fromBinary(SignedTokenSchema, bytes);
       const whole = Object.assign(fromBinary(schema, payload), known);
-      const isOurs = this.signedByUs(
+      const isValid = this.hasValidSignature(
         purpose,
         toBinary(schema, whole),
         signature,
-        BRIEF_SIGNATURE_BYTES,
+        TRUNCATED_SIGNATURE_BYTES,
       );
-      return isOurs ? whole : undefined;
+      return isValid ? whole : undefined;
     } catch {
-      // As in `open`: a stranger is not told what is wrong with its bytes.
+      // The reason is not reported, as in `open`.
       return undefined;
     }
   }
 
   /**
-   * Signs a short text that stands in the clear beside its tag. Where a token is made for each part of a
-   * stream this is an eighth of the work of {@link SignedTokens.sign}.
+   * Creates a tag that authenticates a short text, which is sent in plain beside the tag. It takes an eighth of the
+   * work of {@link SignedTokens.sign}, which matters where each part of a stream is signed.
    *
-   * @param purpose - what the text is for.
+   * @param purpose - the purpose of the text.
    * @param text - the text.
-   * @returns base64url of the signature's first bytes.
+   * @returns The first bytes of the signature in base64url.
    */
   tag(purpose: TokenPurpose, text: string): string {
     const [secret = ''] = this.secrets;
@@ -171,10 +182,12 @@
   }
 
   /**
-   * @param purpose - what the text has to be for.
+   * Verifies the tag of a text.
+   *
+   * @param purpose - the required purpose.
    * @param text - the text.
-   * @param tag - what somebody sent with it.
-   * @returns Whether {@link SignedTokens.tag} made it with one of our secrets.
+   * @param tag - the tag that was received with the text.
+   * @returns Whether {@link SignedTokens.tag} created the tag with one of the accepted secrets.
    */
   isTag(purpose: TokenPurpose, text: string, tag: string): boolean {
     const received = Buffer.from(tag);
@@ -185,7 +198,7 @@
     });
   }
 
-  private signedByUs(
+  private hasValidSignature(
     purpose: TokenPurpose,
     payload: Uint8Array,
     signature: Uint8Array,
--- a/src/peers/authenticateCalls.spec.ts
+++ b/src/peers/authenticateCalls.spec.ts
@@ -42,7 +42,7 @@
   });
 }
 
-/** What the right daemon answers to a token. */
+/** The proof with which the given daemon answers a token. */
 function proofOf(daemonId: string, token: string, call: string): string {
   const judgement = credentialsOf(daemonId).judgeCaller(token, call);
   return judgement.kind === 'accepted' ? judgement.answer : '';
@@ -56,7 +56,7 @@
   call?: string;
 }
 
-/** An answer to the right nonce that is wrong in one thing. */
+/** A proof for the right nonce that has the given fault. */
 function forged(
   token: string,
   call: string,
@@ -83,13 +83,13 @@
   'a proof for another method': (token, call) => forged(token, call, { call: 'Gossip' }),
 };
 
-/** An answer with content that must not be used. */
+/** An answer whose content must not be used without a valid proof. */
 interface Answer {
   status: number;
   headers: OutgoingHttpHeaders;
   body: Uint8Array | string;
   stream?: boolean;
-  /** Sent without any header but the proof. */
+  /** Whether the answer has no header except the proof. */
   bare?: boolean;
 }
 
@@ -132,7 +132,10 @@
   for (const close of closers.splice(0).reverse()) await close();
 });
 
-/** Opens connections as the right daemon does, and answers every other call with a proof of its own. */
+/**
+ * Starts a server that authenticates connections as the called daemon does, and answers other calls with the given
+ * proof.
+ */
 async function serve(proof: Proof, answer: Answer) {
   let connections = 0;
   const server = createServer((request, response) => {
@@ -146,7 +149,7 @@
     const { status, headers, body } = opens
       ? { status: 200, headers: { 'content-type': 'application/proto' }, body: '' }
       : answer;
-    // Node itself would add headers; with none at all only the status says that something was told.
+    // Node.js would add headers; without any header, only the status shows that the server answered.
     const bare = `HTTP/1.1 ${status} -\r\n${value === undefined ? '' : `${ANSWER_HEADER}: ${value}\r\n`}\r\n`;
     request.resume().on('end', () => {
       if (!opens && answer.bare) request.socket.end(bare);
@@ -177,39 +180,39 @@
 describe(authenticateCalls.name, () => {
   for (const [proofName, proof] of Object.entries(badProofs)) {
     for (const [answerName, answer] of Object.entries(answers)) {
-      it(`does not believe ${answerName} with ${proofName}`, async () => {
-        // Symptom: a request that ran is reported as "not run", or a caller gets a foreign text. Sequence: a
-        // connection is opened to the right daemon; somebody in between answers a later call on it.
-        // Cause: only the opening of the connection proved who answers.
+      it(`rejects ${answerName} with ${proofName}`, async () => {
+        // Guards against a request that ran and is reported as "not run", and against a caller that gets a foreign
+        // text: a connection is opened to the called daemon, and an intermediary answers a later call on it. It must
+        // not suffice that the daemon was authenticated when the connection was opened.
         const { address, connections } = await serve(proof, answer);
         const log = new EventNames();
         const settings = peersSettings.parse({ fleetSecrets: [SECRET] });
         const link = new ConnectPeerLink({ credentials: credentialsOf('client'), settings, log });
         closers.push(() => link.close());
-        const disbelieved = {
+        const rejection = {
           code: Code.Unauthenticated,
-          rawMessage: 'The answer does not prove that it is from the daemon meant.',
+          rawMessage: 'The answer does not prove that it comes from the called daemon.',
           used: [],
           neverSent: false,
         };
-        expect(await callOnce(link, address, answer.stream)).toEqual(disbelieved);
-        expect(await callOnce(link, address, answer.stream)).toEqual(disbelieved);
+        expect(await callOnce(link, address, answer.stream)).toEqual(rejection);
+        expect(await callOnce(link, address, answer.stream)).toEqual(rejection);
         expect(log.names).toEqual(['peers.stranger_answered', 'peers.stranger_answered']);
-        // What answered like this is not trusted with a further call before it has proved itself anew.
+        // After a bad proof, the next call opens a new connection, which is authenticated first.
         expect(connections()).toEqual(2);
       });
     }
   }
 
-  const believed: Record<string, unknown> = {
+  const acceptedErrors: Record<string, unknown> = {
     'an error with details': { code: Code.Aborted, rawMessage: 'not run' },
     'a status alone': { code: Code.Unavailable, rawMessage: 'HTTP 503' },
     'a stream that ends with an error': { code: Code.Aborted, rawMessage: 'not run' },
   };
-  for (const [answerName, expected] of Object.entries(believed)) {
-    it(`believes ${answerName} with the right proof`, async () => {
+  for (const [answerName, expected] of Object.entries(acceptedErrors)) {
+    it(`accepts ${answerName} with the right proof`, async () => {
       const answer = answers[answerName]!;
-      // As the bad proofs are made, with nothing wrong: so each of these fails by what it names alone.
+      // Created like the bad proofs but without a fault, which shows that each of them fails only by its named fault.
       const { address } = await serve((token, call) => forged(token, call, {}), answer);
       const log = new EventNames();
       const settings = peersSettings.parse({ fleetSecrets: [SECRET] });
@@ -224,9 +227,9 @@
     });
   }
 
-  it('tells a limit of its own and a cut from an answer that is not believed', async () => {
-    // Symptom: an alert about strangers whenever a peer dies. Sequence: a peer is killed while it answers.
-    // Cause: a failure without an answer was taken for an answer without a proof.
+  it('does not treat its own size limit or a cut connection as an answer without proof', async () => {
+    // Guards against a false warning about a foreign process whenever a peer is killed while it answers: a failure
+    // without an answer must not count as an answer without a proof.
     const { address } = await serve(() => undefined, answers['a message']!);
     const log = new EventNames();
     const settings = peersSettings.parse({ fleetSecrets: [SECRET], maximumMessageBytes: 16 });
--- a/src/peers/authenticateCalls.ts
+++ b/src/peers/authenticateCalls.ts
@@ -1,5 +1,5 @@
 /**
- * Signs each call and believes no answer that does not prove who gave it.
+ * Connect interceptor that signs each call and rejects answers that are not signed by the called daemon.
  */
 import type { Interceptor } from '@connectrpc/connect';
 import { Code, ConnectError } from '@connectrpc/connect';
@@ -9,15 +9,15 @@
 
 /** Options of {@link authenticateCalls}. */
 export interface AuthenticateCallsOptions {
-  /** The daemon meant; empty when only an address is known. */
+  /** Name of the called daemon; empty if only its address is known. */
   daemonId: string;
   credentials: PeerCredentials;
-  /** Told when an answer did not prove that it comes from the daemon meant. */
+  /** Called when an answer does not prove that it comes from the called daemon. */
   onStranger: () => void;
 }
 
-/** What Connect makes of an HTTP status alone, without any header of the answer. */
-const CODES_OF_BARE_STATUS: ReadonlySet<Code> = new Set([
+/** Codes that Connect derives from an HTTP status if the answer has no headers. */
+const CODES_FROM_STATUS_ONLY: ReadonlySet<Code> = new Set([
   Code.Internal,
   Code.PermissionDenied,
   Code.Unauthenticated,
@@ -26,21 +26,25 @@
   Code.Unknown,
 ]);
 
-/** Headers of the library that no daemon reads: 59 bytes of each call, of a budget that is mostly headers. */
+/**
+ * Headers of the library that no daemon reads. They take 59 bytes of each call, and headers are most of the traffic.
+ */
 const UNREAD_HEADERS = ['user-agent', 'connect-protocol-version'] as const;
 
-/** Whether an error was told by the other side, and did not come up on this one (cut, timeout, limit). */
-function wasTold(error: ConnectError): boolean {
+/**
+ * Whether an error was received from the other side and did not arise on this side (broken connection, timeout, limit).
+ */
+function isRemoteError(error: ConnectError): boolean {
   if (!error.metadata.keys().next().done) return true;
-  return error.cause === undefined && CODES_OF_BARE_STATUS.has(error.code);
+  return error.cause === undefined && CODES_FROM_STATUS_ONLY.has(error.code);
 }
 
 /**
- * Makes the interceptor of one daemon's calls.
+ * Creates the interceptor for the calls to one daemon.
  *
- * @param options - whom to call, with what, and whom to tell about strangers.
- * @returns An interceptor; its calls fail with `unauthenticated` when the answer is not believed. That error
- *   says nothing about the fate of the call: whoever sat between could have passed it on.
+ * @param options - the called daemon, the credentials, and the callback for answers without proof.
+ * @returns An interceptor. It fails a call with `unauthenticated` if the answer is not authentic. The outcome of the
+ *   call is then unknown, since an intermediary may have forwarded the call.
  */
 export function authenticateCalls({
   daemonId,
@@ -49,23 +53,24 @@
 }: AuthenticateCallsOptions): Interceptor {
   return (next) => async (request) => {
     const call = credentials.openCall(daemonId, request.method.name);
-    const believe = (headers: Headers) => {
+    const verifyProof = (headers: Headers) => {
       const answer = headers.get(ANSWER_HEADER) ?? '';
       if (credentials.judgeAnswer(daemonId, call, answer) !== undefined) return;
       onStranger();
       throw new ConnectError(
-        'The answer does not prove that it is from the daemon meant.',
+        'The answer does not prove that it comes from the called daemon.',
         Code.Unauthenticated,
       );
     };
     request.header.set(TOKEN_HEADER, call.token);
     for (const name of UNREAD_HEADERS) request.header.delete(name);
     const response = await next(request).catch((error: unknown) => {
-      // An error is an answer, too: a stranger's "not run" would otherwise be believed.
-      if (error instanceof ConnectError && wasTold(error)) believe(error.metadata);
+      // Errors have to be authentic as well; otherwise a forged "not run" would be accepted, and a call that ran would
+      // be repeated.
+      if (error instanceof ConnectError && isRemoteError(error)) verifyProof(error.metadata);
       throw error;
     });
-    believe(response.header);
+    verifyProof(response.header);
     return response;
   };
 }
--- a/src/peers/gzipCompression.spec.ts
+++ b/src/peers/gzipCompression.spec.ts
@@ -55,8 +55,8 @@
   }
 
   it('unpacks no more than the limit', async () => {
-    // Symptom: a daemon runs out of memory. Sequence: a message of a few kilobytes unpacks to gigabytes.
-    // Cause: only the packed size is limited.
+    // Guards against a daemon that runs out of memory because a message of a few kilobytes unpacks to gigabytes: the
+    // unpacked size has to be limited as well.
     const bomb = gzipSync(Buffer.alloc(4 * MEGABYTE));
     const unpacked = gzipCompression.decompress(bomb, MEGABYTE);
     expect(await codeOf(unpacked)).toEqual(Code.ResourceExhausted);
--- a/src/peers/gzipCompression.ts
+++ b/src/peers/gzipCompression.ts
@@ -1,9 +1,9 @@
 /**
- * Gzip for the calls between daemons, within the call.
+ * Gzip compression for the calls between daemons that handles small messages synchronously.
  *
- * The library's own gzip makes a stream and goes through the thread pool for each message. For the kilobyte or
- * two of a gossip message the way there and back costs several times the compression itself, four times
- * a call: it would be a large part of what an idle daemon spends.
+ * The library's gzip creates a stream and uses the thread pool for each message. For a gossip message of one or two
+ * kilobytes this overhead is several times the cost of the compression itself, and it arises four times a call; it
+ * would be a large part of the processor time of an idle daemon.
  */
 import { gunzipSync, gzipSync } from 'node:zlib';
 
@@ -11,33 +11,36 @@
 import type { Compression } from '@connectrpc/connect/protocol';
 import { compressionGzip } from '@connectrpc/connect-node';
 
-/** Larger messages, whole configurations for example, would hold up all others: they go the library's way. */
-const LARGEST_AT_ONCE_BYTES = 16 * 1024;
+/**
+ * Maximum size of a message that is handled synchronously. Larger ones, such as whole configurations, would block the
+ * event loop, so the library handles them.
+ */
+const MAXIMUM_SYNCHRONOUS_BYTES = 16 * 1024;
 
 /**
- * A message cannot claim to be small and hold up this process: what it unpacks to is limited, too. Beyond the
- * limit it goes the library's way from the start.
+ * Maximum size of the result of a synchronous decompression, so that a small message that unpacks to a large one does
+ * not block the event loop. Above the limit, the library decompresses the message again from its start.
  */
-const LARGEST_UNPACKED_AT_ONCE_BYTES = 128 * 1024;
+const MAXIMUM_SYNCHRONOUS_UNPACKED_BYTES = 128 * 1024;
 
 function isTooLarge(error: unknown): boolean {
   return (error as NodeJS.ErrnoException).code === 'ERR_BUFFER_TOO_LARGE';
 }
 
-/** The same format as the library's. */
+/** Compression in the same format as the library's gzip. */
 export const gzipCompression: Compression = {
   name: compressionGzip.name,
 
   async compress(bytes) {
-    if (bytes.length > LARGEST_AT_ONCE_BYTES) return compressionGzip.compress(bytes);
+    if (bytes.length > MAXIMUM_SYNCHRONOUS_BYTES) return compressionGzip.compress(bytes);
     return new Uint8Array(gzipSync(bytes));
   },
 
   async decompress(bytes, readMaxBytes) {
-    if (bytes.length === 0 || bytes.length > LARGEST_AT_ONCE_BYTES) {
+    if (bytes.length === 0 || bytes.length > MAXIMUM_SYNCHRONOUS_BYTES) {
       return compressionGzip.decompress(bytes, readMaxBytes);
     }
-    const maxOutputLength = Math.min(readMaxBytes, LARGEST_UNPACKED_AT_ONCE_BYTES);
+    const maxOutputLength = Math.min(readMaxBytes, MAXIMUM_SYNCHRONOUS_UNPACKED_BYTES);
     try {
       return new Uint8Array(gunzipSync(bytes, { maxOutputLength }));
     } catch (error) {
--- a/src/peers/peersFeature.ts
+++ b/src/peers/peersFeature.ts
@@ -11,11 +11,11 @@
 const MINUTE = 60 * SECOND;
 const MEBIBYTE = 1024 * 1024;
 
-const milliseconds = (standard: number, text: string) =>
-  z.int().positive().default(standard).describe(`${text}, in milliseconds.`);
+const milliseconds = (defaultValue: number, text: string) =>
+  z.int().positive().default(defaultValue).describe(`${text}, in milliseconds.`);
 
-const count = (standard: number, text: string) =>
-  z.int().positive().default(standard).describe(`${text}.`);
+const count = (defaultValue: number, text: string) =>
+  z.int().positive().default(defaultValue).describe(`${text}.`);
 
 /** Settings of the calls between daemons. */
 export const peersSettings = z.strictObject({
@@ -59,41 +59,42 @@
     number: 2200,
     name: 'peers.listening',
     level: 'info',
-    text: 'Other daemons are served.',
+    text: 'The peer server listens for calls of other daemons.',
     operatorAction: 'None.',
   }),
   callerRefused: defineLogEvent({
     number: 2201,
     name: 'peers.caller_refused',
     level: 'warn',
-    text: 'A call was refused because its caller could not prove to be a daemon of this fleet.',
+    text: 'A call was refused because its caller could not be authenticated as a daemon of this fleet.',
     operatorAction:
-      'By reason. not_signed: for a while after a restart an address was reused, which passes; otherwise a daemon ' +
-      'with another secret, a stranger, or somebody who uses recorded traffic for another daemon or method. ' +
-      'clock_difference: set the clocks. replayed: look for somebody who records traffic; at a daemon with very ' +
-      'many calls also: set the clock of the caller.',
+      'Depends on the reason. not_signed: shortly after a restart an address may be in use by another daemon, which ' +
+      'passes; otherwise the caller has another secret, is not a daemon of the fleet, or uses recorded traffic for ' +
+      'another daemon or method. clock_difference: correct the clocks. replayed: find out who records traffic; at a ' +
+      'daemon with very many calls, also correct the clock of the caller.',
   }),
   strangerAnswered: defineLogEvent({
     number: 2202,
     name: 'peers.stranger_answered',
     level: 'warn',
-    text: 'What answers at the address of a daemon is not that daemon; its answer was not believed.',
+    text: 'The process at the address of a daemon did not prove that it is that daemon; its answer was rejected.',
     operatorAction:
-      'None when the daemon was replaced a short while ago; otherwise compare secrets and addresses.',
+      'None if the daemon was replaced a short time ago; otherwise compare secrets and addresses.',
   }),
   handlerFailed: defineLogEvent({
     number: 2203,
     name: 'peers.handler_failed',
     level: 'error',
-    text: 'A handler of the peer service failed in a way that it did not foresee.',
-    operatorAction: 'Report it with the line; the caller was told nothing but "internal".',
+    text: 'A handler of the peer service failed with an unexpected error.',
+    operatorAction: 'Report it with this log line; the caller received only "internal".',
   }),
   serverStopped: defineLogEvent({
     number: 2204,
     name: 'peers.stopped',
     level: 'info',
-    text: 'Other daemons are no longer served.',
-    operatorAction: 'None; cutCalls above 0 means that calls outlived the stop timeout.',
+    text: 'The peer server no longer serves other daemons.',
+    operatorAction:
+      'None; cutCalls above 0 means that calls were still in progress after the stop timeout.',
   }),
 };
 
