--- a/src/upstreams/AttemptGuard.ts
+++ b/src/upstreams/AttemptGuard.ts
@@ -1,22 +1,22 @@
 /**
- * Tells the parts of one exchange with a runner when to stop: the owner aborted, or the deadline passed.
+ * Signal that stops all steps of one exchange with a runner when the attempt's owner aborts it or its deadline passes.
  */
 
-/** Why an exchange has to stop. */
+/** Why an exchange stops: its owner aborted it, or its deadline passed. */
 export type StopReason = 'aborted' | 'timeout';
 
 /** Options of an {@link AttemptGuard}. */
 export interface AttemptGuardOptions {
-  /** Aborted by the attempt's owner. */
+  /** Signal that the attempt's owner aborts. */
   signal?: AbortSignal;
-  /** Milliseconds from now. */
+  /** Milliseconds from the creation until the deadline. */
   deadlineMilliseconds: number;
 }
 
-/** Longest delay that a Node.js timer takes, in milliseconds; a longer one would fire at once. */
+/** Maximum delay of a Node.js timer, in milliseconds; a timer with a longer delay would fire at once. */
 export const MAXIMUM_TIMER_MILLISECONDS = 2 ** 31 - 1;
 
-/** One deadline and one abort signal for all the steps of an exchange. */
+/** Combines the deadline and the abort signal of an exchange into one signal for all of its steps. */
 export class AttemptGuard {
   private readonly listeners = new Set<(reason: StopReason) => void>();
 
@@ -29,7 +29,7 @@
   private readonly abort = (): void => this.stop('aborted');
 
   /**
-   * @param options - the owner's signal and the deadline.
+   * @param options - the owner's abort signal and the deadline.
    */
   constructor({ signal, deadlineMilliseconds }: AttemptGuardOptions) {
     this.signal = signal;
@@ -39,21 +39,23 @@
     else signal?.addEventListener('abort', this.abort, { once: true });
   }
 
-  /** @returns Why to stop, or `undefined` while there is no reason. */
+  /** @returns Why the exchange stops, or `undefined` as long as it may continue. */
   reason(): StopReason | undefined {
     return this.stopReason;
   }
 
   /**
-   * @param listener - called once, when there is a reason to stop; not called when there already is one.
-   * @returns Takes the listener off.
+   * Registers a listener.
+   *
+   * @param listener - called once when the exchange stops, but not if it has stopped already.
+   * @returns A function that removes the listener.
    */
   onStop(listener: (reason: StopReason) => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  /** Releases the timer and the signal. */
+  /** Stops the timer and removes all listeners. */
   dispose(): void {
     clearTimeout(this.timer);
     this.signal?.removeEventListener('abort', this.abort);
--- a/src/upstreams/EngineAnswerReader.ts
+++ b/src/upstreams/EngineAnswerReader.ts
@@ -1,5 +1,5 @@
 /**
- * Carries one attempt of a model engine over HTTP and reads its answer, streamed or whole.
+ * Sends the requests of attempts to a model engine over HTTP and reads the answers, streamed or whole.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -26,37 +26,40 @@
 /** Options of an {@link EngineAnswerReader}. */
 export interface EngineAnswerReaderOptions {
   connection: RunnerConnection;
-  /** Milliseconds without a byte of a stream after which the engine counts as frozen. */
+  /** Milliseconds without a byte of a stream after which the engine counts as unresponsive. */
   idleMilliseconds: number;
-  /** Bytes of one server-sent event. */
+  /** Maximum size of one server-sent event in bytes. */
   maximumEventBytes: number;
-  /** Bytes of one whole answer. */
+  /** Maximum size of one answer in bytes. */
   maximumAnswerBytes: number;
 }
 
-/** What the answer to an attempt has to be, and where its stream continues. */
+/** Properties that the answer to an attempt must have, and the position at which its stream continues. */
 export interface ExpectedAnswer {
-  /** A resumed attempt was started before: nothing that happens now can mean that it did not run. */
+  /** Kind of the request. A resumed attempt has been started before, so no failure of a resumption means "not run". */
   readonly kind: 'run' | 'resume';
   readonly attemptId: string;
+  /** Sequence number of the last chunk that was received; 0 if there was none. */
   readonly afterSequence: number;
-  /** Whether the engine keeps the answer after a cut. */
+  /** Whether the engine keeps the answer after the connection broke. */
   readonly resumable: boolean;
 }
 
-function checkHead(
+/** Returns the failure that follows from the status and the headers of an answer, if any. */
+function checkResponseHead(
   response: IncomingMessage,
   { kind, attemptId, resumable }: ExpectedAnswer,
 ): UpstreamEvent | undefined {
   const echo = readEcho(response, attemptId);
-  if (echo === 'crossed') return crossedFailure('the answer of another attempt', resumable);
-  if (echo === 'missing') return malformedFailure('the answer names no attempt');
+  if (echo === 'crossed')
+    return crossedFailure('the engine sent the answer of another attempt', resumable);
+  if (echo === 'missing') return malformedFailure('the answer carries no attempt id');
   if (isRefusalBeforeStart(response)) {
-    const message = `refused with status ${response.statusCode}`;
+    const message = `the engine refused the attempt with status ${response.statusCode}`;
     return { kind: 'not_run', reason: 'refused', message };
   }
   if (kind === 'resume' && response.statusCode !== 200) {
-    const message = `status ${response.statusCode}`;
+    const message = `the engine answered the resumption with status ${response.statusCode}`;
     return { kind: 'failed', reason: 'unknown_attempt', message, resumable: false };
   }
   return undefined;
@@ -68,22 +71,22 @@
 }
 
 /**
- * An engine that cannot be reached for a resumption has lost nothing but the connection; "not run" would
- * then be a lie about the attempt.
+ * Replaces `not_run` by a resumable failure if the request is a resumption. If the engine cannot be reached for a
+ * resumption, only the connection is lost; the attempt was started before, so "not run" would be wrong.
  */
-function neverNotRun(event: UpstreamEvent, { kind }: ExpectedAnswer): UpstreamEvent {
+function withoutNotRunOnResume(event: UpstreamEvent, { kind }: ExpectedAnswer): UpstreamEvent {
   if (kind === 'run' || event.kind !== 'not_run') return event;
   return { kind: 'failed', reason: 'cut', message: event.message, resumable: true };
 }
 
-/** Reads the answers of one engine. */
+/** Sends requests to one engine and turns its answers into events. */
 export class EngineAnswerReader {
   private readonly connection: RunnerConnection;
 
   private readonly limits: Omit<EngineAnswerReaderOptions, 'connection'>;
 
   /**
-   * @param options - the connection and the limits of an answer.
+   * @param options - the connection and the limits of answers.
    */
   constructor({ connection, ...limits }: EngineAnswerReaderOptions) {
     this.connection = connection;
@@ -93,26 +96,26 @@
   /**
    * Sends a request and reads its answer.
    *
-   * @param request - what to send.
-   * @param expected - what the answer has to be.
-   * @param guard - when to stop.
-   * @returns Events in order, ended by `completed`, `not_run` or `failed`.
+   * @param request - the request.
+   * @param expected - the required properties of the answer.
+   * @param stopSignal - signal that stops the exchange.
+   * @returns The events in order; the last one is `completed`, `not_run` or `failed`.
    */
   async *exchange(
     request: ExchangeRequest,
     expected: ExpectedAnswer,
-    guard: AttemptGuard,
+    stopSignal: AttemptGuard,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
-    const result = await this.connection.exchange(request, guard);
+    const result = await this.connection.exchange(request, stopSignal);
     if (result.kind !== 'response') {
-      yield neverNotRun(exchangeFailure(result, expected.resumable), expected);
+      yield withoutNotRunOnResume(exchangeFailure(result, expected.resumable), expected);
       return;
     }
     const { response } = result;
-    const refused = checkHead(response, expected);
-    if (refused) {
+    const headFailure = checkResponseHead(response, expected);
+    if (headFailure) {
       response.destroy();
-      yield neverNotRun(refused, expected);
+      yield withoutNotRunOnResume(headFailure, expected);
       return;
     }
     try {
@@ -123,8 +126,8 @@
         cachedTokens: cachedTokensOf(response),
       };
       const streamed = response.headers['content-type']?.startsWith(EVENT_STREAM_TYPE) ?? false;
-      if (streamed) yield* this.readStream(response, expected, guard);
-      else yield* this.readAnswer(response, guard);
+      if (streamed) yield* this.readStream(response, expected, stopSignal);
+      else yield* this.readAnswer(response, stopSignal);
     } catch (error) {
       if (!(error instanceof BodyError)) throw error;
       yield bodyFailure(error, expected.resumable);
@@ -136,16 +139,17 @@
   private async *readStream(
     response: IncomingMessage,
     { attemptId, afterSequence }: ExpectedAnswer,
-    guard: AttemptGuard,
+    stopSignal: AttemptGuard,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     const checker = new EngineStreamChecker({ attemptId, afterSequence });
-    // Holds the events of one part of the body at most.
-    const arrived: EventSourceMessage[] = [];
+    // Holds at most the events of one part of the body.
+    const parsedEvents: EventSourceMessage[] = [];
     let parserFault: string | undefined;
     const parser = createParser({
-      onEvent: (message) => arrived.push(message),
+      onEvent: (message) => parsedEvents.push(message),
       onError: (error) => {
-        if (error.type === 'max-buffer-size-exceeded') parserFault = 'an event is too large';
+        if (error.type === 'max-buffer-size-exceeded')
+          parserFault = 'an event exceeds the maximum size';
       },
       maxBufferSize: this.limits.maximumEventBytes,
     });
@@ -154,9 +158,9 @@
       idleMilliseconds: this.limits.idleMilliseconds,
       maximumBytes: this.limits.maximumAnswerBytes,
     };
-    for await (const part of readParts(response, limits, guard)) {
+    for await (const part of readParts(response, limits, stopSignal)) {
       parser.feed(decoder.decode(part, { stream: true }));
-      for (const message of arrived.splice(0)) {
+      for (const message of parsedEvents.splice(0)) {
         const event = checker.take(message);
         if (event) yield event;
         if (event && event.kind !== 'chunk') return;
@@ -171,17 +175,17 @@
 
   private async *readAnswer(
     response: IncomingMessage,
-    guard: AttemptGuard,
+    stopSignal: AttemptGuard,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     const limits = {
       idleMilliseconds: Number.MAX_SAFE_INTEGER,
       maximumBytes: this.limits.maximumAnswerBytes,
     };
-    const body = await readWhole(response, limits, guard);
+    const body = await readWhole(response, limits, stopSignal);
     const parsed = wholeAnswerSchema.safeParse(parseJson(body.toString('utf8')));
-    const whole = parsed.success || (response.statusCode ?? 0) >= 400;
-    if (!whole) {
-      yield malformedFailure('the answer is not JSON with a usage');
+    const isAcceptable = parsed.success || (response.statusCode ?? 0) >= 400;
+    if (!isAcceptable) {
+      yield malformedFailure('the answer is not JSON with token usage');
       return;
     }
     const usage = parsed.data?.usage;
--- a/src/upstreams/EngineStreamChecker.ts
+++ b/src/upstreams/EngineStreamChecker.ts
@@ -1,5 +1,5 @@
 /**
- * Checks that a streamed answer of an engine is the attempt's own and whole.
+ * Checks that a streamed answer of an engine belongs to the attempt and is complete.
  */
 import type { EventSourceMessage } from 'eventsource-parser';
 import { match } from 'ts-pattern';
@@ -11,7 +11,7 @@
 /** Options of an {@link EngineStreamChecker}. */
 export interface EngineStreamCheckerOptions {
   attemptId: string;
-  /** The last chunk that is already known. */
+  /** Sequence number of the last chunk that was already received; 0 if there was none. */
   afterSequence?: number;
 }
 
@@ -20,8 +20,10 @@
 const encoder = new TextEncoder();
 
 /**
- * @param text - what should be JSON.
- * @returns Its value, or `undefined`.
+ * Parses JSON without throwing.
+ *
+ * @param text - the text.
+ * @returns The value, or `undefined` if the text is not JSON.
  */
 export function parseJson(text: string): unknown {
   try {
@@ -31,14 +33,14 @@
   }
 }
 
-/** Takes server-sent events in the order of their arrival. */
+/** Converts the server-sent events of one streamed answer, in their order of arrival, into upstream events. */
 export class EngineStreamChecker {
   private readonly attemptId: string;
 
   private lastSequence: number;
 
   /**
-   * @param options - the attempt, and where its stream continues.
+   * @param options - the attempt and the position at which its stream continues.
    */
   constructor({ attemptId, afterSequence = 0 }: EngineStreamCheckerOptions) {
     this.attemptId = attemptId;
@@ -46,8 +48,10 @@
   }
 
   /**
-   * @param message - one server-sent event.
-   * @returns What it means; `undefined` for a chunk that came twice.
+   * Checks the next event.
+   *
+   * @param message - the server-sent event.
+   * @returns The upstream event; `undefined` for a chunk that was already received.
    */
   take(message: EventSourceMessage): UpstreamEvent | undefined {
     if (message.event === undefined) return this.takeChunk(message);
@@ -57,21 +61,25 @@
       .otherwise(() => this.takeChunk(message));
   }
 
-  /** @returns What it means that the stream ended without its terminal event. */
+  /** @returns The failure of a stream that ended without its end event. */
   endedEarly(): UpstreamEvent {
-    return this.fail('cut', `no end event after chunk ${this.lastSequence}`);
+    return this.fail(
+      'cut',
+      `the stream ended without an end event after chunk ${this.lastSequence}`,
+    );
   }
 
   private takeChunk({ id, data }: EventSourceMessage): UpstreamEvent | undefined {
     const eventId = id === undefined ? undefined : parseEventId(id);
-    if (!eventId) return this.fail('malformed', 'a chunk without attempt and sequence in its id');
-    // Two streams mixed up inside the runner show only here: the head named the right attempt.
+    if (!eventId)
+      return this.fail('malformed', 'the id of a chunk has no attempt id and sequence number');
+    // If a runner mixes up two streams internally, the headers name the right attempt and only the event ids differ.
     if (eventId.attemptId !== this.attemptId) {
-      return this.fail('crossed', `a chunk of attempt ${eventId.attemptId}`);
+      return this.fail('crossed', `the stream contains a chunk of attempt ${eventId.attemptId}`);
     }
     if (eventId.sequence <= this.lastSequence) return undefined;
     if (eventId.sequence !== this.lastSequence + 1) {
-      return this.fail('cut', `chunk ${eventId.sequence} came after ${this.lastSequence}`);
+      return this.fail('cut', `chunk ${eventId.sequence} follows chunk ${this.lastSequence}`);
     }
     this.lastSequence = eventId.sequence;
     return { kind: 'chunk', sequence: eventId.sequence, data: encoder.encode(data) };
@@ -79,13 +87,16 @@
 
   private takeEnd(data: string): UpstreamEvent {
     const end = endEventSchema.safeParse(parseJson(data));
-    if (!end.success) return this.fail('malformed', 'the end event has another form');
+    if (!end.success) return this.fail('malformed', 'the end event does not match its schema');
     if (end.data.attempt_id !== this.attemptId) {
-      return this.fail('crossed', `the end event of attempt ${end.data.attempt_id}`);
+      return this.fail('crossed', `the end event belongs to attempt ${end.data.attempt_id}`);
     }
     if (end.data.last_sequence !== this.lastSequence) {
       const { last_sequence: last } = end.data;
-      return this.fail('cut', `the end event names chunk ${last}, ${this.lastSequence} came last`);
+      return this.fail(
+        'cut',
+        `the end event names ${last} as the last chunk, but ${this.lastSequence} was the last one received`,
+      );
     }
     const { usage } = end.data;
     return {
@@ -99,14 +110,17 @@
 
   private takeError(data: string): UpstreamEvent {
     const error = errorEventSchema.safeParse(parseJson(data));
-    if (!error.success) return this.fail('malformed', 'the error event has another form');
+    if (!error.success) return this.fail('malformed', 'the error event does not match its schema');
     if (error.data.attempt_id !== this.attemptId) {
-      return this.fail('crossed', `the error event of attempt ${error.data.attempt_id}`);
+      return this.fail('crossed', `the error event belongs to attempt ${error.data.attempt_id}`);
     }
     return { ...this.fail('cut', error.data.message), resumable: error.data.resumable };
   }
 
-  /** The engine keeps the attempt's own stream, so all but nonsense can be resumed. */
+  /**
+   * Creates the failure of the stream. The engine keeps the attempt's stream, so it can be resumed unless it is
+   * malformed.
+   */
   private fail(reason: FailedEvent['reason'], message: string): FailedEvent {
     return { kind: 'failed', reason, message, resumable: reason !== 'malformed' };
   }
--- a/src/upstreams/EngineUpstream.spec.ts
+++ b/src/upstreams/EngineUpstream.spec.ts
@@ -45,30 +45,30 @@
   it('cancels at the runner what is aborted, and only leaves what is not read to its end', async () => {
     engine.setFaults({ slowMilliseconds: 5 });
     const aborted = attemptOf('stream');
-    const left = attemptOf('stream');
+    const abandoned = attemptOf('stream');
     const controller = new AbortController();
     for await (const event of engineUpstream.run(aborted, controller.signal)) {
       if (event.kind === 'chunk') controller.abort();
     }
-    const stream = engineUpstream.run(left, new AbortController().signal);
+    const stream = engineUpstream.run(abandoned, new AbortController().signal);
     await stream.next();
     await stream.return();
     engine.setFaults({});
     const never = new AbortController().signal;
-    const rest = await readAll(engineUpstream.resume(left.attemptId, 0, never));
-    expect(textOf(rest, 'stream')).toEqual(expectedAnswer(left.body, TOKENS));
+    const rest = await readAll(engineUpstream.resume(abandoned.attemptId, 0, never));
+    expect(textOf(rest, 'stream')).toEqual(expectedAnswer(abandoned.body, TOKENS));
     const ended = await readAll(engineUpstream.resume(aborted.attemptId, 0, never));
     expect(outcomeOf(ended)).toEqual('failed:cut');
     const cancelled = engine.cancelledAttempts();
     expect(cancelled.includes(aborted.attemptId)).toEqual(true);
-    expect(cancelled.includes(left.attemptId)).toEqual(false);
+    expect(cancelled.includes(abandoned.attemptId)).toEqual(false);
   });
 
   it('shows gaps in cache events, checks fencing tokens and moves KV cache', async () => {
-    const gappy = new EngineStandIn({ stepMilliseconds: 1, cacheEventLoss: 0.5, seed: 3 });
-    await gappy.listen();
-    const upstream = new EngineUpstream({ address: gappy.address() });
-    for (let index = 0; index < 12; index += 1) gappy.cache.store(`chat ${index}`, 100);
+    const lossyEngine = new EngineStandIn({ stepMilliseconds: 1, cacheEventLoss: 0.5, seed: 3 });
+    await lossyEngine.listen();
+    const upstream = new EngineUpstream({ address: lossyEngine.address() });
+    for (let index = 0; index < 12; index += 1) lossyEngine.cache.store(`chat ${index}`, 100);
     const numbers = (await upstream.readCacheEvents(0)).map(({ number }) => number);
     expect(numbers.length > 0 && numbers.length < 12).toEqual(true);
     const role = (name: 'prefill' | 'decode') => ({ kind: 'change_role', role: name }) as const;
@@ -81,9 +81,9 @@
     const cache = await upstream.exportCache('chat 3');
     expect(await upstream.importCache('chat 77', cache!)).toEqual(100);
     await expect(upstream.importCache('chat 78', brokenCache())).toBeRejected();
-    expect(gappy.cache.peek('chat 78')).toEqual(0);
+    expect(lossyEngine.cache.peek('chat 78')).toEqual(0);
     expect(await upstream.exportCache('never seen')).toEqual(undefined);
     upstream.close();
-    await gappy.close();
+    await lossyEngine.close();
   });
 });
--- a/src/upstreams/EngineUpstream.ts
+++ b/src/upstreams/EngineUpstream.ts
@@ -1,5 +1,6 @@
 /**
- * A model engine: streams by server-sent events, resumes and cancels, reports load and cache, takes orders.
+ * Upstream of a model engine. Engines stream answers as server-sent events, resume and cancel attempts, report their
+ * load and cache changes, and accept orders.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -42,17 +43,17 @@
 
 /** Limits of an {@link EngineUpstream}. */
 export interface EngineLimits {
-  /** Milliseconds without a byte of a stream after which the engine counts as frozen. */
+  /** Milliseconds without a byte of a stream after which the engine counts as unresponsive. */
   idleMilliseconds?: number;
-  /** Bytes of one server-sent event. */
+  /** Maximum size of one server-sent event in bytes. */
   maximumEventBytes?: number;
-  /** Bytes of one whole answer. */
+  /** Maximum size of one answer in bytes. */
   maximumAnswerBytes?: number;
-  /** Milliseconds for a report, an order or a cancellation. */
+  /** Timeout of a report, an order or a cancellation in milliseconds. */
   callTimeoutMilliseconds?: number;
-  /** Milliseconds for the export or import of a chat's KV cache. */
+  /** Timeout of the export or import of a chat's KV cache in milliseconds. */
   cacheTimeoutMilliseconds?: number;
-  /** Bytes of one chat's exported KV cache. */
+  /** Maximum size of the exported KV cache of one chat in bytes. */
   maximumCacheBytes?: number;
 }
 
@@ -87,7 +88,7 @@
   return `/cache/${encodeURIComponent(chat)}`;
 }
 
-/** Talks to one model engine. */
+/** Sends attempts, orders and other requests to one model engine. */
 export class EngineUpstream extends Upstream {
   private readonly connection: RunnerConnection;
 
@@ -98,8 +99,8 @@
   private readonly limits: Required<EngineLimits>;
 
   /**
-   * @param options - the engine's address and limits.
-   * @throws VError when the address is not an IP number with a port.
+   * @param options - the address and the limits of the engine.
+   * @throws VError if the address is not an IP address with a port.
    */
   constructor(options: EngineUpstreamOptions) {
     super();
@@ -117,19 +118,24 @@
     signal: AbortSignal,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     const { attemptId, deadlineMilliseconds, streaming } = attempt;
-    const guard = new AttemptGuard({ signal, deadlineMilliseconds });
+    const stopSignal = new AttemptGuard({ signal, deadlineMilliseconds });
     let last: UpstreamEvent | undefined;
     try {
       const expected = { kind: 'run', attemptId, afterSequence: 0, resumable: streaming } as const;
-      for await (const event of this.reader.exchange(attemptRequest(attempt), expected, guard)) {
+      for await (const event of this.reader.exchange(
+        attemptRequest(attempt),
+        expected,
+        stopSignal,
+      )) {
         last = event;
         yield event;
       }
     } finally {
-      // What was given up would go on occupying the engine's batch, unseen but for a rising load.
-      const givenUp = guard.reason() !== undefined && last?.kind !== 'completed';
-      if (givenUp && last?.kind !== 'not_run') void this.cancel(attemptId);
-      guard.dispose();
+      // Without cancellation, a stopped attempt would continue to occupy the engine's batch, which would only show as a
+      // rising load.
+      const wasStopped = stopSignal.reason() !== undefined && last?.kind !== 'completed';
+      if (wasStopped && last?.kind !== 'not_run') void this.cancel(attemptId);
+      stopSignal.dispose();
     }
   }
 
@@ -138,8 +144,9 @@
     afterSequence: number,
     signal: AbortSignal,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
-    // The reader's own limit of silence ends a resumed stream; its attempt has its deadline already.
-    const guard = new AttemptGuard({ signal, deadlineMilliseconds: Number.MAX_SAFE_INTEGER });
+    // A resumed stream needs no deadline here: the attempt already has one, and the reader's idle timeout ends the
+    // stream.
+    const stopSignal = new AttemptGuard({ signal, deadlineMilliseconds: Number.MAX_SAFE_INTEGER });
     try {
       const request: ExchangeRequest = {
         method: 'GET',
@@ -148,13 +155,13 @@
           [ATTEMPT_ID_HEADER]: attemptId,
           'last-event-id': formatEventId({ attemptId, sequence: afterSequence }),
         },
-        // An engine that keeps the stream answers at once; one that does not is frozen.
+        // An engine that keeps the stream answers at once; one that does not answer in this time is unresponsive.
         headTimeoutMilliseconds: this.limits.idleMilliseconds,
       };
       const expected = { kind: 'resume', attemptId, afterSequence, resumable: true } as const;
-      yield* this.reader.exchange(request, expected, guard);
+      yield* this.reader.exchange(request, expected, stopSignal);
     } finally {
-      guard.dispose();
+      stopSignal.dispose();
     }
   }
 
@@ -164,7 +171,7 @@
       const { status, body } = await this.calls.call({ method: 'DELETE', path, headers: {} });
       return status === 200 && checkJson(body, cancelledSchema, path).known;
     } catch {
-      // Nobody waits for it: an engine that does not hear it stops at the attempt's own deadline.
+      // The failure has no further effect: an engine that missed the cancellation stops at the attempt's deadline.
       return false;
     }
   }
@@ -220,12 +227,14 @@
 
   override async exportCache(chat: string): Promise<AsyncIterable<Uint8Array> | undefined> {
     const path = cachePath(chat);
-    const guard = new AttemptGuard({ deadlineMilliseconds: this.limits.cacheTimeoutMilliseconds });
-    const result = await this.connection.exchange({ method: 'GET', path, headers: {} }, guard);
+    const stopSignal = new AttemptGuard({
+      deadlineMilliseconds: this.limits.cacheTimeoutMilliseconds,
+    });
+    const result = await this.connection.exchange({ method: 'GET', path, headers: {} }, stopSignal);
     if (result.kind === 'response' && result.response.statusCode === 200) {
-      return this.readCache(result.response, guard);
+      return this.readCache(result.response, stopSignal);
     }
-    guard.dispose();
+    stopSignal.dispose();
     if (result.kind !== 'response') throw new VError('GET %s: %s', path, result.message);
     result.response.destroy();
     return undefined;
@@ -248,13 +257,13 @@
 
   private async *readCache(
     response: IncomingMessage,
-    guard: AttemptGuard,
+    stopSignal: AttemptGuard,
   ): AsyncGenerator<Uint8Array, void, undefined> {
     const { idleMilliseconds, maximumCacheBytes: maximumBytes } = this.limits;
     try {
-      yield* readParts(response, { idleMilliseconds, maximumBytes }, guard);
+      yield* readParts(response, { idleMilliseconds, maximumBytes }, stopSignal);
     } finally {
-      guard.dispose();
+      stopSignal.dispose();
     }
   }
 }
--- a/src/upstreams/PlainUpstream.ts
+++ b/src/upstreams/PlainUpstream.ts
@@ -1,6 +1,6 @@
 /**
- * An instance of a plain service: calls pass through with method, headers and body; nothing is resumed,
- * reported or ordered, and a cut answer leaves the outcome unknown.
+ * Upstream of an instance of a plain service. Calls are forwarded with method, headers and body. Plain services have no
+ * resumption, reports or orders, and the outcome of a call is unknown if its answer is cut.
  */
 import VError from 'verror';
 
@@ -29,19 +29,22 @@
   readEcho,
 } from './upstreamFailures.js';
 
-/** Whether a plain service echoes the attempt id: all must, or those that do are checked. */
+/**
+ * Whether the answers of a plain service must echo the attempt id; with `optional`, only an id that is present is
+ * checked.
+ */
 export type AttemptIdEcho = 'required' | 'optional';
 
 /** Options of a {@link PlainUpstream}. */
 export interface PlainUpstreamOptions extends RunnerConnectionOptions {
   attemptIdEcho?: AttemptIdEcho;
-  /** Path that answers 2xx while the service works. */
+  /** Path at which a working instance answers with a 2xx status. */
   healthPath?: string;
-  /** Milliseconds without a byte of a body. */
+  /** Maximum time without a byte of a body in milliseconds. */
   idleMilliseconds?: number;
-  /** Bytes of one answer. */
+  /** Maximum size of one answer in bytes. */
   maximumAnswerBytes?: number;
-  /** Milliseconds for a health check. */
+  /** Timeout of a health check in milliseconds. */
   callTimeoutMilliseconds?: number;
 }
 
@@ -50,8 +53,10 @@
 const DEFAULT_MAXIMUM_ANSWER_BYTES = 33_554_432;
 const DEFAULT_CALL_TIMEOUT_MILLISECONDS = 2_000;
 
-/** Methods that may be sent on a kept connection: running one twice changes nothing. */
-const REPEATABLE_METHODS: ReadonlySet<string> = new Set([
+/**
+ * Idempotent methods, which may be sent on a keep-alive connection because running them twice has no further effect.
+ */
+const IDEMPOTENT_METHODS: ReadonlySet<string> = new Set([
   'GET',
   'HEAD',
   'OPTIONS',
@@ -70,11 +75,11 @@
       [DEADLINE_HEADER]: String(Math.max(0, Math.floor(attempt.deadlineMilliseconds))),
     },
     body: attempt.body,
-    freshConnection: !REPEATABLE_METHODS.has(attempt.method),
+    freshConnection: !IDEMPOTENT_METHODS.has(attempt.method),
   };
 }
 
-/** Talks to one instance of a plain service. */
+/** Sends attempts and health checks to one instance of a plain service. */
 export class PlainUpstream extends Upstream {
   private readonly connection: RunnerConnection;
 
@@ -89,8 +94,8 @@
   private readonly maximumAnswerBytes: number;
 
   /**
-   * @param options - the instance's address, what it supports, and limits.
-   * @throws VError when the address is not an IP number with a port.
+   * @param options - the address of the instance, the properties of its service, and the limits.
+   * @throws VError if the address is not an IP address with a port.
    */
   constructor({
     attemptIdEcho = 'optional',
@@ -117,16 +122,16 @@
     signal: AbortSignal,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     const { deadlineMilliseconds } = attempt;
-    const guard = new AttemptGuard({ signal, deadlineMilliseconds });
+    const stopSignal = new AttemptGuard({ signal, deadlineMilliseconds });
     try {
-      yield* this.exchange(attempt, guard);
+      yield* this.exchange(attempt, stopSignal);
     } finally {
-      guard.dispose();
+      stopSignal.dispose();
     }
   }
 
   override async *resume(): AsyncGenerator<UpstreamEvent, void, undefined> {
-    const message = 'plain services keep no answers';
+    const message = 'plain services do not support resumption';
     yield { kind: 'failed', reason: 'unknown_attempt', message, resumable: false };
   }
 
@@ -134,10 +139,11 @@
     return Promise.resolve(false);
   }
 
-  /** A plain service reports no load: the answer only tells that it works. */
+  /** Performs a health check, since plain services report no load; the returned load is always 0. */
   override async readLoad(): Promise<LoadReport> {
     const { status } = await this.calls.call({ method: 'GET', path: this.healthPath, headers: {} });
-    if (status < 200 || status > 299) throw new VError('%s answered %d', this.healthPath, status);
+    if (status < 200 || status > 299)
+      throw new VError('GET %s answered status %d', this.healthPath, status);
     return { load: 0, running: 0, queued: 0, ageMilliseconds: 0, tokensPerSecond: 0 };
   }
 
@@ -150,7 +156,7 @@
   }
 
   override order(): Promise<OrderResult> {
-    return Promise.resolve({ kind: 'refused', message: 'plain services take no orders' });
+    return Promise.resolve({ kind: 'refused', message: 'plain services do not accept orders' });
   }
 
   override exportCache(): Promise<undefined> {
@@ -167,9 +173,9 @@
 
   private async *exchange(
     attempt: UpstreamAttempt,
-    guard: AttemptGuard,
+    stopSignal: AttemptGuard,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
-    const result = await this.connection.exchange(attemptRequest(attempt), guard);
+    const result = await this.connection.exchange(attemptRequest(attempt), stopSignal);
     if (result.kind !== 'response') {
       yield exchangeFailure(result, false);
       return;
@@ -178,20 +184,22 @@
     try {
       const echo = readEcho(response, attempt.attemptId);
       if (echo === 'crossed') {
-        yield crossedFailure('the answer of another attempt', false);
+        yield crossedFailure('the service sent the answer of another attempt', false);
         return;
       }
       if (echo === 'missing' && this.attemptIdEcho === 'required') {
-        yield malformedFailure('the answer names no attempt');
+        yield malformedFailure('the answer carries no attempt id');
         return;
       }
       if (isRefusalBeforeStart(response)) {
-        const message = `refused with status ${response.statusCode}`;
+        const message = `the service refused the attempt with status ${response.statusCode}`;
         yield { kind: 'not_run', reason: 'refused', message };
         return;
       }
       if (attempt.method !== 'HEAD' && !isLengthKnown(response)) {
-        yield malformedFailure('an answer of unknown length cannot be shown to be whole');
+        yield malformedFailure(
+          'the answer has neither a content length nor chunked encoding, so a cut could not be detected',
+        );
         return;
       }
       yield {
@@ -202,12 +210,16 @@
       };
       let sequence = 0;
       const { idleMilliseconds, maximumAnswerBytes: maximumBytes } = this;
-      for await (const data of readParts(response, { idleMilliseconds, maximumBytes }, guard)) {
+      for await (const data of readParts(
+        response,
+        { idleMilliseconds, maximumBytes },
+        stopSignal,
+      )) {
         sequence += 1;
         yield { kind: 'chunk', sequence, data };
       }
-      const none = { promptTokens: 0, generatedTokens: 0, cachedTokens: 0 };
-      yield { kind: 'completed', ...none, lastSequence: sequence };
+      const noTokens = { promptTokens: 0, generatedTokens: 0, cachedTokens: 0 };
+      yield { kind: 'completed', ...noTokens, lastSequence: sequence };
     } catch (error) {
       if (!(error instanceof BodyError)) throw error;
       yield bodyFailure(error, false);
--- a/src/upstreams/RunnerCalls.ts
+++ b/src/upstreams/RunnerCalls.ts
@@ -1,5 +1,5 @@
 /**
- * Small JSON calls to a runner that are no attempts: reports, orders, cache.
+ * Calls to a runner that are not attempts: reports, orders, cancellations and cache imports, with small JSON answers.
  */
 import VError from 'verror';
 import type { z } from 'zod';
@@ -12,19 +12,19 @@
 /** Options of {@link RunnerCalls}. */
 export interface RunnerCallsOptions {
   connection: RunnerConnection;
-  /** Milliseconds for a whole call. */
+  /** Timeout of a whole call in milliseconds. */
   timeoutMilliseconds?: number;
-  /** Bytes of an answer's body. */
+  /** Maximum size of an answer's body in bytes. */
   maximumBytes?: number;
 }
 
-/** A call's answer, whole. */
+/** The whole answer to a call. */
 export interface RunnerAnswer {
   readonly status: number;
   readonly body: Buffer;
 }
 
-/** Limits that one call may widen. */
+/** Limits of one call that replace the general ones. */
 export interface RunnerCallLimits {
   readonly timeoutMilliseconds?: number;
   readonly maximumBytes?: number;
@@ -34,19 +34,22 @@
 const DEFAULT_MAXIMUM_BYTES = 1_048_576;
 
 /**
- * @param body - bytes of JSON.
- * @param schema - the form that they must have.
- * @param what - names the answer in the error.
- * @returns The checked value.
- * @throws {@link VError} when they do not fit.
+ * Parses JSON and validates it.
+ *
+ * @param body - the JSON, encoded as UTF-8.
+ * @param schema - the schema of the value.
+ * @param requestName - the request that was answered, for the error message.
+ * @returns The validated value.
+ * @throws {@link VError} if the body is not JSON or does not match the schema.
  */
 export function checkJson<Schema extends z.ZodType>(
   body: Uint8Array,
   schema: Schema,
-  what: string,
+  requestName: string,
 ): z.output<Schema> {
   const checked = schema.safeParse(parseJson(new TextDecoder().decode(body)));
-  if (!checked.success) throw new VError(checked.error, 'the answer to %s has another form', what);
+  if (!checked.success)
+    throw new VError(checked.error, 'the answer to %s does not match its schema', requestName);
   return checked.data;
 }
 
@@ -54,7 +57,7 @@
   return error instanceof Error ? error : new Error(String(error));
 }
 
-/** Calls that are read whole, within a time and a size. */
+/** Makes calls to one runner and reads their answers whole, with limits on time and size. */
 export class RunnerCalls {
   private readonly connection: RunnerConnection;
 
@@ -63,7 +66,7 @@
   private readonly maximumBytes: number;
 
   /**
-   * @param options - the connection and the limits of a call.
+   * @param options - the connection and the limits of the calls.
    */
   constructor({
     connection,
@@ -76,16 +79,19 @@
   }
 
   /**
-   * @param request - what to ask.
-   * @param limits - where this call's limits differ.
-   * @returns Status and body.
-   * @throws {@link VError} when no whole answer came in time; whether the runner acted is then unknown.
+   * Makes a call.
+   *
+   * @param request - the request.
+   * @param limits - limits that replace the general ones for this call.
+   * @returns The status and the body of the answer.
+   * @throws {@link VError} if no whole answer arrives in time; it is then unknown whether the runner executed the
+   *   request.
    */
   async call(request: ExchangeRequest, limits: RunnerCallLimits = {}): Promise<RunnerAnswer> {
     const timeoutMilliseconds = limits.timeoutMilliseconds ?? this.timeoutMilliseconds;
-    const guard = new AttemptGuard({ deadlineMilliseconds: timeoutMilliseconds });
+    const stopSignal = new AttemptGuard({ deadlineMilliseconds: timeoutMilliseconds });
     try {
-      const result = await this.connection.exchange(request, guard);
+      const result = await this.connection.exchange(request, stopSignal);
       if (result.kind !== 'response') throw new VError(result.message);
       const { response } = result;
       const body = await readWhole(
@@ -94,21 +100,23 @@
           idleMilliseconds: timeoutMilliseconds,
           maximumBytes: limits.maximumBytes ?? this.maximumBytes,
         },
-        guard,
+        stopSignal,
       );
       return { status: response.statusCode ?? 0, body };
     } catch (error) {
       throw new VError({ cause: toError(error) }, '%s %s', request.method, request.path);
     } finally {
-      guard.dispose();
+      stopSignal.dispose();
     }
   }
 
   /**
-   * @param path - what to read.
-   * @param schema - the form that the answer must have.
-   * @returns The checked value.
-   * @throws {@link VError} when the answer does not come or does not fit.
+   * Reads a JSON resource.
+   *
+   * @param path - the path of the resource.
+   * @param schema - the schema of the answer.
+   * @returns The validated value.
+   * @throws {@link VError} if no answer with status 200 arrives or it does not match the schema.
    */
   async read<Schema extends z.ZodType>(path: string, schema: Schema): Promise<z.output<Schema>> {
     const { status, body } = await this.call({ method: 'GET', path, headers: {} });
--- a/src/upstreams/RunnerConnection.ts
+++ b/src/upstreams/RunnerConnection.ts
@@ -1,6 +1,6 @@
 /**
- * Kept connections to one runner over `node:http`, and the one fact that "not run" rests on: whether a
- * byte of a request can have left.
+ * Keep-alive connections to one runner over `node:http`. For each failed request it determines whether a byte of it can
+ * have been sent, because a request may be reported as "not run" only if none was.
  */
 import http from 'node:http';
 import type { IncomingMessage } from 'node:http';
@@ -12,15 +12,15 @@
 
 /** Options of a {@link RunnerConnection}. */
 export interface RunnerConnectionOptions {
-  /** `address:port` by IP number, version 6 in brackets. */
+  /** `address:port` with an IP address; IPv6 addresses are in brackets. */
   address: string;
-  /** Connections at once. */
+  /** Maximum number of concurrent connections. */
   maximumSockets?: number;
-  /** Milliseconds until a connection must stand. */
+  /** Timeout for opening a connection in milliseconds. */
   connectTimeoutMilliseconds?: number;
-  /** Bytes of all headers of an answer. */
+  /** Maximum size of all headers of an answer in bytes. */
   maximumHeaderBytes?: number;
-  /** Milliseconds after which an idle connection is closed from this side. */
+  /** Milliseconds after which this side closes an idle connection. */
   idleSocketMilliseconds?: number;
 }
 
@@ -29,23 +29,26 @@
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string | string[]>>;
-  /** Parts of unknown length are sent as they come. */
+  /** The body; an iterable has no known length and is sent as it arrives. */
   readonly body?: Uint8Array | AsyncIterable<Uint8Array>;
   /**
-   * Do not reuse a connection. A kept one may just have been closed by the other side, and then nobody
-   * can tell whether the request was read; on a fresh one a failure to connect proves that it was not.
+   * Whether to open a new connection for the request. The runner may just have closed a keep-alive connection, and then
+   * it is unknown whether it read the request; if a new connection cannot be opened, the request was certainly not
+   * read.
    */
   readonly freshConnection?: boolean;
-  /** Milliseconds until the answer's head; missing where only the guard limits it. */
+  /**
+   * Timeout for the status and headers of the answer in milliseconds; without it, only the stop signal limits the wait.
+   */
   readonly headTimeoutMilliseconds?: number;
 }
 
-/** How far a request came. */
+/** Result of sending a request. */
 export type ExchangeResult =
   | { readonly kind: 'response'; readonly response: IncomingMessage }
-  /** No byte of it can have reached the runner. */
+  /** The exchange failed, and no byte of the request can have reached the runner. */
   | { readonly kind: 'unreached'; readonly reason: StopReason | 'cut'; readonly message: string }
-  /** It may have reached the runner. */
+  /** The exchange failed, and the request may have reached the runner. */
   | { readonly kind: 'broken'; readonly reason: StopReason | 'cut'; readonly message: string };
 
 const DEFAULT_MAXIMUM_SOCKETS = 512;
@@ -58,7 +61,7 @@
   return body instanceof Uint8Array ? { 'content-length': String(body.byteLength) } : {};
 }
 
-/** Sends requests to one runner. */
+/** Sends requests to one runner over a pool of connections. */
 export class RunnerConnection {
   private readonly host: string;
 
@@ -71,8 +74,8 @@
   private readonly maximumHeaderBytes: number;
 
   /**
-   * @param options - where to connect, and limits.
-   * @throws {@link VError} when the address is not an IP number with a port.
+   * @param options - the address and the limits.
+   * @throws {@link VError} if the address is not an IP address with a port.
    */
   constructor({
     address,
@@ -84,8 +87,8 @@
     ({ host: this.host, port: this.port } = parseAddress(address));
     this.connectTimeoutMilliseconds = connectTimeoutMilliseconds;
     this.maximumHeaderBytes = maximumHeaderBytes;
-    // `timeout` closes idle connections before the runner does, which keeps a request from being
-    // written into a connection that the other side is just closing.
+    // `timeout` closes idle connections before the runner does, so that no request is written to a connection that the
+    // runner is just closing.
     this.agent = new http.Agent({
       keepAlive: true,
       maxSockets: maximumSockets,
@@ -95,19 +98,23 @@
   }
 
   /**
-   * Sends a request and waits for the head of its answer. Never throws.
+   * Sends a request and waits for the status and headers of its answer. Never throws.
    *
-   * @param request - what to send.
-   * @param guard - when to stop.
-   * @returns The answer's head, or how far the request came.
+   * @param request - the request.
+   * @param stopSignal - signal that stops the exchange.
+   * @returns The answer, whose body is not read yet, or whether the request can have reached the runner.
    */
-  exchange(request: ExchangeRequest, guard: AttemptGuard): Promise<ExchangeResult> {
-    const stopped = guard.reason();
-    if (stopped) {
-      return Promise.resolve({ kind: 'unreached', reason: stopped, message: 'stopped before it' });
+  exchange(request: ExchangeRequest, stopSignal: AttemptGuard): Promise<ExchangeResult> {
+    const stopReason = stopSignal.reason();
+    if (stopReason) {
+      return Promise.resolve({
+        kind: 'unreached',
+        reason: stopReason,
+        message: 'stopped before the request',
+      });
     }
     return new Promise((resolve) => {
-      this.start(request, guard, resolve);
+      this.start(request, stopSignal, resolve);
     });
   }
 
@@ -125,13 +132,13 @@
       freshConnection = false,
       headTimeoutMilliseconds = MAXIMUM_TIMER_MILLISECONDS,
     }: ExchangeRequest,
-    guard: AttemptGuard,
+    stopSignal: AttemptGuard,
     resolve: (result: ExchangeResult) => void,
   ): void {
-    // A byte can leave only once a connected socket is given to the request. Node.js emits `socket`
-    // before it writes to a kept connection, and `connect` before it writes to a new one; so while
-    // this is false nothing was written, and a request that is destroyed now never will be.
-    let mayHaveLeft = false;
+    // A byte can be sent only after the request was given a connected socket. Node.js emits `socket` before it writes
+    // to a keep-alive connection and `connect` before it writes to a new one. As long as this is false, nothing was
+    // written, and nothing will be written if the request is destroyed now.
+    let mayHaveBeenSent = false;
     const request = http.request({
       host: this.host,
       port: this.port,
@@ -151,17 +158,20 @@
       resolve(result);
     };
     const fail = (reason: StopReason | 'cut', message: string): void => {
-      settle({ kind: mayHaveLeft ? 'broken' : 'unreached', reason, message });
+      settle({ kind: mayHaveBeenSent ? 'broken' : 'unreached', reason, message });
       request.destroy();
     };
     connectTimer = setTimeout(
-      () => fail('timeout', 'no connection in time'),
+      () => fail('timeout', 'no connection within the connect timeout'),
       this.connectTimeoutMilliseconds,
     );
-    headTimer = setTimeout(() => fail('timeout', 'no answer in time'), headTimeoutMilliseconds);
-    removeListener = guard.onStop((reason) => fail(reason, `${reason} before the answer`));
+    headTimer = setTimeout(
+      () => fail('timeout', 'no answer within the timeout'),
+      headTimeoutMilliseconds,
+    );
+    removeListener = stopSignal.onStop((reason) => fail(reason, `${reason} before the answer`));
     const connected = (): void => {
-      mayHaveLeft = true;
+      mayHaveBeenSent = true;
       clearTimeout(connectTimer);
     };
     request.on('socket', (socket) => {
@@ -169,10 +179,11 @@
       else connected();
     });
     request.on('response', (response) => settle({ kind: 'response', response }));
-    // Stays attached after the answer's head: an error of the connection then also reaches the body's reader.
+    // Stays attached after the headers arrived; an error of the connection then also reaches the reader of the body.
     request.on('error', (error) => fail('cut', error.message));
     if (body === undefined || body instanceof Uint8Array) request.end(body);
-    // A source that breaks destroys the request, so that half a body never passes for a whole one.
+    // If the source fails, the pipeline destroys the request, so that the runner never takes half a body for a whole
+    // one.
     else pipeline(Readable.from(body, { objectMode: false }), request, () => {});
   }
 }
--- a/src/upstreams/Upstream.spec.ts
+++ b/src/upstreams/Upstream.spec.ts
@@ -22,24 +22,23 @@
 import type { Shape } from './testAttempts.js';
 import type { Upstream, UpstreamAttempt, UpstreamEvent } from './Upstream.js';
 
-/** Longer than any answer of the stand-ins, shorter than a frozen one. */
+/** Deadline that is longer than any answer of the stand-ins takes, except that of a frozen one. */
 const FROZEN_DEADLINE_MILLISECONDS = 500;
 
-interface Case {
+interface FaultCase {
   readonly fault: string;
   readonly faults: RunnerFaultsInput;
-  /** Missing where a shape does not know the fault. */
+  /** Expected outcome for each kind of call to which the fault applies. */
   readonly outcomes: Partial<Record<Shape, string>>;
-  /** How often the runner must have executed it. */
+  /** How often the runner must have executed the attempt. */
   readonly executions: number;
   readonly deadlineMilliseconds?: number;
 }
 
-// Symptom: a caller repeats a reservation that was done, or reads another caller's answer, or takes half an
-//   answer for a whole one.
-// Sequence: the runner answers late, crossed, in part, not at all, or refuses, before or after it ran.
-// Cause: the adapter says "not run" or "completed" without proof.
-const CASES: readonly Case[] = [
+// Guards against an upstream that reports "not run" or "completed" without proof. A caller would then repeat a
+// reservation that was made, read another caller's answer, or take half an answer for a whole one. It can happen when a
+// runner answers late, in part, not at all or with the answer of another attempt, or refuses before or after it ran.
+const CASES: readonly FaultCase[] = [
   {
     fault: 'none',
     faults: {},
@@ -203,8 +202,8 @@
   });
 
   it('does not say "not run" of a request that was written into a connection that then broke', async () => {
-    // Symptom: a reservation runs twice. Sequence: a kept connection is reused, the runner reads the request,
-    //   does the work and dies. Cause: a reset of a kept connection is taken for an idle one closed in passing.
+    // Guards against a reservation that runs twice: a keep-alive connection is reused, and the runner reads the
+    // request, does the work and dies. The connection reset must not be taken for the closing of an idle connection.
     let requests = 0;
     const server = net.createServer((socket: Socket) => {
       socket.on('data', () => {
--- a/src/upstreams/Upstream.ts
+++ b/src/upstreams/Upstream.ts
@@ -1,23 +1,25 @@
 /**
- * One runner, as its gate speaks to it: a model engine or a plain service's instance.
+ * Interface through which a gate uses one runner, which is a model engine or an instance of a plain service.
  */
 import type { LoadReport } from '../gates/gateTypes.js';
 
-/** An attempt as it goes to a runner. */
+/** An attempt to run a request at a runner. */
 export interface UpstreamAttempt {
-  /** Echoed by the runner, so that a late or crossed answer is recognized and dropped. */
+  /** Id that the runner echoes, so that a late answer or one of another attempt is detected and dropped. */
   readonly attemptId: string;
   readonly method: string;
   readonly path: string;
   readonly headers: readonly (readonly [string, string])[];
   readonly body: Uint8Array;
   readonly priority: string;
+  /** Milliseconds from now until the deadline. */
   readonly deadlineMilliseconds: number;
   readonly streaming: boolean;
+  /** Name of the chat, which is the key of the runner's prefix cache. */
   readonly chat: string;
 }
 
-/** What a runner answers, in order. */
+/** An event of a runner's answer. */
 export type UpstreamEvent =
   | {
       readonly kind: 'started';
@@ -26,8 +28,9 @@
       readonly cachedTokens: number;
     }
   /**
-   * `sequence` starts at 1 and has no gaps. `data` is the `data` field of one server-sent event of an
-   * engine's streamed answer, without its framing; of every other answer, the next part of the body.
+   * A part of the answer. `sequence` starts at 1 and has no gaps. For a streamed answer of an engine, `data` is the
+   * `data` field of one server-sent event, without its framing; for every other answer, it is the next part of the
+   * body.
    */
   | { readonly kind: 'chunk'; readonly sequence: number; readonly data: Uint8Array }
   | {
@@ -37,18 +40,18 @@
       readonly cachedTokens: number;
       readonly lastSequence: number;
     }
-  /** The runner refused before starting, or no byte can have reached it: it did not run. */
+  /** The attempt did not run: the runner refused it before the start, or no byte of it can have reached the runner. */
   | {
       readonly kind: 'not_run';
       readonly reason: 'refused' | 'unreachable';
       readonly message: string;
     }
-  /** Whether it ran is unknown, or it ran and broke. */
+  /** The attempt ran and failed, or it is unknown whether it ran. */
   | {
       readonly kind: 'failed';
       readonly reason: 'cut' | 'timeout' | 'crossed' | 'malformed' | 'unknown_attempt';
       readonly message: string;
-      /** Whether the runner keeps the stream so that it can be resumed. */
+      /** Whether the runner keeps the stream, so that it can be resumed. */
       readonly resumable: boolean;
     };
 
@@ -56,12 +59,12 @@
 export interface CacheEvent {
   readonly number: number;
   readonly kind: 'stored' | 'evicted' | 'cleared';
-  /** Missing for `cleared`. */
+  /** Name of the chat; missing for `cleared`. */
   readonly chat?: string;
   readonly cachedTokens: number;
 }
 
-/** An order: a desired state, safe to repeat. */
+/** An order to a runner. It names a desired state and is idempotent. */
 export type UpstreamOrder =
   | { readonly kind: 'load_version'; readonly model: string; readonly version: string }
   | { readonly kind: 'unload_version'; readonly model: string; readonly version: string }
@@ -69,14 +72,14 @@
   | { readonly kind: 'unload_adapter'; readonly model: string; readonly adapter: string }
   | { readonly kind: 'change_role'; readonly role: 'prefill' | 'decode' | 'mixed' };
 
-/** How an order ended. */
+/** Result of an order. */
 export type OrderResult =
   | { readonly kind: 'accepted' }
   | { readonly kind: 'refused_fencing'; readonly highestFencingToken: number }
   | { readonly kind: 'refused'; readonly message: string }
   | { readonly kind: 'unknown'; readonly message: string };
 
-/** What a runner has loaded. */
+/** Model, versions and adapters that a runner has loaded or is loading, and its role. */
 export interface UpstreamState {
   readonly model: string;
   readonly versions: readonly string[];
@@ -85,24 +88,24 @@
   readonly loading: readonly string[];
 }
 
-/** Talks to one runner. */
+/** Sends attempts, orders and other requests to one runner. */
 export abstract class Upstream {
   /**
    * Runs an attempt.
    *
-   * @param attempt - what to run.
-   * @param signal - aborting it cancels the attempt at the runner.
-   * @returns Events in order, ended by `completed`, `not_run` or `failed`. Never throws.
+   * @param attempt - the attempt.
+   * @param signal - its abortion cancels the attempt at the runner.
+   * @returns The events in order; the last one is `completed`, `not_run` or `failed`. Never throws.
    */
   abstract run(attempt: UpstreamAttempt, signal: AbortSignal): AsyncIterable<UpstreamEvent>;
 
   /**
-   * Continues an attempt's stream.
+   * Continues the stream of an attempt after its connection broke.
    *
-   * @param attemptId - the attempt.
-   * @param afterSequence - the last chunk that was received.
-   * @param signal - stops reading; the attempt goes on.
-   * @returns As {@link Upstream.run}, chunks from `afterSequence` + 1.
+   * @param attemptId - the id of the attempt.
+   * @param afterSequence - the sequence number of the last chunk that was received.
+   * @param signal - its abortion stops reading, while the attempt continues at the runner.
+   * @returns The events as from {@link Upstream.run}, with chunks from `afterSequence` + 1.
    */
   abstract resume(
     attemptId: string,
@@ -111,44 +114,54 @@
   ): AsyncIterable<UpstreamEvent>;
 
   /**
-   * @param attemptId - the attempt to cancel; idempotent.
-   * @returns Whether the runner knew it.
+   * Cancels an attempt. Idempotent.
+   *
+   * @param attemptId - the id of the attempt.
+   * @returns Whether the runner knew the attempt.
    */
   abstract cancel(attemptId: string): Promise<boolean>;
 
-  /** @returns The runner's lagging load report; throws when it does not answer. */
+  /** @returns The runner's load report, which lags behind its load. Throws if the runner does not answer. */
   abstract readLoad(): Promise<LoadReport>;
 
   /**
-   * @param afterNumber - the last event that was seen.
-   * @returns Later events, possibly with gaps; none for plain services.
+   * Reads the changes of the prefix cache.
+   *
+   * @param afterNumber - the number of the last event that was read.
+   * @returns The later events, possibly with gaps; none for plain services.
    */
   abstract readCacheEvents(afterNumber: number): Promise<readonly CacheEvent[]>;
 
-  /** @returns What is loaded; throws when the runner does not answer. */
+  /** @returns The state of the runner. Throws if the runner does not answer. */
   abstract readState(): Promise<UpstreamState>;
 
   /**
+   * Gives an order to the runner.
+   *
    * @param order - the desired state.
-   * @param fencingToken - number of the lease under which it is given.
-   * @returns How it ended.
+   * @param fencingToken - fencing token of the lease under which the order is given.
+   * @returns The result of the order.
    */
   abstract order(order: UpstreamOrder, fencingToken: number): Promise<OrderResult>;
 
   /**
-   * @param chat - whose KV cache is wanted.
-   * @returns The cache as the engine exports it, part by part and to be read to its end or left, since it
-   *   is far larger than a daemon's memory; `undefined` when the engine has none. Throws when it is cut.
+   * Exports the KV cache of a chat.
+   *
+   * @param chat - the name of the chat.
+   * @returns The cache in parts, as the engine sends it, because it is far larger than a daemon's memory; `undefined`
+   *   if the engine has none. The caller has to read it to its end or end the iteration. Throws if the cache is cut.
    */
   abstract exportCache(chat: string): Promise<AsyncIterable<Uint8Array> | undefined>;
 
   /**
-   * @param chat - whose KV cache this is.
-   * @param cache - as exported.
-   * @returns Tokens that are now cached. Throws when it was not imported whole.
+   * Imports the KV cache of a chat.
+   *
+   * @param chat - the name of the chat.
+   * @param cache - the cache as exported.
+   * @returns The number of tokens that are now cached. Throws if the cache was not imported whole.
    */
   abstract importCache(chat: string, cache: AsyncIterable<Uint8Array>): Promise<number>;
 
-  /** Releases connections. */
+  /** Closes all connections. */
   abstract close(): void;
 }
--- a/src/upstreams/createUpstream.ts
+++ b/src/upstreams/createUpstream.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the upstream that fits a runner's service.
+ * Creates the upstream for a runner according to the kind of its service.
  */
 import type { RunnerRecord, Service } from '../generated/baobabdock/v1/configuration_pb.js';
 import { EngineUpstream } from './EngineUpstream.js';
@@ -16,9 +16,11 @@
 }
 
 /**
+ * Creates the upstream of a runner.
+ *
  * @param options - the runner, its service and the settings.
- * @returns An upstream that holds no connection yet.
- * @throws VError when the runner's address is not an IP number with a port.
+ * @returns An upstream without open connections.
+ * @throws VError if the address of the runner is not an IP address with a port.
  */
 export function createUpstream({
   runner,
--- a/src/upstreams/forwardedHeaders.ts
+++ b/src/upstreams/forwardedHeaders.ts
@@ -1,5 +1,5 @@
 /**
- * Which headers pass between a caller and a runner, and which belong to one connection only.
+ * Selects the headers that are forwarded between a caller and a runner.
  */
 import { HOP_BY_HOP_HEADERS, headerPairs } from '../http/connectionHeaders.js';
 import type { HeaderList } from '../http/connectionHeaders.js';
@@ -12,13 +12,15 @@
   PRIORITY_HEADER,
 } from './runnerProtocol.js';
 
-/** Headers of one connection (RFC 9110, section 7.6.1), and those that this program writes itself. */
-const OWN_HEADERS: ReadonlySet<string> = new Set([
+/**
+ * Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1) and those that this program sets itself.
+ */
+const UNFORWARDED_HEADERS: ReadonlySet<string> = new Set([
   ...HOP_BY_HOP_HEADERS,
   'host',
   'content-length',
   'expect',
-  // The account's key is for this program; a runner has no business with it.
+  // Contains the key of the client account, which a runner must not receive.
   'authorization',
   ATTEMPT_ID_HEADER,
   CACHED_TOKENS_HEADER,
@@ -28,18 +30,20 @@
   PRIORITY_HEADER,
 ]);
 
-/** Headers of an answer that its next hop writes anew. */
-const ANSWER_ONLY_HEADERS: ReadonlySet<string> = new Set(['date', 'server']);
+/** Further headers of an answer that are not forwarded, because this program sets its own. */
+const UNFORWARDED_ANSWER_HEADERS: ReadonlySet<string> = new Set(['date', 'server']);
 
 /**
- * @param headers - as the caller sent them.
- * @returns Those that go to a runner, lower case; a name that came twice has both values.
+ * Selects the headers of a request that are sent to the runner.
+ *
+ * @param headers - the headers that the caller sent.
+ * @returns The forwarded headers with lower-case names; a repeated name has all of its values.
  */
 export function requestHeaders(headers: HeaderList): Record<string, string | string[]> {
   const forwarded = new Map<string, string[]>();
   for (const [name, value] of headers) {
     const lower = name.toLowerCase();
-    if (OWN_HEADERS.has(lower)) continue;
+    if (UNFORWARDED_HEADERS.has(lower)) continue;
     forwarded.set(lower, [...(forwarded.get(lower) ?? []), value]);
   }
   return Object.fromEntries(
@@ -48,11 +52,13 @@
 }
 
 /**
- * @param rawHeaders - names and values in turn, as `node:http` gives them.
- * @returns Those that go back to the caller, lower case.
+ * Selects the headers of an answer that are sent to the caller.
+ *
+ * @param rawHeaders - alternating names and values, as in `rawHeaders` of `node:http`.
+ * @returns The forwarded headers with lower-case names.
  */
 export function answerHeaders(rawHeaders: readonly string[]): (readonly [string, string])[] {
   return headerPairs(rawHeaders)
     .map(([name, value]) => [name.toLowerCase(), value] as const)
-    .filter(([name]) => !OWN_HEADERS.has(name) && !ANSWER_ONLY_HEADERS.has(name));
+    .filter(([name]) => !UNFORWARDED_HEADERS.has(name) && !UNFORWARDED_ANSWER_HEADERS.has(name));
 }
--- a/src/upstreams/readBody.ts
+++ b/src/upstreams/readBody.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the body of a runner's answer: pulled by the consumer, bounded in time and size, and telling a
- * cut from an end.
+ * Reads the body of a runner's answer at the consumer's pace, with limits on time and size, and distinguishes a cut
+ * body from a complete one.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -9,16 +9,16 @@
 import { MAXIMUM_TIMER_MILLISECONDS } from './AttemptGuard.js';
 import type { AttemptGuard, StopReason } from './AttemptGuard.js';
 
-/** Why a body is not whole. */
+/** Why a body could not be read whole. */
 export type BodyFault = StopReason | 'cut' | 'idle' | 'too_large';
 
-/** Thrown in place of the rest of a body. */
+/** Thrown if a body could not be read whole. */
 export class BodyError extends VError {
   readonly fault: BodyFault;
 
   /**
-   * @param fault - why the body is not whole.
-   * @param message - for people.
+   * @param fault - why the body could not be read whole.
+   * @param message - description of the fault.
    */
   constructor(fault: BodyFault, message: string) {
     super(message);
@@ -28,13 +28,16 @@
 
 /** Limits of a body. */
 export interface BodyLimits {
-  /** Milliseconds without a byte while the consumer waits for one. */
+  /** Maximum time that the consumer waits for the next byte, in milliseconds. */
   readonly idleMilliseconds: number;
   readonly maximumBytes: number;
 }
 
-/** The silence of a runner. Counts only while the consumer waits: its own slowness is not the runner's silence. */
-class Silence {
+/**
+ * Detects that a runner sends nothing. Only the time during which the consumer waits counts, so that a slow consumer is
+ * not mistaken for an unresponsive runner.
+ */
+class IdleTimer {
   private readonly timer: NodeJS.Timeout;
 
   private waiting = false;
@@ -48,13 +51,13 @@
     );
   }
 
-  /** One timer, set back for each part: a stream has thousands of them. */
-  begin(): void {
+  /** Restarts the timer for the next part; one timer is reused because a stream has thousands of parts. */
+  startWaiting(): void {
     this.waiting = true;
     this.timer.refresh();
   }
 
-  end(): void {
+  stopWaiting(): void {
     this.waiting = false;
   }
 
@@ -65,57 +68,59 @@
 
 async function nextPart(
   iterator: AsyncIterator<Uint8Array>,
-  silence: Silence,
+  idleTimer: IdleTimer,
 ): Promise<IteratorResult<Uint8Array>> {
-  silence.begin();
+  idleTimer.startWaiting();
   try {
     return await iterator.next();
   } catch (error) {
     if (error instanceof BodyError) throw error;
     throw new BodyError('cut', error instanceof Error ? error.message : String(error));
   } finally {
-    silence.end();
+    idleTimer.stopWaiting();
   }
 }
 
 /**
- * Reads a body part by part. Nothing is read ahead beyond the stream's own small buffer, so that a slow
- * consumer slows the runner instead of filling this daemon's memory. Returning early closes the connection.
+ * Reads a body part by part. Nothing is read ahead beyond the small buffer of the stream, so that a slow consumer slows
+ * down the runner and does not fill this daemon's memory. Ending the iteration early closes the connection.
  *
- * @param response - the answer whose head was read.
- * @param limits - time and size.
- * @param guard - when to stop.
- * @returns The parts, in order.
- * @throws {@link BodyError} when the body is not whole.
+ * @param response - the answer, whose body has not been read yet.
+ * @param limits - the limits on time and size.
+ * @param stopSignal - signal that stops reading.
+ * @returns The parts in order.
+ * @throws {@link BodyError} if the body could not be read whole.
  */
 export async function* readParts(
   response: IncomingMessage,
   { idleMilliseconds, maximumBytes }: BodyLimits,
-  guard: AttemptGuard,
+  stopSignal: AttemptGuard,
 ): AsyncGenerator<Uint8Array, void, undefined> {
   const stop = (reason: StopReason): void => {
     response.destroy(new BodyError(reason, `${reason} while reading the answer`));
   };
-  const removeListener = guard.onStop(stop);
-  const stopped = guard.reason();
-  if (stopped) stop(stopped);
-  const silence = new Silence(
-    () => response.destroy(new BodyError('idle', `no byte for ${idleMilliseconds} ms`)),
+  const removeListener = stopSignal.onStop(stop);
+  const stopReason = stopSignal.reason();
+  if (stopReason) stop(stopReason);
+  const idleTimer = new IdleTimer(
+    () => response.destroy(new BodyError('idle', `received no byte for ${idleMilliseconds} ms`)),
     idleMilliseconds,
   );
   const iterator = response[Symbol.asyncIterator]() as AsyncIterator<Uint8Array>;
   let bytes = 0;
   try {
     for (;;) {
-      const part = await nextPart(iterator, silence);
+      const part = await nextPart(iterator, idleTimer);
       if (part.done) break;
       bytes += part.value.byteLength;
-      if (bytes > maximumBytes) throw new BodyError('too_large', `more than ${maximumBytes} bytes`);
+      if (bytes > maximumBytes)
+        throw new BodyError('too_large', `the body has more than ${maximumBytes} bytes`);
       yield part.value;
     }
-    if (!response.complete) throw new BodyError('cut', 'the connection ended before the answer');
+    if (!response.complete)
+      throw new BodyError('cut', 'the connection ended before the end of the body');
   } finally {
-    silence.dispose();
+    idleTimer.dispose();
     removeListener();
     if (!response.readableEnded) response.destroy();
   }
@@ -124,28 +129,28 @@
 /**
  * Reads a whole body into memory.
  *
- * @param response - the answer whose head was read.
- * @param limits - time and size.
- * @param guard - when to stop.
- * @returns All bytes.
- * @throws {@link BodyError} when the body is not whole.
+ * @param response - the answer, whose body has not been read yet.
+ * @param limits - the limits on time and size.
+ * @param stopSignal - signal that stops reading.
+ * @returns All bytes of the body.
+ * @throws {@link BodyError} if the body could not be read whole.
  */
 export async function readWhole(
   response: IncomingMessage,
   limits: BodyLimits,
-  guard: AttemptGuard,
+  stopSignal: AttemptGuard,
 ): Promise<Buffer> {
   const parts: Uint8Array[] = [];
-  for await (const part of readParts(response, limits, guard)) parts.push(part);
+  for await (const part of readParts(response, limits, stopSignal)) parts.push(part);
   return Buffer.concat(parts);
 }
 
 /**
- * A body whose length is told neither by a header nor by chunks ends with the connection, and then a cut
- * looks like an end: half an answer would pass for a whole one.
+ * Checks whether the length of a body is given by a header or by chunked encoding. Otherwise the body ends with the
+ * connection, so that a cut cannot be distinguished from the end and half an answer would count as a whole one.
  *
- * @param response - the answer whose head was read.
- * @returns Whether a cut of its body would show.
+ * @param response - the answer, whose body has not been read yet.
+ * @returns Whether a cut of the body would be detected.
  */
 export function isLengthKnown(response: IncomingMessage): boolean {
   const { headers, statusCode = 0 } = response;
--- a/src/upstreams/runnerMessages.ts
+++ b/src/upstreams/runnerMessages.ts
@@ -1,35 +1,36 @@
 /**
- * Schemas of the JSON that runners send. Whatever does not fit is refused: a runner is another program.
+ * Schemas of the JSON messages that runners send. A message that does not match its schema is rejected, because runners
+ * are separate programs whose output cannot be relied on.
  */
 import { z } from 'zod';
 
 const count = z.number().int().nonnegative();
 
-/** Token counts, in the form that existing clients of model engines know. */
+/** Token counts, in the format that existing clients of model engines use. */
 export const usageSchema = z.object({
   prompt_tokens: count,
   completion_tokens: count,
   prompt_tokens_details: z.object({ cached_tokens: count }).optional(),
 });
 
-/** Data of the event that ends a whole stream. */
+/** Data of the event that ends a complete stream. */
 export const endEventSchema = z.object({
   attempt_id: z.string(),
   last_sequence: count,
   usage: usageSchema,
 });
 
-/** Data of the event that ends a broken stream. */
+/** Data of the event that ends a failed stream. */
 export const errorEventSchema = z.object({
   attempt_id: z.string(),
   message: z.string().max(2_000),
   resumable: z.boolean().default(false),
 });
 
-/** An answer that is not streamed; the rest of it is the caller's business. */
+/** An answer that is not streamed; its other fields are passed to the caller unchecked. */
 export const wholeAnswerSchema = z.object({ usage: usageSchema });
 
-/** `GET /load`. */
+/** Answer to `GET /load`. */
 export const loadSchema = z.object({
   load_tokens: z.number().nonnegative(),
   running: count,
@@ -38,7 +39,7 @@
   tokens_per_second: z.number().nonnegative(),
 });
 
-/** `GET /cache/events`. */
+/** Answer to `GET /cache/events`. */
 export const cacheEventsSchema = z.object({
   events: z
     .array(
@@ -52,7 +53,7 @@
     .max(10_000),
 });
 
-/** `GET /state`. */
+/** Answer to `GET /state`. */
 export const stateSchema = z.object({
   model: z.string(),
   versions: z.array(z.string()).max(1_000),
@@ -61,14 +62,14 @@
   loading: z.array(z.string()).max(1_000),
 });
 
-/** `POST /orders`, refused for an old fencing token. */
+/** Answer to `POST /orders` that refuses an order because of an outdated fencing token. */
 export const fencingRefusalSchema = z.object({ highest_fencing_token: count });
 
-/** `POST /orders`, refused for another reason. */
+/** Answer to `POST /orders` that refuses an order for another reason. */
 export const refusalSchema = z.object({ message: z.string().max(2_000) });
 
-/** `PUT /cache/{chat}`. */
+/** Answer to `PUT /cache/{chat}`. */
 export const importedSchema = z.object({ cached_tokens: count });
 
-/** `DELETE /attempts/{id}`. */
+/** Answer to `DELETE /attempts/{id}`. */
 export const cancelledSchema = z.object({ known: z.boolean() });
--- a/src/upstreams/runnerProtocol.ts
+++ b/src/upstreams/runnerProtocol.ts
@@ -1,51 +1,57 @@
 /**
- * The names on the wire between a gate and a runner: our documented assumption, see docs/INTERFACES.md.
+ * Names of headers and events in the protocol that gates assume of runners, which docs/INTERFACES.md documents.
  */
 
-/** Id of the attempt; a runner echoes it in every answer. */
+/** Header with the id of the attempt; a runner echoes it in every answer. */
 export const ATTEMPT_ID_HEADER = 'x-attempt-id';
 
-/** `urgent`, `standard` or `background`. */
+/** Header with the priority: `urgent`, `standard` or `background`. */
 export const PRIORITY_HEADER = 'x-priority';
 
-/** Milliseconds that the answer is still of use. */
+/** Header with the number of milliseconds until the deadline, after which the answer is of no use. */
 export const DEADLINE_HEADER = 'x-deadline-milliseconds';
 
-/** Name of the chat, the key of the runner's prefix cache. */
+/** Header with the name of the chat, which is the key of the runner's prefix cache. */
 export const CHAT_HEADER = 'x-chat';
 
-/** Prompt tokens that were cached when the attempt started. */
+/** Header with the number of prompt tokens that were cached when the attempt started. */
 export const CACHED_TOKENS_HEADER = 'x-cached-tokens';
 
-/** `true` on a refusal that left before the request was started. Without it a refusal proves nothing. */
+/**
+ * Header that is `true` if a runner refuses a request before starting it. Without it, a refused request may have run.
+ */
 export const NOT_STARTED_HEADER = 'x-not-started';
 
-/** Name of the server-sent event that ends a whole stream. */
+/** Name of the server-sent event that ends a complete stream. */
 export const END_EVENT = 'end';
 
-/** Name of the server-sent event that ends a broken stream. */
+/** Name of the server-sent event that ends a failed stream. */
 export const ERROR_EVENT = 'error';
 
 /** Media type of a streamed answer. */
 export const EVENT_STREAM_TYPE = 'text/event-stream';
 
-/** An event's id: which attempt, and which chunk of it. */
+/** Parts of a server-sent event's id: the attempt and the sequence number of the chunk. */
 export interface RunnerEventId {
   readonly attemptId: string;
   readonly sequence: number;
 }
 
 /**
- * @param eventId - attempt and sequence.
- * @returns The text of an event's `id` field and of `Last-Event-ID`.
+ * Formats an event id.
+ *
+ * @param eventId - the attempt and the sequence number.
+ * @returns The text for an event's `id` field and for the `Last-Event-ID` header.
  */
 export function formatEventId({ attemptId, sequence }: RunnerEventId): string {
   return `${attemptId}:${sequence}`;
 }
 
 /**
+ * Parses an event id.
+ *
  * @param text - the text of an event's `id` field.
- * @returns Attempt and sequence, or `undefined` when it is not of that form.
+ * @returns The attempt and the sequence number, or `undefined` if the text has another format.
  */
 export function parseEventId(text: string): RunnerEventId | undefined {
   const match = /^(.{1,200}):(\d{1,9})$/.exec(text);
--- a/src/upstreams/testAttempts.ts
+++ b/src/upstreams/testAttempts.ts
@@ -1,23 +1,25 @@
 /**
- * Attempts for the tests of upstreams, and how to read their answers.
+ * Test helpers that create attempts for upstreams and evaluate their events.
  */
 import type { UpstreamAttempt, UpstreamEvent } from './Upstream.js';
 
-/** Tokens that each engine attempt asks for. */
+/** Number of tokens that each engine attempt requests. */
 export const TOKENS = 6;
 
-/** Longer than any test takes. */
+/** Deadline that is longer than any test takes. */
 export const LONG_DEADLINE_MILLISECONDS = 20_000;
 
-/** How a test calls a runner. */
+/** Kind of a test's call: a streamed or a whole answer of an engine, or a change at a plain service. */
 export type Shape = 'stream' | 'whole' | 'change';
 
 let lastAttempt = 0;
 
 /**
- * @param shape - how to call.
- * @param changes - what differs.
- * @returns A new attempt with a question of its own.
+ * Creates an attempt.
+ *
+ * @param shape - the kind of call.
+ * @param changes - the fields that differ from the default.
+ * @returns A new attempt with a unique question.
  */
 export function attemptOf(shape: Shape, changes: Partial<UpstreamAttempt> = {}): UpstreamAttempt {
   lastAttempt += 1;
@@ -43,8 +45,10 @@
 }
 
 /**
- * @param events - of a runner.
- * @returns All of them.
+ * Collects all events of an attempt.
+ *
+ * @param events - the events.
+ * @returns The events as an array.
  */
 export async function readAll(events: AsyncIterable<UpstreamEvent>): Promise<UpstreamEvent[]> {
   const all: UpstreamEvent[] = [];
@@ -53,8 +57,10 @@
 }
 
 /**
- * @param events - of an engine.
- * @param shape - how it was called.
+ * Extracts the text of an engine's answer.
+ *
+ * @param events - the events of the attempt.
+ * @param shape - the kind of call.
  * @returns The text of the answer.
  */
 export function textOf(events: readonly UpstreamEvent[], shape: Shape): string {
@@ -65,8 +71,10 @@
 }
 
 /**
- * @param events - of a runner.
- * @returns `completed`, `not_run:refused`, `failed:cut:resumable`, and so on.
+ * Summarizes the last event of an attempt.
+ *
+ * @param events - the events of the attempt.
+ * @returns For example `completed`, `not_run:refused` or `failed:cut:resumable`.
  */
 export function outcomeOf(events: readonly UpstreamEvent[]): string {
   const last = events.at(-1);
--- a/src/upstreams/upstreamFailures.ts
+++ b/src/upstreams/upstreamFailures.ts
@@ -1,6 +1,6 @@
 /**
- * Turns the faults of an exchange into what an attempt's owner is told. The rule of truth: `not_run` only
- * when no byte can have left or the runner itself said that it had not started; all else is `failed`.
+ * Converts the failures of an exchange into the last event of an attempt. It is `not_run` only if no byte of the
+ * request can have been sent or the runner itself states that it did not start the attempt; otherwise it is `failed`.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -11,13 +11,15 @@
 import { ATTEMPT_ID_HEADER, NOT_STARTED_HEADER } from './runnerProtocol.js';
 import type { UpstreamEvent } from './Upstream.js';
 
-/** Statuses with which a runner can refuse before it starts: too many requests, unavailable. */
+/** Statuses with which a runner can refuse an attempt before the start: too many requests, service unavailable. */
 const REFUSAL_STATUSES: ReadonlySet<number> = new Set([429, 503]);
 
 /**
- * @param result - an exchange without an answer.
+ * Converts the failure of an exchange without an answer.
+ *
+ * @param result - the result of the exchange.
  * @param resumable - whether the runner keeps the stream.
- * @returns The attempt's last event.
+ * @returns The last event of the attempt.
  */
 export function exchangeFailure(
   result: Exclude<ExchangeResult, { kind: 'response' }>,
@@ -35,9 +37,11 @@
 }
 
 /**
- * @param error - why the body is not whole.
+ * Converts the failure to read a body.
+ *
+ * @param error - why the body could not be read whole.
  * @param resumable - whether the runner keeps the stream.
- * @returns The attempt's last event.
+ * @returns The last event of the attempt.
  */
 export function bodyFailure({ fault, message }: BodyError, resumable: boolean): UpstreamEvent {
   return match(fault)
@@ -52,13 +56,17 @@
     .exhaustive();
 }
 
-/** How the attempt id in an answer's head compares with the one that was asked for. */
+/**
+ * Result of comparing the attempt id in an answer's headers with the requested one; `crossed` means another attempt.
+ */
 export type Echo = 'own' | 'missing' | 'crossed';
 
 /**
- * @param response - the answer's head.
- * @param attemptId - the attempt that it should answer.
- * @returns Whose answer it is.
+ * Compares the attempt id that an answer echoes with the requested one.
+ *
+ * @param response - the answer.
+ * @param attemptId - the id of the requested attempt.
+ * @returns Whether the ids agree, differ, or the answer has none.
  */
 export function readEcho(response: IncomingMessage, attemptId: string): Echo {
   const echoed = response.headers[ATTEMPT_ID_HEADER];
@@ -67,8 +75,11 @@
 }
 
 /**
- * @param response - the answer's head; its echo was checked, for a refusal can be crossed as well.
- * @returns Whether the runner says that it did not start the attempt.
+ * Checks for a refusal before the start.
+ *
+ * @param response - the answer. Its attempt id must have been compared already, since a refusal can belong to another
+ *   attempt as well.
+ * @returns Whether the runner states that it did not start the attempt.
  */
 export function isRefusalBeforeStart(response: IncomingMessage): boolean {
   const { statusCode = 0, headers } = response;
@@ -76,17 +87,21 @@
 }
 
 /**
- * @param message - why the answer is not the attempt's own.
+ * Creates the failure for an answer that belongs to another attempt.
+ *
+ * @param message - what shows that the answer belongs to another attempt.
  * @param resumable - whether the runner keeps the stream.
- * @returns The attempt's last event.
+ * @returns The last event of the attempt.
  */
 export function crossedFailure(message: string, resumable: boolean): UpstreamEvent {
   return { kind: 'failed', reason: 'crossed', message, resumable };
 }
 
 /**
- * @param message - what is wrong with the answer.
- * @returns The attempt's last event.
+ * Creates the failure for an answer that violates the protocol.
+ *
+ * @param message - how the answer violates the protocol.
+ * @returns The last event of the attempt.
  */
 export function malformedFailure(message: string): UpstreamEvent {
   return { kind: 'failed', reason: 'malformed', message, resumable: false };
--- a/src/upstreams/upstreamsFeature.ts
+++ b/src/upstreams/upstreamsFeature.ts
@@ -1,5 +1,5 @@
 /**
- * Registers what speaks to runners: its settings and log events.
+ * Settings and log events of the connections to runners.
  */
 import { z } from 'zod';
 
@@ -55,30 +55,32 @@
     number: 1900,
     name: 'upstreams.attempt_failed',
     level: 'warn',
-    text: 'An attempt ended at the runner without a whole answer of its own.',
+    text: 'An attempt at a runner failed without a complete answer.',
     operatorAction:
-      'One alone is handled by resuming or by an error to the caller. Many from one runner: look at that runner.',
+      'None for a single one: it is resumed or reported to the caller. If one runner causes many, inspect that runner.',
   }),
   crossedAnswer: defineLogEvent({
     number: 1901,
     name: 'upstreams.crossed_answer',
     level: 'error',
-    text: 'A runner answered an attempt with the answer of another one; it was dropped.',
-    operatorAction: 'Take the runner out and report it to its maker: it mixes up its requests.',
+    text: 'A runner sent the answer of another attempt; the answer was dropped.',
+    operatorAction:
+      'Remove the runner from service and report the fault to its vendor: it mixes up its requests.',
   }),
   resumed: defineLogEvent({
     number: 1902,
     name: 'upstreams.resumed',
     level: 'info',
-    text: 'A cut stream was taken up again at its runner.',
-    operatorAction: 'None. Many of them point at the network between this daemon and the runner.',
+    text: 'A cut stream was resumed at its runner.',
+    operatorAction:
+      'None for a few. If there are many, check the network between this daemon and the runner.',
   }),
   reportFailed: defineLogEvent({
     number: 1903,
     name: 'upstreams.report_failed',
     level: 'debug',
-    text: 'A runner did not answer with a load report or its cache events.',
-    operatorAction: 'None; the gate ejects a runner that goes on failing and logs that.',
+    text: 'A runner did not return its load report or its cache events.',
+    operatorAction: 'None; the gate ejects a runner that fails repeatedly and logs the ejection.',
   }),
 };
 
