--- a/src/upstreams/AttemptGuard.ts
+++ b/src/upstreams/AttemptGuard.ts
@@ -5,7 +5,7 @@
 /** Why an exchange stops: its owner aborted it, or its deadline passed. */
 export type StopReason = 'aborted' | 'timeout';
 
-/** Options of an {@link AttemptGuard}. */
+/** Options of {@link AttemptGuard}. */
 export interface AttemptGuardOptions {
   /** Signal that the attempt's owner aborts. */
   signal?: AbortSignal;
--- a/src/upstreams/EngineStreamChecker.ts
+++ b/src/upstreams/EngineStreamChecker.ts
@@ -79,7 +79,10 @@
     }
     if (eventId.sequence <= this.lastSequence) return undefined;
     if (eventId.sequence !== this.lastSequence + 1) {
-      return this.fail('cut', `chunk ${eventId.sequence} follows chunk ${this.lastSequence}`);
+      return this.fail(
+        'cut',
+        `chunk ${eventId.sequence} arrived directly after chunk ${this.lastSequence}`,
+      );
     }
     this.lastSequence = eventId.sequence;
     return { kind: 'chunk', sequence: eventId.sequence, data: encoder.encode(data) };
--- a/src/upstreams/Upstream.ts
+++ b/src/upstreams/Upstream.ts
@@ -94,7 +94,7 @@
    * Runs an attempt.
    *
    * @param attempt - the attempt.
-   * @param signal - its abortion cancels the attempt at the runner.
+   * @param signal - aborting it cancels the attempt at the runner.
    * @returns The events in order; the last one is `completed`, `not_run` or `failed`. Never throws.
    */
   abstract run(attempt: UpstreamAttempt, signal: AbortSignal): AsyncIterable<UpstreamEvent>;
@@ -104,7 +104,7 @@
    *
    * @param attemptId - the id of the attempt.
    * @param afterSequence - the sequence number of the last chunk that was received.
-   * @param signal - its abortion stops reading, while the attempt continues at the runner.
+   * @param signal - aborting it stops reading, while the attempt continues at the runner.
    * @returns The events as from {@link Upstream.run}, with chunks from `afterSequence` + 1.
    */
   abstract resume(
