--- a/src/configuration/ConfigurationEditor.ts
+++ b/src/configuration/ConfigurationEditor.ts
@@ -198,8 +198,7 @@
   private async tryOnce(requested: RequestedChange, progress: ChangeProgress): Promise<Attempt> {
     const { changeId, edits, dryRun } = requested;
     const read = await this.repository.readHead();
-    if (progress.isStale(read.storeRevision))
-      return retryAttempt("the platform's store returned stale data");
+    if (progress.isStale(read.storeRevision)) return retryAttempt('the platform shows old data');
     if (Number(read.head.revision) < this.document.revision())
       return this.reportPlatformBehind(read);
     const state = await this.currentState(read);
@@ -242,7 +241,7 @@
     if (result.kind === 'conflict') {
       const revision = await this.repository.findChange(changeId, result.revision);
       return revision === undefined
-        ? retryAttempt('another change was committed first')
+        ? retryAttempt('another change came first')
         : this.acceptRepeated(revision);
     }
     this.putInForce(state, change, after);
@@ -275,9 +274,7 @@
   private reportPlatformBehind({ head }: ReadHead): Attempt {
     const [platform, inForce] = [Number(head.revision), this.document.revision()];
     this.log.write(configurationLogEvents.platformBehind, { platform, inForce });
-    return retryAttempt(
-      `the platform's store holds revision ${platform}, but revision ${inForce} is in force`,
-    );
+    return retryAttempt(`the platform holds revision ${platform} but ${inForce} is in force`);
   }
 
   /** Starts to write a snapshot if one is due. Errors are only logged, because the next change tries again. */
--- a/src/upstreams/EngineAnswerReader.ts
+++ b/src/upstreams/EngineAnswerReader.ts
@@ -51,15 +51,14 @@
   { kind, attemptId, resumable }: ExpectedAnswer,
 ): UpstreamEvent | undefined {
   const echo = readEcho(response, attemptId);
-  if (echo === 'crossed')
-    return crossedFailure('the engine sent the answer of another attempt', resumable);
-  if (echo === 'missing') return malformedFailure('the answer carries no attempt id');
+  if (echo === 'crossed') return crossedFailure('the answer of another attempt', resumable);
+  if (echo === 'missing') return malformedFailure('the answer names no attempt');
   if (isRefusalBeforeStart(response)) {
-    const message = `the engine refused the attempt with status ${response.statusCode}`;
+    const message = `refused with status ${response.statusCode}`;
     return { kind: 'not_run', reason: 'refused', message };
   }
   if (kind === 'resume' && response.statusCode !== 200) {
-    const message = `the engine answered the resumption with status ${response.statusCode}`;
+    const message = `status ${response.statusCode}`;
     return { kind: 'failed', reason: 'unknown_attempt', message, resumable: false };
   }
   return undefined;
@@ -148,8 +147,7 @@
     const parser = createParser({
       onEvent: (message) => parsedEvents.push(message),
       onError: (error) => {
-        if (error.type === 'max-buffer-size-exceeded')
-          parserFault = 'an event exceeds the maximum size';
+        if (error.type === 'max-buffer-size-exceeded') parserFault = 'an event is too large';
       },
       maxBufferSize: this.limits.maximumEventBytes,
     });
@@ -185,7 +183,7 @@
     const parsed = wholeAnswerSchema.safeParse(parseJson(body.toString('utf8')));
     const isAcceptable = parsed.success || (response.statusCode ?? 0) >= 400;
     if (!isAcceptable) {
-      yield malformedFailure('the answer is not JSON with token usage');
+      yield malformedFailure('the answer is not JSON with a usage');
       return;
     }
     const usage = parsed.data?.usage;
--- a/src/upstreams/EngineStreamChecker.ts
+++ b/src/upstreams/EngineStreamChecker.ts
@@ -63,26 +63,19 @@
 
   /** @returns The failure of a stream that ended without its end event. */
   endedEarly(): UpstreamEvent {
-    return this.fail(
-      'cut',
-      `the stream ended without an end event after chunk ${this.lastSequence}`,
-    );
+    return this.fail('cut', `no end event after chunk ${this.lastSequence}`);
   }
 
   private takeChunk({ id, data }: EventSourceMessage): UpstreamEvent | undefined {
     const eventId = id === undefined ? undefined : parseEventId(id);
-    if (!eventId)
-      return this.fail('malformed', 'the id of a chunk has no attempt id and sequence number');
+    if (!eventId) return this.fail('malformed', 'a chunk without attempt and sequence in its id');
     // If a runner mixes up two streams internally, the headers name the right attempt and only the event ids differ.
     if (eventId.attemptId !== this.attemptId) {
-      return this.fail('crossed', `the stream contains a chunk of attempt ${eventId.attemptId}`);
+      return this.fail('crossed', `a chunk of attempt ${eventId.attemptId}`);
     }
     if (eventId.sequence <= this.lastSequence) return undefined;
     if (eventId.sequence !== this.lastSequence + 1) {
-      return this.fail(
-        'cut',
-        `chunk ${eventId.sequence} arrived directly after chunk ${this.lastSequence}`,
-      );
+      return this.fail('cut', `chunk ${eventId.sequence} came after ${this.lastSequence}`);
     }
     this.lastSequence = eventId.sequence;
     return { kind: 'chunk', sequence: eventId.sequence, data: encoder.encode(data) };
@@ -90,16 +83,13 @@
 
   private takeEnd(data: string): UpstreamEvent {
     const end = endEventSchema.safeParse(parseJson(data));
-    if (!end.success) return this.fail('malformed', 'the end event does not match its schema');
+    if (!end.success) return this.fail('malformed', 'the end event has another form');
     if (end.data.attempt_id !== this.attemptId) {
-      return this.fail('crossed', `the end event belongs to attempt ${end.data.attempt_id}`);
+      return this.fail('crossed', `the end event of attempt ${end.data.attempt_id}`);
     }
     if (end.data.last_sequence !== this.lastSequence) {
       const { last_sequence: last } = end.data;
-      return this.fail(
-        'cut',
-        `the end event names ${last} as the last chunk, but ${this.lastSequence} was the last one received`,
-      );
+      return this.fail('cut', `the end event names chunk ${last}, ${this.lastSequence} came last`);
     }
     const { usage } = end.data;
     return {
@@ -113,9 +103,9 @@
 
   private takeError(data: string): UpstreamEvent {
     const error = errorEventSchema.safeParse(parseJson(data));
-    if (!error.success) return this.fail('malformed', 'the error event does not match its schema');
+    if (!error.success) return this.fail('malformed', 'the error event has another form');
     if (error.data.attempt_id !== this.attemptId) {
-      return this.fail('crossed', `the error event belongs to attempt ${error.data.attempt_id}`);
+      return this.fail('crossed', `the error event of attempt ${error.data.attempt_id}`);
     }
     return { ...this.fail('cut', error.data.message), resumable: error.data.resumable };
   }
--- a/src/upstreams/PlainUpstream.ts
+++ b/src/upstreams/PlainUpstream.ts
@@ -131,7 +131,7 @@
   }
 
   override async *resume(): AsyncGenerator<UpstreamEvent, void, undefined> {
-    const message = 'plain services do not support resumption';
+    const message = 'plain services keep no answers';
     yield { kind: 'failed', reason: 'unknown_attempt', message, resumable: false };
   }
 
@@ -142,8 +142,7 @@
   /** Performs a health check, since plain services report no load; the returned load is always 0. */
   override async readLoad(): Promise<LoadReport> {
     const { status } = await this.calls.call({ method: 'GET', path: this.healthPath, headers: {} });
-    if (status < 200 || status > 299)
-      throw new VError('GET %s answered status %d', this.healthPath, status);
+    if (status < 200 || status > 299) throw new VError('%s answered %d', this.healthPath, status);
     return { load: 0, running: 0, queued: 0, ageMilliseconds: 0, tokensPerSecond: 0 };
   }
 
@@ -156,7 +155,7 @@
   }
 
   override order(): Promise<OrderResult> {
-    return Promise.resolve({ kind: 'refused', message: 'plain services do not accept orders' });
+    return Promise.resolve({ kind: 'refused', message: 'plain services take no orders' });
   }
 
   override exportCache(): Promise<undefined> {
@@ -184,22 +183,20 @@
     try {
       const echo = readEcho(response, attempt.attemptId);
       if (echo === 'crossed') {
-        yield crossedFailure('the service sent the answer of another attempt', false);
+        yield crossedFailure('the answer of another attempt', false);
         return;
       }
       if (echo === 'missing' && this.attemptIdEcho === 'required') {
-        yield malformedFailure('the answer carries no attempt id');
+        yield malformedFailure('the answer names no attempt');
         return;
       }
       if (isRefusalBeforeStart(response)) {
-        const message = `the service refused the attempt with status ${response.statusCode}`;
+        const message = `refused with status ${response.statusCode}`;
         yield { kind: 'not_run', reason: 'refused', message };
         return;
       }
       if (attempt.method !== 'HEAD' && !isLengthKnown(response)) {
-        yield malformedFailure(
-          'the answer has neither a content length nor chunked encoding, so a cut could not be detected',
-        );
+        yield malformedFailure('an answer of unknown length cannot be shown to be whole');
         return;
       }
       yield {
--- a/src/upstreams/RunnerCalls.ts
+++ b/src/upstreams/RunnerCalls.ts
@@ -49,7 +49,7 @@
 ): z.output<Schema> {
   const checked = schema.safeParse(parseJson(new TextDecoder().decode(body)));
   if (!checked.success)
-    throw new VError(checked.error, 'the answer to %s does not match its schema', requestName);
+    throw new VError(checked.error, 'the answer to %s has another form', requestName);
   return checked.data;
 }
 
--- a/src/upstreams/RunnerConnection.ts
+++ b/src/upstreams/RunnerConnection.ts
@@ -110,7 +110,7 @@
       return Promise.resolve({
         kind: 'unreached',
         reason: stopReason,
-        message: 'stopped before the request',
+        message: 'stopped before it',
       });
     }
     return new Promise((resolve) => {
@@ -162,13 +162,10 @@
       request.destroy();
     };
     connectTimer = setTimeout(
-      () => fail('timeout', 'no connection within the connect timeout'),
+      () => fail('timeout', 'no connection in time'),
       this.connectTimeoutMilliseconds,
     );
-    headTimer = setTimeout(
-      () => fail('timeout', 'no answer within the timeout'),
-      headTimeoutMilliseconds,
-    );
+    headTimer = setTimeout(() => fail('timeout', 'no answer in time'), headTimeoutMilliseconds);
     removeListener = stopSignal.onStop((reason) => fail(reason, `${reason} before the answer`));
     const connected = (): void => {
       mayHaveBeenSent = true;
--- a/src/upstreams/readBody.ts
+++ b/src/upstreams/readBody.ts
@@ -103,7 +103,7 @@
   const stopReason = stopSignal.reason();
   if (stopReason) stop(stopReason);
   const idleTimer = new IdleTimer(
-    () => response.destroy(new BodyError('idle', `received no byte for ${idleMilliseconds} ms`)),
+    () => response.destroy(new BodyError('idle', `no byte for ${idleMilliseconds} ms`)),
     idleMilliseconds,
   );
   const iterator = response[Symbol.asyncIterator]() as AsyncIterator<Uint8Array>;
@@ -113,12 +113,10 @@
       const part = await nextPart(iterator, idleTimer);
       if (part.done) break;
       bytes += part.value.byteLength;
-      if (bytes > maximumBytes)
-        throw new BodyError('too_large', `the body has more than ${maximumBytes} bytes`);
+      if (bytes > maximumBytes) throw new BodyError('too_large', `more than ${maximumBytes} bytes`);
       yield part.value;
     }
-    if (!response.complete)
-      throw new BodyError('cut', 'the connection ended before the end of the body');
+    if (!response.complete) throw new BodyError('cut', 'the connection ended before the answer');
   } finally {
     idleTimer.dispose();
     removeListener();
