--- a/src/peers/PeerServer.spec.ts
+++ b/src/peers/PeerServer.spec.ts
@@ -233,7 +233,7 @@
     const shortened = fromBinary(SignedTokenSchema, Buffer.from(fresh(), 'base64url'));
     shortened.signature = shortened.signature.subarray(0, 1);
     const shortToken = Buffer.from(toBinary(SignedTokenSchema, shortened)).toString('base64url');
-    const strangers: Record<string, string> = {
+    const unauthenticatedRequests: Record<string, string> = {
       'a token with one byte of its signature': requestText(shortToken),
       'the same token again': requestText(token),
       'a token for another daemon': requestText(client.openCall('another', 'Cancel').token),
@@ -261,7 +261,7 @@
     };
     const answers: Record<string, string> = {};
     const refusals: Record<string, string> = {};
-    for (const [name, text] of Object.entries(strangers)) {
+    for (const [name, text] of Object.entries(unauthenticatedRequests)) {
       answers[name] = await sendRaw(address, text);
       refusals[name] =
         'HTTP/1.1 401 Unauthorized\r\ncontent-length: 0\r\nconnection: close\r\n\r\n';
@@ -278,7 +278,7 @@
     // Guards against prompts that reach a foreign process: a daemon dies, another machine gets its address, and a
     // peer with an old member record calls it. It must not suffice that the caller authenticates itself.
     const seen: string[] = [];
-    const stranger = createServer((request, response) => {
+    const foreignServer = createServer((request, response) => {
       let body = '';
       request.on('data', (data) => {
         body += String(data);
@@ -293,10 +293,10 @@
         response.end();
       });
     });
-    stranger.listen(0, '127.0.0.1');
-    await once(stranger, 'listening');
-    closers.push(() => stranger.close());
-    const address = `127.0.0.1:${(stranger.address() as AddressInfo).port}`;
+    foreignServer.listen(0, '127.0.0.1');
+    await once(foreignServer, 'listening');
+    closers.push(() => foreignServer.close());
+    const address = `127.0.0.1:${(foreignServer.address() as AddressInfo).port}`;
     const failure = await failureOf(linkOf().to('server', address).cancel({ attemptId: 'secret' }));
     expect(wasNeverSent(failure)).toEqual(true);
     expect(failure.code).toEqual(Code.Unauthenticated);
--- a/src/peers/SignedTokens.ts
+++ b/src/peers/SignedTokens.ts
@@ -113,8 +113,8 @@
    * @param purpose - the purpose of the token.
    * @param schema - the message type of the payload.
    * @param sent - the fields that the receiver does not know.
-   * @param known - the fields that the receiver knows; the same ones have to be given to {@link
-   *   SignedTokens.openBrief}.
+   * @param known - the fields that the receiver knows; the same ones have to be given to
+   *   {@link SignedTokens.openBrief}.
    * @returns A `SignedToken` in base64url.
    */
   signBrief<Payload extends DescMessage>(
