--- a/measure/control/CountedLink.ts
+++ b/measure/control/CountedLink.ts
@@ -34,7 +34,7 @@
   /** By daemon; one that is missing is down. */
   readonly handlers = new Map<string, PeerHandlers>();
 
-  override to(daemonId: string): Client<typeof PeerService> {
+  override clientFor(daemonId: string): Client<typeof PeerService> {
     const calls: HomeCalls = {
       askHome: async (question) => {
         const request = create(AskHomeRequestSchema, question);
--- a/src/configuration/ConfigurationTask.spec.ts
+++ b/src/configuration/ConfigurationTask.spec.ts
@@ -39,7 +39,7 @@
     super();
   }
 
-  override to(daemonId: string): Client<typeof PeerService> {
+  override clientFor(daemonId: string): Client<typeof PeerService> {
     const transport = createRouterTransport(({ service }) => {
       service(PeerService, {
         pullDocument: (request) => this.tasks.get(daemonId)!.pullDocument(request),
--- a/src/configuration/ConfigurationTask.ts
+++ b/src/configuration/ConfigurationTask.ts
@@ -292,7 +292,7 @@
     const { document, daemonId: from, peerAddress, haveRevision } = pull;
     try {
       const response = await this.link
-        .to(from, peerAddress)
+        .clientFor(from, peerAddress)
         .pullDocument(
           { document, haveRevision: BigInt(haveRevision) },
           { timeoutMs: this.pullTimeoutMilliseconds },
--- a/src/gates/GateHost.spec.ts
+++ b/src/gates/GateHost.spec.ts
@@ -52,7 +52,7 @@
 class MemoryPeers extends PeerLink {
   readonly clients = new Map<string, Client<typeof PeerService>>();
 
-  override to(daemonId: string): Client<typeof PeerService> {
+  override clientFor(daemonId: string): Client<typeof PeerService> {
     const client = this.clients.get(daemonId);
     if (!client) throw new Error(`no daemon ${daemonId}`);
     return client;
--- a/src/gates/GateHostHandOver.ts
+++ b/src/gates/GateHostHandOver.ts
@@ -129,7 +129,7 @@
       lastCacheEvent: BigInt(gate.watch.cache.lastNumber),
     });
     try {
-      const client = peers.to(next.daemonId, next.peerAddress);
+      const client = peers.clientFor(next.daemonId, next.peerAddress);
       await client.handOverGate(request, { timeoutMs: timeoutMilliseconds });
       const count = attempts.length;
       log.write(gatesLogEvents.handedOver, {
--- a/src/gates/PeerGatePort.ts
+++ b/src/gates/PeerGatePort.ts
@@ -73,7 +73,7 @@
    */
   constructor({ peers, daemonId, peerAddress }: PeerGatePortOptions) {
     super();
-    this.client = peers.to(daemonId, peerAddress);
+    this.client = peers.clientFor(daemonId, peerAddress);
   }
 
   override execute(request: ExecuteRequest, signal: AbortSignal): AsyncIterable<ExecuteEvent> {
--- a/src/homes/HomeTask.spec.ts
+++ b/src/homes/HomeTask.spec.ts
@@ -32,7 +32,7 @@
 
   readonly down = new Set<string>();
 
-  override to(daemonId: string): Client<typeof PeerService> {
+  override clientFor(daemonId: string): Client<typeof PeerService> {
     const calls: HomeCalls = {
       askHome: async () => {
         this.asked.push(daemonId);
--- a/src/homes/HomeTask.ts
+++ b/src/homes/HomeTask.ts
@@ -197,7 +197,7 @@
     if (!home || this.health.isPaused(this.now(), home.daemonId)) return [];
     try {
       const { warm } = await this.link
-        .to(home.daemonId, home.peerAddress)
+        .clientFor(home.daemonId, home.peerAddress)
         .askHome({ chat, service }, { timeoutMs: this.settings.askTimeoutMilliseconds });
       this.health.recordSuccess(home.daemonId);
       return warm;
@@ -230,7 +230,7 @@
   private async sendBatch({ home, changes }: { home: Member; changes: HomeChange[] }) {
     const all = [...changes, ...this.queue.takeDeferredFor(home.daemonId)];
     try {
-      await this.link.to(home.daemonId, home.peerAddress).tellHome({ changes: all });
+      await this.link.clientFor(home.daemonId, home.peerAddress).tellHome({ changes: all });
       this.health.recordSuccess(home.daemonId);
     } catch {
       for (const change of all) this.told.forgetChange(change);
--- a/src/membership/MembershipTask.spec.ts
+++ b/src/membership/MembershipTask.spec.ts
@@ -159,7 +159,9 @@
     const second = await start('b', [first.address]);
     let code: Code | undefined;
     try {
-      await second.link.to('a', first.address).gossip({ from: 'someone-else', kind: 'delta' });
+      await second.link
+        .clientFor('a', first.address)
+        .gossip({ from: 'someone-else', kind: 'delta' });
     } catch (error) {
       code = ConnectError.from(error).code;
     }
--- a/src/membership/MembershipTask.ts
+++ b/src/membership/MembershipTask.ts
@@ -15,7 +15,7 @@
 import { SilentLog } from '../logging/Log.js';
 import { peerIdentity } from '../peers/peerIdentity.js';
 import type { PeerLink } from '../peers/PeerLink.js';
-import { wasRefused } from '../peers/PeerNotReachedError.js';
+import { wasConnectionRefused } from '../peers/PeerNotReachedError.js';
 import type { PeerHandlers } from '../peers/PeerServer.js';
 import type { Clock } from '../time/Clock.js';
 import { SuspendDetector } from './SuspendDetector.js';
@@ -241,12 +241,12 @@
     const message = toGossipMessage(this.selfId, gossip);
     try {
       const answer = await this.link
-        .to(daemonId, peerAddress)
+        .clientFor(daemonId, peerAddress)
         .gossip(message, { timeoutMs: timeoutMilliseconds });
       const from = daemonId === '' ? answer.from : daemonId;
       this.send({ kind: 'gossip_answered', probe, from, gossip: fromGossipMessage(answer) });
     } catch (error) {
-      this.send({ kind: 'gossip_failed', probe, refused: wasRefused(error) });
+      this.send({ kind: 'gossip_failed', probe, refused: wasConnectionRefused(error) });
     }
   }
 
@@ -254,7 +254,7 @@
     const { probe, through, throughAddress, daemonId, peerAddress, timeoutMilliseconds } = call;
     try {
       const { answered } = await this.link
-        .to(through, throughAddress)
+        .clientFor(through, throughAddress)
         .probeFor(
           { daemonId, peerAddress, timeoutMilliseconds },
           { timeoutMs: 2 * timeoutMilliseconds },
@@ -288,7 +288,7 @@
     const timeoutMs = Math.min(timeoutMilliseconds, MAXIMUM_PROBE_MILLISECONDS);
     try {
       const empty = create(GossipMessageSchema, { from: this.selfId, kind: 'delta' });
-      await this.link.to(daemonId, peerAddress).gossip(empty, { timeoutMs });
+      await this.link.clientFor(daemonId, peerAddress).gossip(empty, { timeoutMs });
       return { answered: true };
     } catch {
       return { answered: false };
--- a/src/peers/ConnectPeerLink.ts
+++ b/src/peers/ConnectPeerLink.ts
@@ -91,7 +91,7 @@
     this.log = log;
   }
 
-  override to(daemonId: string, peerAddress: string): Client<typeof PeerService> {
+  override clientFor(daemonId: string, peerAddress: string): Client<typeof PeerService> {
     const key = keyOf(daemonId, peerAddress);
     const known = this.peers.get(key) ?? this.connect(daemonId, peerAddress);
     // Removes and adds the entry again, so that the map is ordered by last use, least recently used first.
@@ -110,7 +110,7 @@
     const authentication = authenticateCalls({
       daemonId,
       credentials: this.credentials,
-      onStranger: () => this.handleUnprovenAnswer(daemonId, peerAddress),
+      onUnprovenAnswer: () => this.handleUnprovenAnswer(daemonId, peerAddress),
     });
     const { connectTimeoutMilliseconds, idleConnectionMilliseconds, maximumConnectionsPerPeer } =
       this.settings;
@@ -129,8 +129,8 @@
   }
 
   private handleUnprovenAnswer(daemonId: string, peerAddress: string): void {
-    this.log.write(peersLogEvents.strangerAnswered, { daemon: daemonId, address: peerAddress });
-    this.peers.get(keyOf(daemonId, peerAddress))?.agent.distrust();
+    this.log.write(peersLogEvents.answerRejected, { daemon: daemonId, address: peerAddress });
+    this.peers.get(keyOf(daemonId, peerAddress))?.agent.discardConnections();
   }
 
   private authenticate(
--- a/src/peers/NonceMemory.spec.ts
+++ b/src/peers/NonceMemory.spec.ts
@@ -42,7 +42,7 @@
           const token = old ?? { nonce: `${sent.length}`, issuedAt: now + ahead };
           if (!old) sent.push(token);
           if (Math.abs(now - token.issuedAt) > CLOCK_DIFFERENCE) continue;
-          const isTaken = nonces.takeOnce(now, token.nonce, token.issuedAt);
+          const isTaken = nonces.addIfNew(now, token.nonce, token.issuedAt);
           if (isTaken && taken.has(token.nonce)) return false;
           if (isTaken) taken.add(token.nonce);
         }
@@ -58,7 +58,7 @@
     const nonces = memory();
     const refused: number[] = [];
     for (let now = 1_000; now < 1_000 + 10 * MAXIMUM_NONCES; now += 1) {
-      if (!nonces.takeOnce(now, `${now}`, now)) refused.push(now);
+      if (!nonces.addIfNew(now, `${now}`, now)) refused.push(now);
     }
     expect(refused).toEqual([]);
   });
--- a/src/peers/NonceMemory.ts
+++ b/src/peers/NonceMemory.ts
@@ -59,7 +59,7 @@
    * @param issuedAt - the time when the token was issued, in wall-clock milliseconds.
    * @returns Whether the nonce is certainly new; only then it was added.
    */
-  takeOnce(now: number, nonce: string, issuedAt: number): boolean {
+  addIfNew(now: number, nonce: string, issuedAt: number): boolean {
     const isFull = this.current.nonces.size >= this.maximumNonces;
     if (isFull || now - this.currentSince >= this.windowMilliseconds) this.startGeneration(now);
     // When there are more calls than the memory holds, keeping every nonce would exhaust the daemon's memory, and
--- a/src/peers/PeerAgent.ts
+++ b/src/peers/PeerAgent.ts
@@ -79,7 +79,7 @@
   }
 
   override keepSocketAlive(socket: Duplex): boolean {
-    this.traffic.settle(socket);
+    this.traffic.countBytes(socket);
     super.keepSocketAlive(socket);
     return this.authenticatedSockets.has(socket);
   }
@@ -95,7 +95,7 @@
     // HTTP/1.1 keeps connections open by default; the header would add 24 bytes to each call.
     clientRequest.removeHeader('connection');
     clientRequest.once('socket', (socket) =>
-      this.traffic.begin(socket, 'called', callOfPath(clientRequest.path)),
+      this.traffic.startCall(socket, 'called', callOfPath(clientRequest.path)),
     );
     agentPrototype.addRequest.call(this, clientRequest, options);
   }
@@ -106,7 +106,7 @@
   }
 
   /** Closes idle connections, and each busy one after its current call, so that further calls authenticate anew. */
-  distrust(): void {
+  discardConnections(): void {
     this.authenticatedSockets = new WeakSet();
     for (const sockets of Object.values(this.freeSockets)) {
       for (const socket of sockets ?? []) socket.destroy();
@@ -115,8 +115,8 @@
 
   private async openAuthenticated(options: ClientRequestArgs): Promise<Socket> {
     const socket = await this.connect(options);
-    this.traffic.begin(socket, 'called', AUTHENTICATE_CALL);
-    socket.once('close', () => this.traffic.settle(socket));
+    this.traffic.startCall(socket, 'called', AUTHENTICATE_CALL);
+    socket.once('close', () => this.traffic.countBytes(socket));
     try {
       await Promise.all([this.authenticate(() => socket), waitUntilFree(socket)]);
     } catch (error) {
--- a/src/peers/PeerCredentials.ts
+++ b/src/peers/PeerCredentials.ts
@@ -24,18 +24,18 @@
  * `not_signed` means that the token was not signed with a secret of the fleet, or is for another daemon or method.
  * Daemon and method are signed but not sent, so these cases cannot be distinguished.
  */
-export type RefusedCaller = 'not_signed' | 'clock_difference' | 'replayed';
+export type CallerRefusalReason = 'not_signed' | 'clock_difference' | 'replayed';
 
 /** Result of verifying a caller's token; `from` is the caller's name and `answer` the token for the answer. */
-export type CallerJudgement =
+export type CallerVerification =
   | { readonly kind: 'accepted'; readonly from: string; readonly answer: string }
-  | { readonly kind: 'refused'; readonly reason: RefusedCaller; readonly from?: string };
+  | { readonly kind: 'refused'; readonly reason: CallerRefusalReason; readonly from?: string };
 
 /** Fields that a token's signature covers, including those that are not sent. */
 type CallFields = Pick<PeerToken, 'from' | 'to' | 'issuedAtMilliseconds' | 'nonce' | 'call'>;
 
 /** A call's token, with the fields that are needed to verify the answer. */
-export interface OpenedCall {
+export interface SignedCall {
   readonly token: string;
   readonly fields: CallFields;
 }
@@ -95,12 +95,12 @@
    * @param call - name of the method, as {@link callOfPath} returns it.
    * @returns The token and its fields.
    */
-  openCall(to: string, call: string): OpenedCall {
+  signCall(to: string, call: string): SignedCall {
     const nonce = randomBytes(NONCE_BYTES);
     const issuedAtMilliseconds = BigInt(Math.round(this.clock.wallMilliseconds()));
     const sent = { from: this.daemonId, issuedAtMilliseconds, nonce };
     const known = { to, call };
-    const token = this.tokens.signBrief('peer', PeerTokenSchema, sent, known);
+    const token = this.tokens.signCompact('peer', PeerTokenSchema, sent, known);
     return { token, fields: { ...sent, ...known } };
   }
 
@@ -111,16 +111,16 @@
    * @param call - name of the called method.
    * @returns The caller's name and the token that authenticates this daemon's answer, or the reason for a refusal.
    */
-  judgeCaller(token: string, call: string): CallerJudgement {
+  verifyCaller(token: string, call: string): CallerVerification {
     // This daemon's name and the method are filled in here and not read from the token. Otherwise a token for one
     // daemon could be used at another one, and the token of a gossip message could run a request.
     const open = (to: string) =>
-      this.tokens.openBrief('peer', PeerTokenSchema, token, { to, call });
+      this.tokens.openCompact('peer', PeerTokenSchema, token, { to, call });
     const opened = open(this.daemonId) ?? open('');
     if (!opened) return { kind: 'refused', reason: 'not_signed' };
     const { from, to, issuedAtMilliseconds, nonce } = opened;
     if (!this.isRecent(opened)) return { kind: 'refused', reason: 'clock_difference', from };
-    const isNew = this.nonces.takeOnce(
+    const isNew = this.nonces.addIfNew(
       this.clock.monotonicMilliseconds(),
       Buffer.from(nonce).toString('latin1'),
       Number(issuedAtMilliseconds),
@@ -129,7 +129,7 @@
     // A caller that named this daemon knows all signed fields; one that had only an address has to be sent the name.
     const sent = to === '' ? { from: this.daemonId } : {};
     const known = answerFields(opened, this.daemonId);
-    const answer = this.tokens.signBrief('peer-answer', PeerTokenSchema, sent, known);
+    const answer = this.tokens.signCompact('peer-answer', PeerTokenSchema, sent, known);
     return { kind: 'accepted', from, answer };
   }
 
@@ -142,10 +142,10 @@
    * @returns The name of the daemon that answered, or `undefined` if the token does not prove that the called daemon
    *   answered this call.
    */
-  judgeAnswer(to: string, call: OpenedCall, answer: string): string | undefined {
+  verifyAnswer(to: string, call: SignedCall, answer: string): string | undefined {
     const { from, ...rest } = answerFields(call.fields, to);
     const known = to === '' ? rest : { from, ...rest };
-    const opened = this.tokens.openBrief('peer-answer', PeerTokenSchema, answer, known);
+    const opened = this.tokens.openCompact('peer-answer', PeerTokenSchema, answer, known);
     return opened?.from;
   }
 
--- a/src/peers/PeerLink.ts
+++ b/src/peers/PeerLink.ts
@@ -14,7 +14,7 @@
    * @param peerAddress - `host:port` of the daemon.
    * @returns A client over keep-alive connections; its calls throw `ConnectError`.
    */
-  abstract to(daemonId: string, peerAddress: string): Client<typeof PeerService>;
+  abstract clientFor(daemonId: string, peerAddress: string): Client<typeof PeerService>;
 
   /** Closes all connections. */
   abstract close(): void;
--- a/src/peers/PeerNotReachedError.ts
+++ b/src/peers/PeerNotReachedError.ts
@@ -36,7 +36,7 @@
  * @param error - the error that a call of a `PeerLink` threw.
  * @returns Whether the host refused the connection.
  */
-export function wasRefused(error: unknown): boolean {
+export function wasConnectionRefused(error: unknown): boolean {
   if (!wasNeverSent(error)) return false;
   const { cause } = (error as ConnectError).cause as PeerNotReachedError;
   return cause instanceof Error && 'code' in cause && cause.code === 'ECONNREFUSED';
--- a/src/peers/PeerServer.spec.ts
+++ b/src/peers/PeerServer.spec.ts
@@ -104,7 +104,7 @@
       },
     });
     const link = linkOf();
-    const client = link.to('server', address);
+    const client = link.clientFor('server', address);
     for (let call = 0; call < SEQUENTIAL_CALLS; call += 1) {
       expect((await client.cancel({ attemptId: 'a' })).known).toEqual(true);
     }
@@ -139,7 +139,7 @@
         throw new Error('the key of Litoral is 1234');
       },
     });
-    const failure = await failureOf(linkOf().to('server', address).cancel({}));
+    const failure = await failureOf(linkOf().clientFor('server', address).cancel({}));
     expect(failure.code).toEqual(Code.Internal);
     expect(failure.message.includes('1234')).toEqual(false);
   });
@@ -176,7 +176,7 @@
         },
         served,
       );
-      const failure = await failureOf(linkOf(party).to(to, address).cancel({}));
+      const failure = await failureOf(linkOf(party).clientFor(to, address).cancel({}));
       expect(wasNeverSent(failure)).toEqual(true);
       expect(failure.code).toEqual(Code.Unauthenticated);
       expect(calls).toEqual(0);
@@ -195,7 +195,7 @@
   for (const [name, caller, served, to] of acceptedCallers) {
     it(`serves a caller ${name}`, async () => {
       const { address } = await serve({ cancel: () => ({ known: true }) }, served);
-      expect((await linkOf(caller).to(to, address).cancel({})).known).toEqual(true);
+      expect((await linkOf(caller).clientFor(to, address).cancel({})).known).toEqual(true);
     });
   }
 
@@ -211,11 +211,11 @@
       },
     });
     const client = credentialsOf({ daemonId: 'client' });
-    const { token } = client.openCall('server', 'Cancel');
+    const { token } = client.signCall('server', 'Cancel');
     const sent = { from: 'client', issuedAtMilliseconds: BigInt(NOW), nonce: new Uint8Array(8) };
     const known = { to: 'server', call: 'Cancel' };
     const signed = (purpose: TokenPurpose, secret = SECRET) =>
-      new SignedTokens({ secrets: [secret] }).signBrief(purpose, PeerTokenSchema, sent, known);
+      new SignedTokens({ secrets: [secret] }).signCompact(purpose, PeerTokenSchema, sent, known);
     // The announced body is never sent, so only a server that does not wait for it answers.
     const requestText = (
       value: string,
@@ -229,20 +229,20 @@
     expect(accepted.endsWith('{"known":true}')).toEqual(true);
     expect(calls).toEqual(1);
 
-    const fresh = () => client.openCall('server', 'Cancel').token;
+    const fresh = () => client.signCall('server', 'Cancel').token;
     const shortened = fromBinary(SignedTokenSchema, Buffer.from(fresh(), 'base64url'));
     shortened.signature = shortened.signature.subarray(0, 1);
     const shortToken = Buffer.from(toBinary(SignedTokenSchema, shortened)).toString('base64url');
     const unauthenticatedRequests: Record<string, string> = {
       'a token with one byte of its signature': requestText(shortToken),
       'the same token again': requestText(token),
-      'a token for another daemon': requestText(client.openCall('another', 'Cancel').token),
-      'a token for another method': requestText(client.openCall('server', 'Gossip').token),
+      'a token for another daemon': requestText(client.signCall('another', 'Cancel').token),
+      'a token for another method': requestText(client.signCall('server', 'Gossip').token),
       'a token of another secret': requestText(signed('peer', OTHER_SECRET)),
       'a token of another purpose': requestText(signed('resume')),
       'the token of an answer': requestText(signed('peer-answer')),
       'an old token': requestText(
-        credentialsOf({ daemonId: 'client', wallMilliseconds: NOW - 60_001 }).openCall(
+        credentialsOf({ daemonId: 'client', wallMilliseconds: NOW - 60_001 }).signCall(
           'server',
           'Cancel',
         ).token,
@@ -297,7 +297,9 @@
     await once(foreignServer, 'listening');
     closers.push(() => foreignServer.close());
     const address = `127.0.0.1:${(foreignServer.address() as AddressInfo).port}`;
-    const failure = await failureOf(linkOf().to('server', address).cancel({ attemptId: 'secret' }));
+    const failure = await failureOf(
+      linkOf().clientFor('server', address).cancel({ attemptId: 'secret' }),
+    );
     expect(wasNeverSent(failure)).toEqual(true);
     expect(failure.code).toEqual(Code.Unauthenticated);
     expect(seen).toEqual(['POST /baobabdock.v1.PeerService/Authenticate ']);
--- a/src/peers/PeerServer.ts
+++ b/src/peers/PeerServer.ts
@@ -177,9 +177,9 @@
 
   private track(socket: Socket): void {
     this.sockets.add(socket);
-    this.traffic.begin(socket, 'served', CONNECTION_CALL);
+    this.traffic.startCall(socket, 'served', CONNECTION_CALL);
     socket.once('close', () => {
-      this.traffic.settle(socket);
+      this.traffic.countBytes(socket);
       this.sockets.delete(socket);
     });
   }
@@ -187,27 +187,27 @@
   /** Authenticates the caller by its headers; the body of an unauthenticated caller is not read. */
   private serve(request: IncomingMessage, response: ServerResponse): void {
     const call = callOfPath(request.url);
-    const judgement = this.credentials.judgeCaller(
+    const verification = this.credentials.verifyCaller(
       String(request.headers[TOKEN_HEADER] ?? ''),
       call,
     );
-    if (judgement.kind === 'refused') {
+    if (verification.kind === 'refused') {
       this.log.write(peersLogEvents.callerRefused, {
-        reason: judgement.reason,
-        from: judgement.from,
+        reason: verification.reason,
+        from: verification.from,
         address: request.socket.remoteAddress,
       });
       refuseRequest(request, response);
       return;
     }
-    this.identities.set(request, judgement.from);
+    this.identities.set(request, verification.from);
     // Daemons keep connections open by default and read neither header; together they take 86 bytes of each answer.
     response.sendDate = false;
     response.removeHeader('connection');
     // Set before the call is handled, so that errors of every kind carry it as well.
-    response.setHeader(ANSWER_HEADER, judgement.answer);
-    this.traffic.begin(request.socket, 'served', call);
-    response.once('close', () => this.traffic.settle(request.socket));
+    response.setHeader(ANSWER_HEADER, verification.answer);
+    this.traffic.startCall(request.socket, 'served', call);
+    response.once('close', () => this.traffic.countBytes(request.socket));
     this.listener(request, response);
   }
 
--- a/src/peers/PeerTraffic.ts
+++ b/src/peers/PeerTraffic.ts
@@ -58,8 +58,8 @@
    * @param side - whether this daemon makes or serves the call.
    * @param call - the kind of call.
    */
-  begin(socket: Duplex, side: TrafficSide, call: string): void {
-    this.settle(socket);
+  startCall(socket: Duplex, side: TrafficSide, call: string): void {
+    this.countBytes(socket);
     const metered = this.sockets.get(socket);
     if (metered) metered.call = call;
     else this.sockets.set(socket, { call, side, sentBytes: 0, receivedBytes: 0 });
@@ -71,7 +71,7 @@
    *
    * @param socket - the connection.
    */
-  settle(socket: Duplex): void {
+  countBytes(socket: Duplex): void {
     const metered = this.sockets.get(socket);
     if (!metered || !(socket instanceof Socket)) return;
     const sent = socket.bytesWritten - metered.sentBytes;
--- a/src/peers/SignedTokens.ts
+++ b/src/peers/SignedTokens.ts
@@ -114,10 +114,10 @@
    * @param schema - the message type of the payload.
    * @param sent - the fields that the receiver does not know.
    * @param known - the fields that the receiver knows; the same ones have to be given to
-   *   {@link SignedTokens.openBrief}.
+   *   {@link SignedTokens.openCompact}.
    * @returns A `SignedToken` in base64url.
    */
-  signBrief<Payload extends DescMessage>(
+  signCompact<Payload extends DescMessage>(
     purpose: TokenPurpose,
     schema: Payload,
     sent: MessageInitShape<Payload>,
@@ -132,7 +132,7 @@
   }
 
   /**
-   * Verifies and decodes a token that {@link SignedTokens.signBrief} created.
+   * Verifies and decodes a token that {@link SignedTokens.signCompact} created.
    *
    * @param purpose - the required purpose.
    * @param schema - the message type of the payload.
@@ -141,7 +141,7 @@
    * @returns The whole payload, or `undefined` if the token is malformed, not signed with an accepted secret, or signed
    *   for another purpose or with other known fields; the last three cannot be distinguished.
    */
-  openBrief<Payload extends DescMessage>(
+  openCompact<Payload extends DescMessage>(
     purpose: TokenPurpose,
     schema: Payload,
     token: string,
@@ -189,7 +189,7 @@
    * @param tag - the tag that was received with the text.
    * @returns Whether {@link SignedTokens.tag} created the tag with one of the accepted secrets.
    */
-  isTag(purpose: TokenPurpose, text: string, tag: string): boolean {
+  verifyTag(purpose: TokenPurpose, text: string, tag: string): boolean {
     const received = Buffer.from(tag);
     return this.secrets.some((secret) => {
       const signature = signatureOf(secret, purpose, text);
--- a/src/peers/authenticateCalls.spec.ts
+++ b/src/peers/authenticateCalls.spec.ts
@@ -44,8 +44,8 @@
 
 /** The proof with which the given daemon answers a token. */
 function proofOf(daemonId: string, token: string, call: string): string {
-  const judgement = credentialsOf(daemonId).judgeCaller(token, call);
-  return judgement.kind === 'accepted' ? judgement.answer : '';
+  const verification = credentialsOf(daemonId).verifyCaller(token, call);
+  return verification.kind === 'accepted' ? verification.answer : '';
 }
 
 interface Fault {
@@ -63,14 +63,19 @@
   { purpose = 'peer-answer', secret = SECRET, ...wrong }: Fault,
 ) {
   const known = { to: 'server', call };
-  const { issuedAtMilliseconds, nonce } = tokens.openBrief('peer', PeerTokenSchema, token, known)!;
+  const { issuedAtMilliseconds, nonce } = tokens.openCompact(
+    'peer',
+    PeerTokenSchema,
+    token,
+    known,
+  )!;
   const payload = { from: 'server', to: 'client', issuedAtMilliseconds, nonce, call, ...wrong };
-  return new SignedTokens({ secrets: [secret] }).signBrief(purpose, PeerTokenSchema, {}, payload);
+  return new SignedTokens({ secrets: [secret] }).signCompact(purpose, PeerTokenSchema, {}, payload);
 }
 
 type Proof = (token: string, call: string) => string | undefined;
 
-const recorded = credentialsOf('client').openCall('server', 'Cancel').token;
+const recorded = credentialsOf('client').signCall('server', 'Cancel').token;
 
 const badProofs: Record<string, Proof> = {
   'no proof': () => undefined,
@@ -164,7 +169,7 @@
 }
 
 async function callOnce(link: ConnectPeerLink, address: string, stream = false): Promise<unknown> {
-  const client = link.to('server', address);
+  const client = link.clientFor('server', address);
   const used: unknown[] = [];
   try {
     if (!stream) return await client.cancel({ attemptId: 'a' });
@@ -235,7 +240,7 @@
     const settings = peersSettings.parse({ fleetSecrets: [SECRET], maximumMessageBytes: 16 });
     const link = new ConnectPeerLink({ credentials: credentialsOf('client'), settings, log });
     closers.push(() => link.close());
-    const tooLong = link.to('server', address).cancel({ attemptId: 'a'.repeat(17) });
+    const tooLong = link.clientFor('server', address).cancel({ attemptId: 'a'.repeat(17) });
     await expect(tooLong).toBeRejectedWith(ConnectError, 'resource_exhausted');
 
     const cutting = createServer((request) => {
--- a/src/peers/authenticateCalls.ts
+++ b/src/peers/authenticateCalls.ts
@@ -13,7 +13,7 @@
   daemonId: string;
   credentials: PeerCredentials;
   /** Called when an answer does not prove that it comes from the called daemon. */
-  onStranger: () => void;
+  onUnprovenAnswer: () => void;
 }
 
 /** Codes that Connect derives from an HTTP status if the answer has no headers. */
@@ -49,14 +49,14 @@
 export function authenticateCalls({
   daemonId,
   credentials,
-  onStranger,
+  onUnprovenAnswer,
 }: AuthenticateCallsOptions): Interceptor {
   return (next) => async (request) => {
-    const call = credentials.openCall(daemonId, request.method.name);
+    const call = credentials.signCall(daemonId, request.method.name);
     const verifyProof = (headers: Headers) => {
       const answer = headers.get(ANSWER_HEADER) ?? '';
-      if (credentials.judgeAnswer(daemonId, call, answer) !== undefined) return;
-      onStranger();
+      if (credentials.verifyAnswer(daemonId, call, answer) !== undefined) return;
+      onUnprovenAnswer();
       throw new ConnectError(
         'The answer does not prove that it comes from the called daemon.',
         Code.Unauthenticated,
--- a/src/peers/peersFeature.ts
+++ b/src/peers/peersFeature.ts
@@ -73,7 +73,7 @@
       'another daemon or method. clock_difference: correct the clocks. replayed: find out who records traffic; at a ' +
       'daemon with very many calls, also correct the clock of the caller.',
   }),
-  strangerAnswered: defineLogEvent({
+  answerRejected: defineLogEvent({
     number: 2202,
     name: 'peers.stranger_answered',
     level: 'warn',
--- a/src/requests/BindingForwarder.ts
+++ b/src/requests/BindingForwarder.ts
@@ -139,7 +139,7 @@
       request: executeRequestOf(request, account),
     });
     const events: AsyncIterable<ExecuteEvent> = this.peers
-      .to(daemonId, peerAddress)
+      .clientFor(daemonId, peerAddress)
       .runBound(message, { signal });
     for await (const event of events) {
       const passedOn = answer.accept(event);
--- a/src/requests/BoundRequests.spec.ts
+++ b/src/requests/BoundRequests.spec.ts
@@ -45,7 +45,7 @@
     this.owner = owner;
   }
 
-  override to(): Client<typeof PeerService> {
+  override clientFor(): Client<typeof PeerService> {
     const runBound = (message: RunBoundRequest) => this.relayCall(message);
     return { runBound } as unknown as Client<typeof PeerService>;
   }
--- a/src/requests/EventIds.ts
+++ b/src/requests/EventIds.ts
@@ -78,7 +78,7 @@
    */
   verify(eventId: string): VerifiedEventId | undefined {
     const groups = EVENT_ID_PATTERN.exec(eventId)?.groups;
-    if (!groups || !this.tokens.isTag('resume-event', groups.tagged!, groups.tag!))
+    if (!groups || !this.tokens.verifyTag('resume-event', groups.tagged!, groups.tag!))
       return undefined;
     const token = this.openToken(groups.token!);
     return token && { token, sequence: Number(groups.sequence) };
--- a/src/requests/testFleet.ts
+++ b/src/requests/testFleet.ts
@@ -206,7 +206,7 @@
     );
   }
 
-  override to(daemonId: string): Client<typeof PeerService> {
+  override clientFor(daemonId: string): Client<typeof PeerService> {
     const runBound = (message: RunBoundRequest): AsyncIterable<ExecuteEvent> =>
       this.relayCall(daemonId, message);
     return { runBound } as unknown as Client<typeof PeerService>;
--- a/src/upstreams/EngineAnswerReader.ts
+++ b/src/upstreams/EngineAnswerReader.ts
@@ -6,7 +6,7 @@
 import { createParser } from 'eventsource-parser';
 import type { EventSourceMessage } from 'eventsource-parser';
 
-import type { AttemptGuard } from './AttemptGuard.js';
+import type { StopSignal } from './StopSignal.js';
 import { EngineStreamChecker, parseJson } from './EngineStreamChecker.js';
 import { answerHeaders } from './forwardedHeaders.js';
 import { BodyError, readParts, readWhole } from './readBody.js';
@@ -20,7 +20,7 @@
   exchangeFailure,
   isRefusalBeforeStart,
   malformedFailure,
-  readEcho,
+  compareAttemptId,
 } from './upstreamFailures.js';
 
 /** Options of an {@link EngineAnswerReader}. */
@@ -50,7 +50,7 @@
   response: IncomingMessage,
   { kind, attemptId, resumable }: ExpectedAnswer,
 ): UpstreamEvent | undefined {
-  const echo = readEcho(response, attemptId);
+  const echo = compareAttemptId(response, attemptId);
   if (echo === 'crossed') return crossedFailure('the answer of another attempt', resumable);
   if (echo === 'missing') return malformedFailure('the answer names no attempt');
   if (isRefusalBeforeStart(response)) {
@@ -103,7 +103,7 @@
   async *exchange(
     request: ExchangeRequest,
     expected: ExpectedAnswer,
-    stopSignal: AttemptGuard,
+    stopSignal: StopSignal,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     const result = await this.connection.exchange(request, stopSignal);
     if (result.kind !== 'response') {
@@ -138,7 +138,7 @@
   private async *readStream(
     response: IncomingMessage,
     { attemptId, afterSequence }: ExpectedAnswer,
-    stopSignal: AttemptGuard,
+    stopSignal: StopSignal,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     const checker = new EngineStreamChecker({ attemptId, afterSequence });
     // Holds at most the events of one part of the body.
@@ -159,7 +159,7 @@
     for await (const part of readParts(response, limits, stopSignal)) {
       parser.feed(decoder.decode(part, { stream: true }));
       for (const message of parsedEvents.splice(0)) {
-        const event = checker.take(message);
+        const event = checker.checkEvent(message);
         if (event) yield event;
         if (event && event.kind !== 'chunk') return;
       }
@@ -168,12 +168,12 @@
         return;
       }
     }
-    yield checker.endedEarly();
+    yield checker.prematureEnd();
   }
 
   private async *readAnswer(
     response: IncomingMessage,
-    stopSignal: AttemptGuard,
+    stopSignal: StopSignal,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     const limits = {
       idleMilliseconds: Number.MAX_SAFE_INTEGER,
--- a/src/upstreams/EngineStreamChecker.ts
+++ b/src/upstreams/EngineStreamChecker.ts
@@ -53,7 +53,7 @@
    * @param message - the server-sent event.
    * @returns The upstream event; `undefined` for a chunk that was already received.
    */
-  take(message: EventSourceMessage): UpstreamEvent | undefined {
+  checkEvent(message: EventSourceMessage): UpstreamEvent | undefined {
     if (message.event === undefined) return this.takeChunk(message);
     return match(message.event)
       .with(END_EVENT, () => this.takeEnd(message.data))
@@ -62,7 +62,7 @@
   }
 
   /** @returns The failure of a stream that ended without its end event. */
-  endedEarly(): UpstreamEvent {
+  prematureEnd(): UpstreamEvent {
     return this.fail('cut', `no end event after chunk ${this.lastSequence}`);
   }
 
--- a/src/upstreams/EngineUpstream.spec.ts
+++ b/src/upstreams/EngineUpstream.spec.ts
@@ -5,7 +5,7 @@
 import { expectedAnswer } from '../../standIns/runners/completionRequest.js';
 import { EngineStandIn } from '../../standIns/runners/EngineStandIn.js';
 import { EngineUpstream } from './EngineUpstream.js';
-import { attemptOf, outcomeOf, readAll, textOf, TOKENS } from './testAttempts.js';
+import { createAttempt, outcomeOf, readAll, textOf, TOKENS_PER_ATTEMPT } from './testAttempts.js';
 
 async function* brokenCache(): AsyncGenerator<Uint8Array, void, undefined> {
   yield new Uint8Array(50);
@@ -29,14 +29,16 @@
   });
 
   it('continues a cut stream after the last chunk, whole and once executed', async () => {
-    const attempt = attemptOf('stream');
+    const attempt = createAttempt('stream');
     engine.setFaults({ cutAfterChunks: 2, attempts: 1 });
     const first = await readAll(engineUpstream.run(attempt, new AbortController().signal));
     engine.setFaults({});
     const never = new AbortController().signal;
     const rest = await readAll(engineUpstream.resume(attempt.attemptId, 2, never));
     expect(outcomeOf(rest)).toEqual('completed');
-    expect(textOf([...first, ...rest], 'stream')).toEqual(expectedAnswer(attempt.body, TOKENS));
+    expect(textOf([...first, ...rest], 'stream')).toEqual(
+      expectedAnswer(attempt.body, TOKENS_PER_ATTEMPT),
+    );
     expect(engine.executionsOf(attempt.attemptId)).toEqual(1);
     const unknown = await readAll(engineUpstream.resume('never seen', 0, never));
     expect(outcomeOf(unknown)).toEqual('failed:unknown_attempt');
@@ -44,8 +46,8 @@
 
   it('cancels at the runner what is aborted, and only leaves what is not read to its end', async () => {
     engine.setFaults({ slowMilliseconds: 5 });
-    const aborted = attemptOf('stream');
-    const abandoned = attemptOf('stream');
+    const aborted = createAttempt('stream');
+    const abandoned = createAttempt('stream');
     const controller = new AbortController();
     for await (const event of engineUpstream.run(aborted, controller.signal)) {
       if (event.kind === 'chunk') controller.abort();
@@ -56,7 +58,7 @@
     engine.setFaults({});
     const never = new AbortController().signal;
     const rest = await readAll(engineUpstream.resume(abandoned.attemptId, 0, never));
-    expect(textOf(rest, 'stream')).toEqual(expectedAnswer(abandoned.body, TOKENS));
+    expect(textOf(rest, 'stream')).toEqual(expectedAnswer(abandoned.body, TOKENS_PER_ATTEMPT));
     const ended = await readAll(engineUpstream.resume(aborted.attemptId, 0, never));
     expect(outcomeOf(ended)).toEqual('failed:cut');
     const cancelled = engine.cancelledAttempts();
--- a/src/upstreams/EngineUpstream.ts
+++ b/src/upstreams/EngineUpstream.ts
@@ -8,7 +8,7 @@
 import VError from 'verror';
 
 import type { LoadReport } from '../gates/gateTypes.js';
-import { AttemptGuard } from './AttemptGuard.js';
+import { StopSignal } from './StopSignal.js';
 import { EngineAnswerReader } from './EngineAnswerReader.js';
 import { requestHeaders } from './forwardedHeaders.js';
 import { readParts } from './readBody.js';
@@ -118,7 +118,7 @@
     signal: AbortSignal,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     const { attemptId, deadlineMilliseconds, streaming } = attempt;
-    const stopSignal = new AttemptGuard({ signal, deadlineMilliseconds });
+    const stopSignal = new StopSignal({ signal, deadlineMilliseconds });
     let last: UpstreamEvent | undefined;
     try {
       const expected = { kind: 'run', attemptId, afterSequence: 0, resumable: streaming } as const;
@@ -146,7 +146,7 @@
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     // A resumed stream needs no deadline here: the attempt already has one, and the reader's idle timeout ends the
     // stream.
-    const stopSignal = new AttemptGuard({ signal, deadlineMilliseconds: Number.MAX_SAFE_INTEGER });
+    const stopSignal = new StopSignal({ signal, deadlineMilliseconds: Number.MAX_SAFE_INTEGER });
     try {
       const request: ExchangeRequest = {
         method: 'GET',
@@ -227,7 +227,7 @@
 
   override async exportCache(chat: string): Promise<AsyncIterable<Uint8Array> | undefined> {
     const path = cachePath(chat);
-    const stopSignal = new AttemptGuard({
+    const stopSignal = new StopSignal({
       deadlineMilliseconds: this.limits.cacheTimeoutMilliseconds,
     });
     const result = await this.connection.exchange({ method: 'GET', path, headers: {} }, stopSignal);
@@ -257,7 +257,7 @@
 
   private async *readCache(
     response: IncomingMessage,
-    stopSignal: AttemptGuard,
+    stopSignal: StopSignal,
   ): AsyncGenerator<Uint8Array, void, undefined> {
     const { idleMilliseconds, maximumCacheBytes: maximumBytes } = this.limits;
     try {
--- a/src/upstreams/PlainUpstream.ts
+++ b/src/upstreams/PlainUpstream.ts
@@ -5,7 +5,7 @@
 import VError from 'verror';
 
 import type { LoadReport } from '../gates/gateTypes.js';
-import { AttemptGuard } from './AttemptGuard.js';
+import { StopSignal } from './StopSignal.js';
 import { answerHeaders, requestHeaders } from './forwardedHeaders.js';
 import { BodyError, isLengthKnown, readParts } from './readBody.js';
 import { RunnerCalls } from './RunnerCalls.js';
@@ -26,7 +26,7 @@
   exchangeFailure,
   isRefusalBeforeStart,
   malformedFailure,
-  readEcho,
+  compareAttemptId,
 } from './upstreamFailures.js';
 
 /**
@@ -122,7 +122,7 @@
     signal: AbortSignal,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     const { deadlineMilliseconds } = attempt;
-    const stopSignal = new AttemptGuard({ signal, deadlineMilliseconds });
+    const stopSignal = new StopSignal({ signal, deadlineMilliseconds });
     try {
       yield* this.exchange(attempt, stopSignal);
     } finally {
@@ -172,7 +172,7 @@
 
   private async *exchange(
     attempt: UpstreamAttempt,
-    stopSignal: AttemptGuard,
+    stopSignal: StopSignal,
   ): AsyncGenerator<UpstreamEvent, void, undefined> {
     const result = await this.connection.exchange(attemptRequest(attempt), stopSignal);
     if (result.kind !== 'response') {
@@ -181,7 +181,7 @@
     }
     const { response } = result;
     try {
-      const echo = readEcho(response, attempt.attemptId);
+      const echo = compareAttemptId(response, attempt.attemptId);
       if (echo === 'crossed') {
         yield crossedFailure('the answer of another attempt', false);
         return;
--- a/src/upstreams/RunnerCalls.ts
+++ b/src/upstreams/RunnerCalls.ts
@@ -4,7 +4,7 @@
 import VError from 'verror';
 import type { z } from 'zod';
 
-import { AttemptGuard } from './AttemptGuard.js';
+import { StopSignal } from './StopSignal.js';
 import { parseJson } from './EngineStreamChecker.js';
 import { readWhole } from './readBody.js';
 import type { ExchangeRequest, RunnerConnection } from './RunnerConnection.js';
@@ -19,7 +19,7 @@
 }
 
 /** The whole answer to a call. */
-export interface RunnerAnswer {
+export interface RunnerResponse {
   readonly status: number;
   readonly body: Buffer;
 }
@@ -87,9 +87,9 @@
    * @throws {@link VError} if no whole answer arrives in time; it is then unknown whether the runner executed the
    *   request.
    */
-  async call(request: ExchangeRequest, limits: RunnerCallLimits = {}): Promise<RunnerAnswer> {
+  async call(request: ExchangeRequest, limits: RunnerCallLimits = {}): Promise<RunnerResponse> {
     const timeoutMilliseconds = limits.timeoutMilliseconds ?? this.timeoutMilliseconds;
-    const stopSignal = new AttemptGuard({ deadlineMilliseconds: timeoutMilliseconds });
+    const stopSignal = new StopSignal({ deadlineMilliseconds: timeoutMilliseconds });
     try {
       const result = await this.connection.exchange(request, stopSignal);
       if (result.kind !== 'response') throw new VError(result.message);
--- a/src/upstreams/RunnerConnection.ts
+++ b/src/upstreams/RunnerConnection.ts
@@ -7,8 +7,8 @@
 import { pipeline, Readable } from 'node:stream';
 
 import { parseAddress } from '../http/parseAddress.js';
-import { MAXIMUM_TIMER_MILLISECONDS } from './AttemptGuard.js';
-import type { AttemptGuard, StopReason } from './AttemptGuard.js';
+import { MAXIMUM_TIMER_MILLISECONDS } from './StopSignal.js';
+import type { StopSignal, StopReason } from './StopSignal.js';
 
 /** Options of a {@link RunnerConnection}. */
 export interface RunnerConnectionOptions {
@@ -104,7 +104,7 @@
    * @param stopSignal - signal that stops the exchange.
    * @returns The answer, whose body is not read yet, or whether the request can have reached the runner.
    */
-  exchange(request: ExchangeRequest, stopSignal: AttemptGuard): Promise<ExchangeResult> {
+  exchange(request: ExchangeRequest, stopSignal: StopSignal): Promise<ExchangeResult> {
     const stopReason = stopSignal.reason();
     if (stopReason) {
       return Promise.resolve({
@@ -132,7 +132,7 @@
       freshConnection = false,
       headTimeoutMilliseconds = MAXIMUM_TIMER_MILLISECONDS,
     }: ExchangeRequest,
-    stopSignal: AttemptGuard,
+    stopSignal: StopSignal,
     resolve: (result: ExchangeResult) => void,
   ): void {
     // A byte can be sent only after the request was given a connected socket. Node.js emits `socket` before it writes
--- a/src/upstreams/AttemptGuard.ts
+++ b/src/upstreams/StopSignal.ts
@@ -5,8 +5,8 @@
 /** Why an exchange stops: its owner aborted it, or its deadline passed. */
 export type StopReason = 'aborted' | 'timeout';
 
-/** Options of {@link AttemptGuard}. */
-export interface AttemptGuardOptions {
+/** Options of {@link StopSignal}. */
+export interface StopSignalOptions {
   /** Signal that the attempt's owner aborts. */
   signal?: AbortSignal;
   /** Milliseconds from the creation until the deadline. */
@@ -17,7 +17,7 @@
 export const MAXIMUM_TIMER_MILLISECONDS = 2 ** 31 - 1;
 
 /** Combines the deadline and the abort signal of an exchange into one signal for all of its steps. */
-export class AttemptGuard {
+export class StopSignal {
   private readonly listeners = new Set<(reason: StopReason) => void>();
 
   private readonly timer: NodeJS.Timeout;
@@ -31,7 +31,7 @@
   /**
    * @param options - the owner's abort signal and the deadline.
    */
-  constructor({ signal, deadlineMilliseconds }: AttemptGuardOptions) {
+  constructor({ signal, deadlineMilliseconds }: StopSignalOptions) {
     this.signal = signal;
     const delay = Math.min(Math.max(0, deadlineMilliseconds), MAXIMUM_TIMER_MILLISECONDS);
     this.timer = setTimeout(() => this.stop('timeout'), delay);
--- a/src/upstreams/Upstream.spec.ts
+++ b/src/upstreams/Upstream.spec.ts
@@ -12,14 +12,14 @@
 import { EngineUpstream } from './EngineUpstream.js';
 import { PlainUpstream } from './PlainUpstream.js';
 import {
-  attemptOf,
+  createAttempt,
   LONG_DEADLINE_MILLISECONDS,
   outcomeOf,
   readAll,
   textOf,
-  TOKENS,
+  TOKENS_PER_ATTEMPT,
 } from './testAttempts.js';
-import type { Shape } from './testAttempts.js';
+import type { AttemptShape } from './testAttempts.js';
 import type { Upstream, UpstreamAttempt, UpstreamEvent } from './Upstream.js';
 
 /** Deadline that is longer than any answer of the stand-ins takes, except that of a frozen one. */
@@ -29,7 +29,7 @@
   readonly fault: string;
   readonly faults: RunnerFaultsInput;
   /** Expected outcome for each kind of call to which the fault applies. */
-  readonly outcomes: Partial<Record<Shape, string>>;
+  readonly outcomes: Partial<Record<AttemptShape, string>>;
   /** How often the runner must have executed the attempt. */
   readonly executions: number;
   readonly deadlineMilliseconds?: number;
@@ -104,7 +104,7 @@
   },
   {
     fault: 'the last chunk left out',
-    faults: { skipChunk: TOKENS },
+    faults: { skipChunk: TOKENS_PER_ATTEMPT },
     outcomes: { stream: 'failed:cut:resumable' },
     executions: 1,
   },
@@ -139,7 +139,7 @@
   },
 ];
 
-const SHAPES: readonly Shape[] = ['stream', 'whole', 'change'];
+const SHAPES: readonly AttemptShape[] = ['stream', 'whole', 'change'];
 
 describe('Upstream', () => {
   const engine = new EngineStandIn({ stepMilliseconds: 1 });
@@ -147,10 +147,10 @@
   let engineUpstream: EngineUpstream;
   let plainUpstream: PlainUpstream;
 
-  const runnerOf = (shape: Shape): RunnerServer => (shape === 'change' ? plain : engine);
-  const upstreamOf = (shape: Shape): Upstream =>
+  const runnerOf = (shape: AttemptShape): RunnerServer => (shape === 'change' ? plain : engine);
+  const upstreamOf = (shape: AttemptShape): Upstream =>
     shape === 'change' ? plainUpstream : engineUpstream;
-  const run = (attempt: UpstreamAttempt, shape: Shape): Promise<UpstreamEvent[]> =>
+  const run = (attempt: UpstreamAttempt, shape: AttemptShape): Promise<UpstreamEvent[]> =>
     readAll(upstreamOf(shape).run(attempt, new AbortController().signal));
 
   before(async () => {
@@ -174,13 +174,13 @@
     for (const shape of SHAPES.filter((known) => outcomes[known])) {
       it(`${shape}, ${fault}: ${outcomes[shape]}`, async () => {
         const runner = runnerOf(shape);
-        const attempt = attemptOf(shape, deadlineMilliseconds ? { deadlineMilliseconds } : {});
+        const attempt = createAttempt(shape, deadlineMilliseconds ? { deadlineMilliseconds } : {});
         runner.setFaults(faults);
         const events = await run(attempt, shape);
         expect(outcomeOf(events)).toEqual(outcomes[shape]!);
         expect(runner.executionsOf(attempt.attemptId)).toEqual(executions);
         runner.setFaults({});
-        const own = expectedAnswer(attempt.body, TOKENS);
+        const own = expectedAnswer(attempt.body, TOKENS_PER_ATTEMPT);
         const isCompletion = shape !== 'change' && !fault.startsWith('an error');
         if (isCompletion) expect(own.startsWith(textOf(events, shape))).toEqual(true);
         if (fault === 'none' && shape !== 'change') expect(textOf(events, shape)).toEqual(own);
@@ -194,7 +194,9 @@
     const address = gone.address();
     await gone.close();
     const upstream = new EngineUpstream({ address });
-    const events = await readAll(upstream.run(attemptOf('stream'), new AbortController().signal));
+    const events = await readAll(
+      upstream.run(createAttempt('stream'), new AbortController().signal),
+    );
     expect(outcomeOf(events)).toEqual('not_run:unreachable');
     const resumed = await readAll(upstream.resume('x', 2, new AbortController().signal));
     expect(outcomeOf(resumed)).toEqual('failed:cut:resumable');
@@ -218,7 +220,7 @@
     });
     const { port } = server.address() as AddressInfo;
     const upstream = new PlainUpstream({ address: `127.0.0.1:${port}` });
-    const read = attemptOf('change', { method: 'GET', body: new Uint8Array() });
+    const read = createAttempt('change', { method: 'GET', body: new Uint8Array() });
     const never = new AbortController().signal;
     expect(outcomeOf(await readAll(upstream.run(read, never)))).toEqual('completed');
     expect(outcomeOf(await readAll(upstream.run(read, never)))).toEqual('failed:cut');
--- a/src/upstreams/readBody.ts
+++ b/src/upstreams/readBody.ts
@@ -6,8 +6,8 @@
 
 import VError from 'verror';
 
-import { MAXIMUM_TIMER_MILLISECONDS } from './AttemptGuard.js';
-import type { AttemptGuard, StopReason } from './AttemptGuard.js';
+import { MAXIMUM_TIMER_MILLISECONDS } from './StopSignal.js';
+import type { StopSignal, StopReason } from './StopSignal.js';
 
 /** Why a body could not be read whole. */
 export type BodyFault = StopReason | 'cut' | 'idle' | 'too_large';
@@ -94,7 +94,7 @@
 export async function* readParts(
   response: IncomingMessage,
   { idleMilliseconds, maximumBytes }: BodyLimits,
-  stopSignal: AttemptGuard,
+  stopSignal: StopSignal,
 ): AsyncGenerator<Uint8Array, void, undefined> {
   const stop = (reason: StopReason): void => {
     response.destroy(new BodyError(reason, `${reason} while reading the answer`));
@@ -136,7 +136,7 @@
 export async function readWhole(
   response: IncomingMessage,
   limits: BodyLimits,
-  stopSignal: AttemptGuard,
+  stopSignal: StopSignal,
 ): Promise<Buffer> {
   const parts: Uint8Array[] = [];
   for await (const part of readParts(response, limits, stopSignal)) parts.push(part);
--- a/src/upstreams/testAttempts.ts
+++ b/src/upstreams/testAttempts.ts
@@ -4,13 +4,13 @@
 import type { UpstreamAttempt, UpstreamEvent } from './Upstream.js';
 
 /** Number of tokens that each engine attempt requests. */
-export const TOKENS = 6;
+export const TOKENS_PER_ATTEMPT = 6;
 
 /** Deadline that is longer than any test takes. */
 export const LONG_DEADLINE_MILLISECONDS = 20_000;
 
 /** Kind of a test's call: a streamed or a whole answer of an engine, or a change at a plain service. */
-export type Shape = 'stream' | 'whole' | 'change';
+export type AttemptShape = 'stream' | 'whole' | 'change';
 
 let lastAttempt = 0;
 
@@ -21,13 +21,16 @@
  * @param changes - the fields that differ from the default.
  * @returns A new attempt with a unique question.
  */
-export function attemptOf(shape: Shape, changes: Partial<UpstreamAttempt> = {}): UpstreamAttempt {
+export function createAttempt(
+  shape: AttemptShape,
+  changes: Partial<UpstreamAttempt> = {},
+): UpstreamAttempt {
   lastAttempt += 1;
   const attemptId = `attempt-${lastAttempt}`;
   const completion = {
     messages: [{ role: 'user', content: `question ${lastAttempt}` }],
     stream: shape === 'stream',
-    max_tokens: TOKENS,
+    max_tokens: TOKENS_PER_ATTEMPT,
   };
   const change = { board: 'oak', business_key: attemptId };
   return {
@@ -63,7 +66,7 @@
  * @param shape - the kind of call.
  * @returns The text of the answer.
  */
-export function textOf(events: readonly UpstreamEvent[], shape: Shape): string {
+export function textOf(events: readonly UpstreamEvent[], shape: AttemptShape): string {
   const parts = events.flatMap((event) => (event.kind === 'chunk' ? [event.data] : []));
   const values = parts.map((part) => JSON.parse(new TextDecoder().decode(part)));
   if (shape === 'stream') return values.map(({ choices }) => choices[0].delta.content).join('');
--- a/src/upstreams/upstreamFailures.ts
+++ b/src/upstreams/upstreamFailures.ts
@@ -59,7 +59,7 @@
 /**
  * Result of comparing the attempt id in an answer's headers with the requested one; `crossed` means another attempt.
  */
-export type Echo = 'own' | 'missing' | 'crossed';
+export type AttemptIdComparison = 'own' | 'missing' | 'crossed';
 
 /**
  * Compares the attempt id that an answer echoes with the requested one.
@@ -68,7 +68,10 @@
  * @param attemptId - the id of the requested attempt.
  * @returns Whether the ids agree, differ, or the answer has none.
  */
-export function readEcho(response: IncomingMessage, attemptId: string): Echo {
+export function compareAttemptId(
+  response: IncomingMessage,
+  attemptId: string,
+): AttemptIdComparison {
   const echoed = response.headers[ATTEMPT_ID_HEADER];
   if (echoed === undefined) return 'missing';
   return echoed === attemptId ? 'own' : 'crossed';
