--- a/src/operators/ChangeSubmitter.ts
+++ b/src/operators/ChangeSubmitter.ts
@@ -1,5 +1,5 @@
 /**
- * Makes operators' changes and turns their outcomes into answers or errors.
+ * Submits operators' changes to the configuration and turns each outcome into an answer or an error.
  */
 import { create, equals } from '@bufbuild/protobuf';
 import { Code, ConnectError } from '@connectrpc/connect';
@@ -21,30 +21,33 @@
 import type { EntityKind } from './resourceKinds.js';
 import { entityOf, keyOf } from './resourceKinds.js';
 
-/** How often a change that the daemon itself works out from the newest value is tried again. */
-const MAXIMUM_ATTEMPTS = 4;
+/** Number of attempts of a change that the daemon computes from the newest value, the first attempt included. */
+const MAXIMUM_MODIFY_ATTEMPTS = 4;
 
-/** How far back the author of a newer value is looked for. */
-const HISTORY_FOR_CONFLICTS = 50;
+/** Number of the latest changes in which the author of a conflicting change is looked for. */
+const CONFLICT_HISTORY_CHANGES = 50;
 
-/** How far back a change is looked for that may have been made already. */
-const HISTORY_FOR_REPEATS = 1000;
+/** Number of the latest changes in which an earlier call with the same change id is looked for. */
+const REPEAT_HISTORY_CHANGES = 1000;
 
-/** One edit with the field of the request that it came from. */
+/** One edit with the field of the request that it was made from, for error messages. */
 export interface PlacedEdit {
   readonly edit: EntityEdit;
-  /** For example `resources[3].service`. */
+  /** Path of the field, for example `resources[3].service`. */
   readonly field: string;
 }
 
-/** A change that is worked out from what there is now. */
+/** A change of one entity that is computed from the entity's current value. */
 export interface Modification {
   readonly origin: CheckedOrigin;
   readonly kind: EntityKind;
   readonly name: string;
-  /** The field of the request that mistakes are reported under. */
+  /** The field of the request under which errors are reported. */
   readonly field: string;
-  /** Gives the new value from the newest one, or throws; `undefined` removes it. */
+  /**
+   * Computes the new value from the current one, or throws. The argument is `undefined` if the entity does not exist; the
+   * result `undefined` removes it.
+   */
   readonly modify: (
     current: ConfigurationEntity | undefined,
   ) => ConfigurationEntity | undefined | Promise<ConfigurationEntity | undefined>;
@@ -56,18 +59,22 @@
   log: Log;
 }
 
-/** What an edit aims at. */
+/**
+ * @param edit - an edit with an entity in it.
+ * @returns Kind and name of the entity that the edit changes or removes.
+ */
 export function targetOf(edit: EntityEdit): { kind: EntityKind; name: string } {
   if (edit.edit.case === 'remove') {
     return { kind: edit.edit.value.kind as EntityKind, name: edit.edit.value.name };
   }
   const value = edit.edit.value?.entity;
-  if (!value || value.case === undefined) throw new Error('An edit without an entity was built.');
+  if (!value || value.case === undefined)
+    throw new Error('The edit holds no entity: expected an upsert with a value or a removal.');
   return keyOf(value);
 }
 
-/** A conflict that keeps the newer value for another try. */
-class LostRace extends ConnectError {
+/** A conflict with another change. It keeps the newer value, so that the change can be computed again from it. */
+class EditConflictError extends ConnectError {
   constructor(
     error: ConnectError,
     readonly current: ConfigurationEntity | undefined,
@@ -77,14 +84,14 @@
   }
 }
 
-/** Shared by all handlers that change something. */
+/** Submits changes for all handlers and logs their outcomes. */
 export class ChangeSubmitter {
   private readonly changes: ConfigurationChanges;
 
   private readonly log: Log;
 
   /**
-   * @param options - where changes go, and the log.
+   * @param options - the configuration to change, and the log.
    */
   constructor({ changes, log }: ChangeSubmitterOptions) {
     this.changes = changes;
@@ -92,13 +99,14 @@
   }
 
   /**
-   * Makes a change.
+   * Submits a change once.
    *
-   * @param origin - who, why and which.
-   * @param placed - the edits with the fields they came from.
-   * @param options - whether it is to create something, or only to be checked.
+   * @param origin - the change id, its author and the reason.
+   * @param placed - the edits with the fields of the request.
+   * @param options - `creating`: a conflict with an existing entity is reported as "already exists"; `dryRun`: the change
+   *   is only checked.
    * @returns The answer for the operator.
-   * @throws ConnectError with findings, or with the newer value when a race was lost.
+   * @throws ConnectError with findings, or with the newer value if another change came first.
    */
   async submit(
     origin: CheckedOrigin,
@@ -112,7 +120,7 @@
       dryRun: options.dryRun ?? false,
     });
     if (outcome.kind !== 'accepted') {
-      throw await this.refused(origin, placed, outcome, options.creating ?? false);
+      throw await this.refusalOf(origin, placed, outcome, options.creating ?? false);
     }
     const { revision, repeated } = outcome;
     const targets = effects.map(({ kind, name, effect }) => `${effect} ${kind} ${name}`);
@@ -131,18 +139,18 @@
   }
 
   /**
-   * Makes a change that depends on the newest value: where another change comes between, it is worked
-   * out again from the value that won.
+   * Submits a change that depends on the current value. If another change comes first, this one is computed again from
+   * the newer value and submitted again.
    *
-   * @param modification - what to change and how.
+   * @param modification - the entity and how to compute its new value.
    * @returns The answer for the operator.
-   * @throws ConnectError as {@link ChangeSubmitter.submit}, `aborted` after several lost races.
+   * @throws ConnectError as {@link ChangeSubmitter.submit}; `aborted` if the last attempt met a conflict, too.
    */
   async modify(modification: Modification): Promise<ChangeResponse> {
     const { origin, kind, name, field, modify } = modification;
     let current = this.changes.entity(kind, name);
-    let lost: ConnectError | undefined;
-    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt += 1) {
+    let conflict: ConnectError | undefined;
+    for (let attempt = 0; attempt < MAXIMUM_MODIFY_ATTEMPTS; attempt += 1) {
       let wanted: ConfigurationEntity | undefined;
       try {
         wanted = await modify(current);
@@ -159,29 +167,33 @@
       try {
         return await this.submit(origin, [{ edit, field }]);
       } catch (error) {
-        if (!(error instanceof LostRace)) throw error;
-        lost = error;
+        if (!(error instanceof EditConflictError)) throw error;
+        conflict = error;
         newer = error.current;
       }
       current = newer;
     }
-    throw lost ?? new ConnectError('The change lost every race.', Code.Aborted);
+    throw (
+      conflict ??
+      new ConnectError('The change conflicted with other changes at every attempt.', Code.Aborted)
+    );
   }
 
   /**
-   * A repeat of a change that has been made meets its own result, for example nothing left to remove.
-   * The operator whose first answer was lost would read that as a failure; the history tells.
+   * Answers a change that cannot be made now but may have been made by an earlier call with the same change id. Such a
+   * repeat meets its own result, for example an entity that is already removed. An operator who repeats a change because
+   * the first answer was lost would take the error for a failure, so the change id is looked up in the history first.
    *
-   * @param origin - which change.
-   * @param error - why it cannot be made now.
-   * @returns The answer of a repeat.
-   * @throws The error, when the history holds no such change.
+   * @param origin - the change id to look up.
+   * @param error - the reason why the change cannot be made now.
+   * @returns The answer to a repeated change.
+   * @throws The given error if the history does not hold the change id.
    */
   async repeatOf(origin: CheckedOrigin, error: unknown): Promise<ChangeResponse> {
-    const history = await this.changes.history(HISTORY_FOR_REPEATS).catch(() => []);
-    const made = history.find(({ changeId }) => changeId === origin.changeId);
-    if (!made) throw error;
-    const { revision, effects } = historyEntry(made);
+    const history = await this.changes.history(REPEAT_HISTORY_CHANGES).catch(() => []);
+    const earlierChange = history.find(({ changeId }) => changeId === origin.changeId);
+    if (!earlierChange) throw error;
+    const { revision, effects } = historyEntry(earlierChange);
     return create(ChangeResponseSchema, { revision, repeated: true, effects });
   }
 
@@ -199,7 +211,7 @@
     return { ...target, effect: same ? 'unchanged' : 'changed' };
   }
 
-  private async refused(
+  private async refusalOf(
     origin: CheckedOrigin,
     placed: readonly PlacedEdit[],
     outcome: Exclude<ChangeOutcome, { kind: 'accepted' }>,
@@ -216,19 +228,19 @@
     }
     if (outcome.kind !== 'conflict') return refusal(outcome);
     const edit = placed[outcome.edit]?.edit;
-    const changedBy = edit ? await this.lastChangeOf(edit) : undefined;
+    const changedBy = edit ? await this.findLastChange(edit) : undefined;
     const error = refusal(outcome, { creating, ...(changedBy && { changedBy }) });
-    return new LostRace(error, outcome.current);
+    return new EditConflictError(error, outcome.current);
   }
 
-  private async lastChangeOf(edit: EntityEdit): Promise<HistoryEntry | undefined> {
+  private async findLastChange(edit: EntityEdit): Promise<HistoryEntry | undefined> {
     const target = targetOf(edit);
     try {
-      const history = await this.changes.history(HISTORY_FOR_CONFLICTS);
+      const history = await this.changes.history(CONFLICT_HISTORY_CHANGES);
       const found = history.find((change) => touches(change, target.kind, target.name));
       return found && historyEntry(found);
     } catch {
-      // Who won is a courtesy; the conflict is answered without it when the platform is silent.
+      // The author of the newer value is optional: if the store does not answer, the conflict is reported without it.
       return undefined;
     }
   }
--- a/src/operators/ConfigurationChanges.ts
+++ b/src/operators/ConfigurationChanges.ts
@@ -1,5 +1,6 @@
 /**
- * How operators' calls read and change the configuration: narrower than what keeps it.
+ * The part of the configuration's interface that operators' calls need: reading entities, submitting changes and reading
+ * the history.
  */
 import type { Finding } from '../findings/Findings.js';
 import type {
@@ -9,69 +10,69 @@
 } from '../generated/baobabdock/v1/changes_pb.js';
 import type { EntityKind } from './resourceKinds.js';
 
-/** A change as an operator asks for it. */
+/** A change that an operator requests. */
 export interface RequestedChange {
-  /** Unique for each change; a repeat with the same one changes nothing again. */
+  /** Unique for each change. It makes the change idempotent: a repeat with the same id has no further effect. */
   readonly changeId: string;
   readonly author: string;
   readonly comment: string;
   readonly edits: readonly EntityEdit[];
-  /** Only says whether the change would be accepted. */
+  /** Checks whether the change would be accepted, without making it. */
   readonly dryRun?: boolean;
 }
 
-/** How a change ended. */
+/** Outcome of a change. */
 export type ChangeOutcome =
   | {
       readonly kind: 'accepted';
       readonly revision: number;
-      /** The change had been made by an earlier call. */
+      /** Whether an earlier call with the same change id had made the change. */
       readonly repeated: boolean;
     }
   | {
       readonly kind: 'conflict';
       readonly revision: number;
-      /** Position of the edit that lost. */
+      /** Index of the edit whose expected revision does not match. */
       readonly edit: number;
-      /** What is there instead; missing when nothing is. */
+      /** The entity's current value, or `undefined` if it does not exist. */
       readonly current: ConfigurationEntity | undefined;
     }
-  /** Fields begin with the edit, for example `edits[2].weight`, where a mistake lies in one. */
+  /** The field of a finding about an edit begins with that edit, for example `edits[2].weight`. */
   | { readonly kind: 'invalid'; readonly findings: readonly Finding[] }
-  /** Nothing was written. */
+  /** The store is unavailable and nothing was written. */
   | { readonly kind: 'unavailable'; readonly message: string }
-  /** It may have been written: repeat it with the same change id. */
+  /** The change may have been written. It is safe to repeat it with the same change id. */
   | { readonly kind: 'unsure'; readonly message: string };
 
-/** Implemented over the platform's service, and in memory for tests. */
+/** Reads and changes the configuration. Implemented over the store, and in memory for tests. */
 export abstract class ConfigurationChanges {
   /** @returns The revision in force on this daemon. */
   abstract revision(): number;
 
   /**
-   * @param kind - what is wanted.
-   * @returns All of that kind in force on this daemon, ordered by name.
+   * @param kind - the kind of entity.
+   * @returns All entities of that kind in force on this daemon, ordered by name.
    */
   abstract entities(kind: EntityKind): readonly ConfigurationEntity[];
 
   /**
-   * @param kind - what is wanted.
-   * @param name - its name.
-   * @returns It, as in force on this daemon, or `undefined`.
+   * @param kind - the kind of entity.
+   * @param name - the entity's name.
+   * @returns The entity in force on this daemon, or `undefined`.
    */
   abstract entity(kind: EntityKind, name: string): ConfigurationEntity | undefined;
 
   /**
-   * Makes a change whole or not at all. Never throws for what the platform does.
+   * Makes a change atomically. A failure of the store is an outcome, never an exception.
    *
-   * @param change - what is wanted.
-   * @returns How it ended.
+   * @param change - the change.
+   * @returns The outcome.
    */
   abstract change(change: RequestedChange): Promise<ChangeOutcome>;
 
   /**
-   * @param maximum - how many are wanted.
-   * @returns Changes, the newest first; throws when the platform does not answer.
+   * @param maximum - largest number of changes to return.
+   * @returns The latest changes, the newest first; rejects if the store does not answer.
    */
   abstract history(maximum: number): Promise<readonly ConfigurationChange[]>;
 }
--- a/src/operators/FixedFleetView.ts
+++ b/src/operators/FixedFleetView.ts
@@ -1,5 +1,5 @@
 /**
- * A view of the fleet that stands as a test sets it.
+ * A view of the fleet whose content is set by a test.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -18,16 +18,16 @@
 import type { DataCentreSummary, Member } from '../generated/baobabdock/v1/peers_pb.js';
 import { rendezvousPick } from '../routing/rendezvous.js';
 
-/** Holds plain fields; tests change them between calls. */
+/** Returns the values of its public fields, which a test may change between calls. */
 export class FixedFleetView extends FleetView {
-  /** All daemons; the first is this one. */
+  /** All daemons; the first one is this daemon. */
   daemons: Member[] = [];
 
   runnersKnown: FleetRunner[] = [];
 
   revision = 0;
 
-  /** Read at each call, so that it can follow what a test changes. */
+  /** Returns the configuration in force. Called at each read, so that changes made by the test are seen. */
   inForce: () => Configuration = () => create(ConfigurationSchema);
 
   loads = new Map<string, PoolLoad>();
@@ -36,7 +36,10 @@
 
   override self(): Member {
     const [self] = this.daemons;
-    if (!self) throw new Error('The test set no daemon.');
+    if (!self)
+      throw new Error(
+        'FixedFleetView.daemons is empty: expected this daemon as its first element.',
+      );
     return self;
   }
 
--- a/src/operators/FleetHandlers.ts
+++ b/src/operators/FleetHandlers.ts
@@ -1,5 +1,5 @@
 /**
- * Calls about daemons and runners: status, drains, and waiting for a revision to be in force.
+ * Operators' calls about daemons and runners: status, metrics, drains, and waiting for a revision to be in force.
  */
 import { create } from '@bufbuild/protobuf';
 import type { HandlerContext, ServiceImpl } from '@connectrpc/connect';
@@ -32,19 +32,23 @@
 import { invalidField, notFound } from './operatorErrors.js';
 import { drainName, entityOf } from './resourceKinds.js';
 
+/** Longest wait for a revision if the request does not set one. */
 const DEFAULT_WAIT_MILLISECONDS = 10_000;
 
-/** Short beside the seconds that a revision takes, long beside the cost of one look. */
-const LOOK_AGAIN_MILLISECONDS = 100;
+/**
+ * Interval between two checks of the daemons' revisions. A revision takes seconds to reach all daemons; one check costs
+ * far less than this interval.
+ */
+const REVISION_POLL_INTERVAL_MILLISECONDS = 100;
 
-/** Waits, or ends early when the signal aborts. */
+/** Waits for a time, or until the signal is aborted. */
 export type Pause = (milliseconds: number, signal: AbortSignal) => Promise<void>;
 
 /** Options of {@link FleetHandlers}. */
 export interface FleetHandlersOptions {
   fleet: FleetView;
   gates: GateStatusSource;
-  /** Writes this daemon's scrape page. */
+  /** Returns this daemon's metrics page. */
   metricsPage: () => string;
   submitter: ChangeSubmitter;
   clock: Clock;
@@ -53,12 +57,12 @@
   maximumWaitMilliseconds: number;
 }
 
-/** The handlers. */
+/** Handlers of the operators' calls about the fleet. */
 export class FleetHandlers implements ServiceImpl<typeof FleetService> {
   private readonly options: FleetHandlersOptions;
 
   /**
-   * @param options - the view of the fleet, where drains go, and time.
+   * @param options - the view of the fleet, the submitter of drains, the clock and limits.
    */
   constructor(options: FleetHandlersOptions) {
     this.options = options;
@@ -128,7 +132,7 @@
           waitedMilliseconds: Math.round(now - started),
         });
       }
-      await pause(Math.min(LOOK_AGAIN_MILLISECONDS, end - now), context.signal);
+      await pause(Math.min(REVISION_POLL_INTERVAL_MILLISECONDS, end - now), context.signal);
     }
   };
 
--- a/src/operators/GateStatusSource.ts
+++ b/src/operators/GateStatusSource.ts
@@ -1,22 +1,22 @@
 /**
- * What this daemon's gates tell operators.
+ * The state of this daemon's gates as operators see it.
  */
 import type { RunnerState } from '../gates/gateTypes.js';
 
-/** One gate at this moment. */
+/** Current state of one gate. */
 export interface GateStatusReading {
   readonly runnerId: string;
   readonly service: string;
   readonly state: RunnerState;
-  /** Tokens of work in progress and queued. */
+  /** Work in progress and queued, in tokens. */
   readonly load: number;
-  /** Mean of the pool, in tokens. */
+  /** Mean load of the pool's runners, in tokens. */
   readonly meanLoad: number;
   readonly running: number;
   readonly queued: number;
 }
 
-/** Implemented by whoever owns the gates. */
+/** Reads the gates of a daemon. Implemented by the part that owns them. */
 export abstract class GateStatusSource {
   /** @returns One reading for each gate that this daemon holds. */
   abstract gateReadings(): readonly GateStatusReading[];
--- a/src/operators/KeyHandlers.ts
+++ b/src/operators/KeyHandlers.ts
@@ -1,5 +1,5 @@
 /**
- * Calls about the keys of client accounts.
+ * Operators' calls about the keys of client accounts.
  */
 import { clone, create } from '@bufbuild/protobuf';
 import type { HandlerContext, ServiceImpl } from '@connectrpc/connect';
@@ -24,8 +24,11 @@
 import { operatorsFeature } from './operatorsFeature.js';
 import { entityOf } from './resourceKinds.js';
 
-/** Enough to replace a key at leisure; more would slow the check of every request. */
-const MAXIMUM_KEYS = 8;
+/**
+ * Enough for old and new keys to be valid together during a replacement. Each request is checked against all keys of its
+ * account, so more would slow requests down.
+ */
+const MAXIMUM_KEYS_PER_ACCOUNT = 8;
 
 /** Options of {@link KeyHandlers}. */
 export interface KeyHandlersOptions {
@@ -42,14 +45,14 @@
   return entityOf({ case: 'clientAccount', value: account });
 }
 
-/** The handlers. */
+/** Handlers of the operators' calls about keys. */
 export class KeyHandlers implements ServiceImpl<typeof KeyService> {
   private readonly submitter: ChangeSubmitter;
 
   private readonly log: Log;
 
   /**
-   * @param options - where changes go, and the log.
+   * @param options - the submitter of changes, and the log.
    */
   constructor({ submitter, log }: KeyHandlersOptions) {
     this.submitter = submitter;
@@ -71,8 +74,11 @@
       field: 'clientAccount',
       modify: (current) => {
         const account = accountOf(current, name);
-        if (account.keys.length >= MAXIMUM_KEYS) {
-          throw invalidField('clientAccount', `has ${MAXIMUM_KEYS} keys; remove one first`);
+        if (account.keys.length >= MAXIMUM_KEYS_PER_ACCOUNT) {
+          throw invalidField(
+            'clientAccount',
+            `has ${MAXIMUM_KEYS_PER_ACCOUNT} keys; remove one first`,
+          );
         }
         account.keys = [
           ...account.keys,
@@ -82,9 +88,9 @@
       },
     });
     if (answer.repeated) {
-      // The earlier call stored the hash of another key, which nobody can show again.
+      // The earlier call stored the hash of another key. That key was not kept and cannot be shown again.
       throw new ConnectError(
-        'This change made its key already and the key is shown only once. Make another with a new change id.',
+        'This change has already created its key, and a key is shown only once. Create another key with a new change id.',
         Code.AlreadyExists,
       );
     }
--- a/src/operators/MemoryConfigurationChanges.ts
+++ b/src/operators/MemoryConfigurationChanges.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration kept in memory, with faults to switch on: for tests of what stands before it.
+ * A configuration in memory with faults that can be injected, for tests of the operators' interface.
  */
 import { clone, create, equals } from '@bufbuild/protobuf';
 
@@ -21,7 +21,7 @@
 import type { EntityKind } from './resourceKinds.js';
 import { entityOf, keyOf } from './resourceKinds.js';
 
-/** Faults that a test can order for the next changes, one each. */
+/** A fault that a test injects into one change: the store is unavailable, or the change is made and its answer lost. */
 export type MemoryFault = 'unavailable' | 'lost_answer';
 
 function targetOf(edit: EntityEdit): { kind: EntityKind; name: string } {
@@ -29,19 +29,20 @@
     return { kind: edit.edit.value.kind as EntityKind, name: edit.edit.value.name };
   }
   const value = edit.edit.value?.entity;
-  if (!value || value.case === undefined) throw new RangeError('An edit holds nothing.');
+  if (!value || value.case === undefined)
+    throw new RangeError('The edit holds no entity: expected an upsert with a value or a removal.');
   return keyOf(value);
 }
 
-/** Compare-and-swap for each entity, change ids, and a history. */
+/** Keeps entities in memory, with compare-and-swap for each entity, idempotent change ids and a history. */
 export class MemoryConfigurationChanges extends ConfigurationChanges {
-  /** Faults of the next changes, in order. */
+  /** Faults of the next changes, one for each change, in order. */
   readonly faults: MemoryFault[] = [];
 
-  /** Mistakes that the rules of the configuration find; none unless a test sets it. */
+  /** Validates the edits of a change. Returns no findings unless a test replaces it. */
   rules: (edits: readonly EntityEdit[]) => readonly Finding[] = () => [];
 
-  private readonly held = new Map<string, ConfigurationEntity>();
+  private readonly entitiesByKey = new Map<string, ConfigurationEntity>();
 
   private readonly log: ConfigurationChange[] = [];
 
@@ -52,17 +53,17 @@
   }
 
   override entities(kind: EntityKind): readonly ConfigurationEntity[] {
-    const keys = [...this.held.keys()].filter((key) => key.startsWith(`${kind}/`)).sort();
-    return keys.flatMap((key) => this.held.get(key) ?? []);
+    const keys = [...this.entitiesByKey.keys()].filter((key) => key.startsWith(`${kind}/`)).sort();
+    return keys.flatMap((key) => this.entitiesByKey.get(key) ?? []);
   }
 
   override entity(kind: EntityKind, name: string): ConfigurationEntity | undefined {
-    return this.held.get(`${kind}/${name}`);
+    return this.entitiesByKey.get(`${kind}/${name}`);
   }
 
   override async change(change: RequestedChange): Promise<ChangeOutcome> {
     const fault = this.faults.shift();
-    if (fault === 'unavailable') return { kind: 'unavailable', message: 'The platform is down.' };
+    if (fault === 'unavailable') return { kind: 'unavailable', message: 'The store is down.' };
     const outcome = this.apply(change);
     if (fault === 'lost_answer') return { kind: 'unsure', message: 'The answer was lost.' };
     return outcome;
@@ -72,10 +73,10 @@
     return this.log.slice(-maximum).reverse();
   }
 
-  /** @returns The whole, as a daemon has it in force. */
+  /** @returns The whole configuration as a daemon has it in force. */
   configuration(): Configuration {
     const whole = create(ConfigurationSchema);
-    for (const { entity } of this.held.values()) {
+    for (const { entity } of this.entitiesByKey.values()) {
       if (entity.case === 'clientAccount') whole.clientAccounts.push(entity.value);
       if (entity.case === 'service') whole.services.push(entity.value);
       if (entity.case === 'modelVersion') whole.modelVersions.push(entity.value);
@@ -118,16 +119,16 @@
     const { kind, name } = targetOf(edit);
     const key = `${kind}/${name}`;
     if (edit.edit.case !== 'upsert') {
-      this.held.delete(key);
+      this.entitiesByKey.delete(key);
       return;
     }
     const value = edit.edit.value.entity;
     if (value.case === undefined) return;
     const entity = clone(ConfigurationEntitySchema, entityOf(value));
-    const before = this.held.get(key);
+    const before = this.entitiesByKey.get(key);
     entity.changedRevision = before?.changedRevision ?? 0n;
     if (before && equals(ConfigurationEntitySchema, before, entity)) return;
     entity.changedRevision = BigInt(this.now);
-    this.held.set(key, entity);
+    this.entitiesByKey.set(key, entity);
   }
 }
--- a/src/operators/OperatorClient.ts
+++ b/src/operators/OperatorClient.ts
@@ -1,16 +1,16 @@
 /**
- * Calls of an operator to any of several daemons: the next one is asked when one does not answer.
+ * A client of the operators' interface with a list of daemons: if one does not answer, the next one is called.
  */
 import type { DescService } from '@bufbuild/protobuf';
 import type { Client, Interceptor } from '@connectrpc/connect';
 import { Code, ConnectError, createClient } from '@connectrpc/connect';
 import { createConnectTransport } from '@connectrpc/connect-node';
 
-/** Longest wait for one answer; `WaitInForce` sets its own. */
+/** Longest wait for one answer; `WaitInForce` sets its own timeout. */
 const DEFAULT_TIMEOUT_MILLISECONDS = 15_000;
 
-/** Another daemon may answer where one failed in these ways; any other error is an answer. */
-const PASSED_ON: ReadonlySet<Code> = new Set([
+/** Error codes after which the next daemon is called. Any other error is an answer of the daemon. */
+const FAILOVER_CODES: ReadonlySet<Code> = new Set([
   Code.Unavailable,
   Code.DeadlineExceeded,
   Code.Unknown,
@@ -18,15 +18,15 @@
 
 /** Options of an {@link OperatorClient}. */
 export interface OperatorClientOptions {
-  /** URLs such as `http://10.0.0.1:8090`, the preferred first. */
+  /** URLs of daemons such as `http://10.0.0.1:8090`, the preferred one first. */
   endpoints: readonly string[];
   token: string;
   timeoutMilliseconds?: number;
 }
 
-/** Speaks to the operators' interface. */
+/** Calls the operators' interface with one operator's token. */
 export class OperatorClient {
-  /** Where calls go, the preferred first. */
+  /** URLs of daemons, the preferred one first. */
   readonly endpoints: readonly string[];
 
   private readonly token: string;
@@ -34,28 +34,29 @@
   private readonly timeoutMilliseconds: number;
 
   /**
-   * @param options - where to call and as whom.
-   * @throws RangeError without an endpoint.
+   * @param options - the daemons, the operator's token and the timeout.
+   * @throws RangeError if there is no endpoint.
    */
   constructor({
     endpoints,
     token,
     timeoutMilliseconds = DEFAULT_TIMEOUT_MILLISECONDS,
   }: OperatorClientOptions) {
-    if (endpoints.length === 0) throw new RangeError('At least one endpoint is needed.');
+    if (endpoints.length === 0)
+      throw new RangeError('The list of endpoints is empty: expected at least one URL.');
     this.endpoints = endpoints;
     this.token = token;
     this.timeoutMilliseconds = timeoutMilliseconds;
   }
 
   /**
-   * Calls one daemon after the other until one answers. A change carries its change id, so that a second
-   * daemon does not make it twice.
+   * Calls one daemon after the other until one answers. Changes are idempotent by their change id, so that a second
+   * daemon does not make a change twice.
    *
-   * @param service - which service of the schema.
-   * @param call - makes the call.
+   * @param service - the service in the schema.
+   * @param call - makes the call with the given client.
    * @returns The first answer.
-   * @throws ConnectError with the first daemon's refusal, or with the last failure when nobody answered.
+   * @throws ConnectError with the error that a daemon answered, or with the last failure if no daemon answered.
    */
   async call<Service extends DescService, Answer>(
     service: Service,
@@ -67,7 +68,7 @@
         return await call(this.at(endpoint, service));
       } catch (error) {
         const refusal = ConnectError.from(error);
-        if (!PASSED_ON.has(refusal.code)) throw refusal;
+        if (!FAILOVER_CODES.has(refusal.code)) throw refusal;
         failure = new ConnectError(`${endpoint}: ${refusal.rawMessage}`, refusal.code);
       }
     }
@@ -75,9 +76,9 @@
   }
 
   /**
-   * @param endpoint - one daemon.
-   * @param service - which service of the schema.
-   * @returns A client of that daemon alone.
+   * @param endpoint - URL of a daemon.
+   * @param service - the service in the schema.
+   * @returns A client that calls only this daemon.
    */
   at<Service extends DescService>(endpoint: string, service: Service): Client<Service> {
     const authorize: Interceptor = (next) => (request) => {
--- a/src/operators/OperatorServer.spec.ts
+++ b/src/operators/OperatorServer.spec.ts
@@ -41,7 +41,7 @@
 async function refusalOf(call: Promise<unknown>): Promise<ConnectError> {
   return call.then(
     () => {
-      throw new Error('The call was expected to be refused.');
+      throw new Error('The call succeeded; expected it to be refused.');
     },
     (error) => ConnectError.from(error),
   );
@@ -58,7 +58,7 @@
 
   afterEach(() => server.close());
 
-  it('creates, reads, changes, lists, removes and remembers', async () => {
+  it('creates, reads, changes, lists and removes a resource, and shows each change in the history', async () => {
     const calls = resources();
     await calls.create({ origin: origin(), resource: account(1) });
     const read = await calls.read({ kind: 'client_account', name: 'showroom-1' });
@@ -83,7 +83,7 @@
     ]);
   });
 
-  it('refuses a change of whoever has no token for changes', async () => {
+  it('refuses a change without a token, with an unknown token and with a read-only token', async () => {
     const strangers: [string, Code][] = [
       ['', Code.Unauthenticated],
       [createOperatorToken().token, Code.Unauthenticated],
@@ -116,10 +116,9 @@
     ]);
   });
 
-  it('shows the loser of a race the newer value and who set it', async () => {
-    // Symptom: the second of two operators undoes the first one's change without knowing.
-    // Sequence: both read weight 1; the first sets 5; the second sets 3 over it.
-    // Cause: the change said nothing of what its author had seen.
+  it('answers a conflicting change with the newer value and its author', async () => {
+    // Guards against a lost update: two operators read weight 1, the first sets 5, and the second overwrites it with 3
+    // without noticing. This happens if a change does not carry the revision that its author has read.
     const calls = resources();
     await calls.create({ origin: origin(), resource: account(1) });
     const { changedRevision } = await calls.read({ kind: 'client_account', name: 'showroom-1' });
@@ -142,9 +141,9 @@
   });
 
   it('makes a change once when its answer was lost and it is repeated', async () => {
-    // Symptom: an operator who repeats a removal is told that nothing is there, and looks for a fault.
-    // Sequence: the removal takes effect, its answer is lost, the command asks the next daemon.
-    // Cause: the repeat was judged by what is there now, not by its change id.
+    // Guards against a repeated removal that is answered with "not found": the removal takes effect, its answer is lost,
+    // and the command calls the next daemon. This happens if the repeat is checked against the current configuration
+    // instead of its change id.
     const calls = resources();
     await calls.create({ origin: origin(), resource: account(1) });
     const removal = { origin: origin(), kind: 'client_account', name: 'showroom-1' };
@@ -180,7 +179,7 @@
     expect(repeat.code).toEqual(Code.AlreadyExists);
   });
 
-  it('waits until a revision is in force, or says who lags', async () => {
+  it('waits until a revision is in force on all daemons, or lists the daemons that lag', async () => {
     const daemon = (daemonId: string, state: string, revision: bigint, dataCentre = 'x') =>
       create(MemberSchema, { daemonId, state, configurationRevision: revision, dataCentre });
     server.fleet.revision = 7;
@@ -188,7 +187,7 @@
       daemon('a', 'alive', 7n),
       daemon('b', 'alive', 6n),
       daemon('c', 'dead', 1n),
-      // Of another data centre only its sum tells a revision.
+      // In another data centre: its revision is known only from the data centre's summary.
       daemon('d', 'alive', 0n, 'y'),
     ];
     const sum = { dataCentre: 'y', lowestConfigurationRevision: 7n };
@@ -211,7 +210,7 @@
     expect((await refusalOf(stranger)).code).toEqual(Code.Unauthenticated);
   });
 
-  it('starts a roll-out once, steers it, and refuses a version set past it', async () => {
+  it('starts a roll-out once, halts it and rolls it back, and refuses a version that is set directly', async () => {
     const calls = resources();
     const service = {
       name: 'sales',
--- a/src/operators/OperatorServer.ts
+++ b/src/operators/OperatorServer.ts
@@ -1,5 +1,5 @@
 /**
- * Serves operators: connect-es over Node's `http`, on a port of its own.
+ * The server of the operators' interface: connect-es over Node's `http`, on its own port.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -40,14 +40,14 @@
 
 /** Options of an {@link OperatorServer}. */
 export interface OperatorServerOptions {
-  /** IP number on which operators are served. */
+  /** IP number to listen on. */
   host?: string;
-  /** TCP port; 0 takes a free one. */
+  /** TCP port; 0 takes any free port. */
   port?: number;
   settings: OperatorsSettings;
   fleet: FleetView;
   gates: GateStatusSource;
-  /** Writes this daemon's scrape page; empty when there is none. */
+  /** Returns this daemon's metrics page; by default an empty one. */
   metricsPage?: () => string;
   changes: ConfigurationChanges;
   clock: Clock;
@@ -58,8 +58,8 @@
   await timeout(milliseconds, undefined, { signal }).catch(() => {});
 }
 
-/** Hides what a fault of the program says from the outside, and writes it into the log instead. */
-function internalFaults(log: Log): Interceptor {
+/** Logs an unexpected exception and answers with a general error, so that no internals reach the operator. */
+function hideInternalErrors(log: Log): Interceptor {
   return (next) => async (request) => {
     try {
       return await next(request);
@@ -67,7 +67,10 @@
       if (error instanceof ConnectError) throw error;
       const message = error instanceof Error ? VError.fullStack(error) : String(error);
       log.write(events.internal, { method: request.method.name, message });
-      throw new ConnectError('The daemon failed by a fault of its own.', Code.Internal);
+      throw new ConnectError(
+        'The daemon failed with an internal error; its log has the details.',
+        Code.Internal,
+      );
     }
   };
 }
@@ -93,7 +96,7 @@
   router.service(RolloutService, new RolloutHandlers({ changes, submitter, fleet }));
 }
 
-/** Owns the socket on which operators are served. */
+/** Listens for operators, authenticates their calls and passes them to the handlers. */
 export class OperatorServer {
   private readonly host: string;
 
@@ -108,7 +111,7 @@
   private readonly server: Server;
 
   /**
-   * @param options - settings, what is known of the fleet, and where changes go.
+   * @param options - address, settings, the view of the fleet, the configuration, clock and log.
    */
   constructor(options: OperatorServerOptions) {
     const { settings, log, host = LOOPBACK, port = 0 } = options;
@@ -121,7 +124,7 @@
       routes: (router) => addServices(router, options),
       contextValues: ({ headers }) =>
         createContextValues().set(operatorKey, this.tokens.operatorOf(headers.authorization)),
-      interceptors: [internalFaults(log)],
+      interceptors: [hideInternalErrors(log)],
       readMaxBytes: settings.maximumBodyBytes,
       grpc: false,
       grpcWeb: false,
@@ -133,7 +136,7 @@
         requestTimeout: settings.requestTimeoutMilliseconds,
       },
       (request, response) => {
-        if (this.admits(request, response)) handle(request, response);
+        if (this.authenticate(request, response)) handle(request, response);
       },
     );
     this.server.maxConnections = settings.maximumConnections;
@@ -142,8 +145,8 @@
   /**
    * Opens the port.
    *
-   * @returns The port, which the system chose where 0 was asked for.
-   * @throws VError when the port cannot be opened.
+   * @returns The port; if the options name port 0, the one that the system chose.
+   * @throws VError if the port cannot be opened.
    */
   async listen(): Promise<number> {
     const { host, port } = this;
@@ -159,7 +162,7 @@
     return chosen;
   }
 
-  /** Closes the port; calls in progress are cut, a repeat with the same change id is safe. */
+  /** Closes the port and all connections. Calls in progress are cut off; a change is safe to repeat with the same change id. */
   async close(): Promise<void> {
     await new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -168,13 +171,13 @@
     this.log.write(events.stopped);
   }
 
-  /** Refuses a stranger before a byte of its body is read. */
-  private admits(request: IncomingMessage, response: ServerResponse): boolean {
+  /** Answers 401 to a request without a valid token, before any of its body is read. */
+  private authenticate(request: IncomingMessage, response: ServerResponse): boolean {
     if (this.tokens.operatorOf(request.headers.authorization)) return true;
     this.log.write(events.unauthenticated, { from: request.socket.remoteAddress ?? '' });
     const body = JSON.stringify({
       code: 'unauthenticated',
-      message: 'A valid token is needed: Authorization: Bearer <token>.',
+      message: 'The request has no valid token; expected the header Authorization: Bearer <token>.',
     });
     response.writeHead(HTTP_UNAUTHORIZED, {
       'content-type': 'application/json',
--- a/src/operators/OperatorTokens.ts
+++ b/src/operators/OperatorTokens.ts
@@ -1,5 +1,5 @@
 /**
- * Tokens of operators: random, kept in the settings as SHA-256, compared in constant time.
+ * Operators' tokens: random, stored in the settings as their SHA-256, compared in constant time.
  */
 import { createHash, randomBytes, timingSafeEqual } from 'node:crypto';
 
@@ -7,7 +7,7 @@
 
 const TOKEN_BYTES = 32;
 
-/** A longer token is not hashed at all, so that a huge header costs nothing. */
+/** Largest length in characters. A longer token is not hashed, so that a huge header costs no processor time. */
 const MAXIMUM_TOKEN_LENGTH = 512;
 
 const BEARER = /^Bearer ([^\s]+)$/u;
@@ -15,15 +15,15 @@
 /** What an operator may do. */
 export type OperatorRole = (typeof OPERATOR_ROLES)[number];
 
-/** Who calls. */
+/** An operator, as recognised by the token. */
 export interface Operator {
   readonly name: string;
   readonly role: OperatorRole;
 }
 
-/** A token as the settings hold it. */
+/** A token as the settings store it. */
 export interface StoredToken extends Operator {
-  /** 64 hexadecimal digits. */
+  /** SHA-256 of the token, as 64 hexadecimal digits. */
   readonly sha256: string;
 }
 
@@ -33,21 +33,22 @@
 }
 
 function digestOf(token: string): Buffer {
-  // A token has 32 random bytes, so a fast hash without salt is enough: there is no dictionary to try.
+  // A token has 32 random bytes, so a fast hash without salt is enough: a
+  // dictionary attack has no candidates to try.
   return createHash('sha256').update(token, 'utf8').digest();
 }
 
 /**
- * Makes a new token.
+ * Creates a random token.
  *
- * @returns The token to hand out, and the digest for the settings.
+ * @returns The token for the operator, and its digest for the settings.
  */
 export function createOperatorToken(): { token: string; sha256: string } {
   const token = randomBytes(TOKEN_BYTES).toString('base64url');
   return { token, sha256: digestOf(token).toString('hex') };
 }
 
-/** Recognizes operators by their token. */
+/** Finds the operator to whom a token belongs. */
 export class OperatorTokens {
   private readonly tokens: readonly { operator: Operator; digest: Buffer }[];
 
@@ -62,10 +63,10 @@
   }
 
   /**
-   * Looks at every token whatever matched, so that the time taken tells nothing about them.
+   * Compares every token even after a match, so that the time taken reveals nothing about the tokens.
    *
-   * @param authorization - the `Authorization` header as it came.
-   * @returns The operator, or `undefined` for a stranger.
+   * @param authorization - the `Authorization` header as received.
+   * @returns The operator, or `undefined` without a valid token.
    */
   operatorOf(authorization: string | undefined): Operator | undefined {
     const token = BEARER.exec(authorization ?? '')?.[1];
--- a/src/operators/ResourceFile.spec.ts
+++ b/src/operators/ResourceFile.spec.ts
@@ -65,7 +65,7 @@
     ]);
   });
 
-  it('meets any text with resources or findings, never with an exception', () => {
+  it('parses any text into resources or findings and never throws', () => {
     const word = fc.constantFrom(
       'clientAccounts',
       'services',
--- a/src/operators/ResourceFile.ts
+++ b/src/operators/ResourceFile.ts
@@ -1,5 +1,5 @@
 /**
- * Resources in a YAML file, with the place of every field.
+ * A YAML file of resources: parses them and finds the line and column of each field.
  */
 import type { JsonObject, JsonValue } from '@bufbuild/protobuf';
 import { create, fromJson } from '@bufbuild/protobuf';
@@ -13,7 +13,7 @@
 import { RESOURCE_CASES, RESOURCE_SCHEMAS, findField, valueMistakes } from './resourceFields.js';
 import type { ResourceKind } from './resourceKinds.js';
 
-/** Sections of a file, in the order in which people read them. */
+/** Sections of a file with the kind of resource that each holds, in the order in which messages list them. */
 const SECTIONS: Readonly<Record<string, ResourceKind>> = {
   clientAccounts: 'client_account',
   services: 'service',
@@ -24,8 +24,10 @@
 /** The names of the sections. */
 export const RESOURCE_SECTIONS: readonly string[] = Object.keys(SECTIONS);
 
+/** Matches a field path of a request, for example `resources[3].clientAccount.weight`: the index, and `weight`. */
 const RESOURCE_FIELD = /^resources\[(\d+)\](?:\.[A-Za-z]+)?\.?(.*)$/u;
 
+/** Key in a map or index in a list. */
 type PathStep = string | number;
 
 function fieldOfPath(path: readonly PathStep[]): string {
@@ -37,25 +39,25 @@
     .join('');
 }
 
-/** A parsed file. */
+/** A parsed file with its resources and the errors found in it. */
 export class ResourceFile {
-  /** What the file holds, in its order; not complete when there are findings. */
+  /** The resources in the order of the file; incomplete if there are findings. */
   readonly resources: Resource[] = [];
 
-  private readonly collected = new Findings();
+  private readonly collectedFindings = new Findings();
 
   private readonly lines = new LineCounter();
 
   private readonly document: Document.Parsed;
 
-  /** For each resource the path of its node. */
-  private readonly paths: PathStep[][] = [];
+  /** The path of each resource's node in the document, by the index of the resource. */
+  private readonly resourcePaths: PathStep[][] = [];
 
   /**
-   * Parses a file; mistakes are kept as findings.
+   * Parses a file. Errors in it are collected as findings.
    *
    * @param text - the file's content.
-   * @param file - its name, for findings.
+   * @param file - the file's name, for findings.
    */
   constructor(
     text: string,
@@ -66,25 +68,25 @@
       const [offset] = error.pos;
       const { line, col } = this.lines.linePos(offset);
       const [message = error.message] = error.message.split('\n');
-      this.collected.add({ file, line, column: col }, message);
+      this.collectedFindings.add({ file, line, column: col }, message);
     }
     if (this.document.errors.length === 0) this.readSections();
   }
 
-  /** @returns Every mistake in the file, each with line and column. */
+  /** @returns Every error in the file, each with line and column. */
   findings(): readonly Finding[] {
-    return this.collected.list();
+    return this.collectedFindings.list();
   }
 
   /**
-   * Finds where a field of a request stands in the file.
+   * Finds the place in the file of a field that a daemon names in an error.
    *
-   * @param field - as a daemon names it, for example `resources[3].clientAccount.weight`.
-   * @returns File, line and column of the nearest node, and the field as the file has it.
+   * @param field - path of the field in the request, for example `resources[3].clientAccount.weight`.
+   * @returns File, line and column of the nearest node that exists, and the path of the field in the file.
    */
   placeOf(field: string): FindingPlace {
     const [, position = '', rest = ''] = RESOURCE_FIELD.exec(field) ?? [];
-    const path = this.paths[Number(position)];
+    const path = this.resourcePaths[Number(position)];
     if (position === '' || !path) return { file: this.file, field };
     const steps = rest.split(/[.[\]]/u).filter((step) => step !== '');
     return this.placeOfPath([
@@ -97,7 +99,10 @@
     const root = this.document.contents;
     if (!isMap(root)) {
       const known = RESOURCE_SECTIONS.join(', ');
-      this.collected.add({ file: this.file, line: 1, column: 1 }, `has to hold ${known}`);
+      this.collectedFindings.add(
+        { file: this.file, line: 1, column: 1 },
+        `has to be a map with some of the sections ${known}`,
+      );
       return;
     }
     for (const { key } of root.items) {
@@ -106,7 +111,10 @@
       if (kind) this.readSection(name, kind);
       else {
         const known = RESOURCE_SECTIONS.join(', ');
-        this.collected.add(this.placeOfNode(key, name), `is unknown; there are ${known}`);
+        this.collectedFindings.add(
+          this.placeOfNode(key, name),
+          `is an unknown section; there are ${known}`,
+        );
       }
     }
   }
@@ -114,13 +122,13 @@
   private readSection(name: string, kind: ResourceKind): void {
     const section = this.document.get(name, true);
     if (!isSeq(section)) {
-      this.collected.add(this.placeOfPath([name]), 'has to be a list');
+      this.collectedFindings.add(this.placeOfPath([name]), 'has to be a list');
       return;
     }
     section.items.forEach((item, position) => {
       const path = [name, position];
       if (isMap(item)) this.readResource(path, kind);
-      else this.collected.add(this.placeOfPath(path), 'has to hold fields');
+      else this.collectedFindings.add(this.placeOfPath(path), 'has to be a map of fields');
     });
   }
 
@@ -134,13 +142,13 @@
       if (value !== undefined) json[name] = value;
     }
     if (typeof json.name !== 'string' || json.name === '') {
-      this.collected.add({ ...this.placeOfPath(path) }, 'needs a name');
+      this.collectedFindings.add({ ...this.placeOfPath(path) }, 'needs a name');
       return;
     }
     const message = fromJson(RESOURCE_SCHEMAS[kind], json);
     const resource = { case: RESOURCE_CASES[kind], value: message } as Resource['resource'];
     this.resources.push(create(ResourceSchema, { resource }));
-    this.paths.push(path);
+    this.resourcePaths.push(path);
   }
 
   private readField(
@@ -151,7 +159,7 @@
   ): JsonValue | undefined {
     const field = findField(RESOURCE_SCHEMAS[kind], name);
     if (typeof field === 'string') {
-      this.collected.add(this.placeOfNode(key, fieldOfPath(path)), field);
+      this.collectedFindings.add(this.placeOfNode(key, fieldOfPath(path)), field);
       return undefined;
     }
     const node = this.document.getIn(path, true);
@@ -159,7 +167,7 @@
     const mistakes = valueMistakes(field, value);
     for (const { position, message } of mistakes) {
       const place = position === undefined ? path : [...path, position];
-      this.collected.add(this.placeOfPath(place), message);
+      this.collectedFindings.add(this.placeOfPath(place), message);
     }
     return mistakes.length > 0 ? undefined : (value as JsonValue);
   }
@@ -169,7 +177,7 @@
     try {
       return node.toJS(this.document);
     } catch {
-      // Aliases that multiply each other are refused by the library; no field has such a value.
+      // The library throws on aliases that expand exponentially. No field has such a value, so it is reported as wrong.
       return undefined;
     }
   }
--- a/src/operators/ResourceHandlers.ts
+++ b/src/operators/ResourceHandlers.ts
@@ -1,5 +1,5 @@
 /**
- * Calls about client accounts, services, model versions and routing policies.
+ * Operators' calls about resources: client accounts, services, model versions and routing policies.
  */
 import { create } from '@bufbuild/protobuf';
 import type { HandlerContext, ServiceImpl } from '@connectrpc/connect';
@@ -42,10 +42,15 @@
 import type { ResourceValue } from './resourceKinds.js';
 import { entityOf, keyOf, resourceOf } from './resourceKinds.js';
 
+/** Number of resources that a list returns if the request does not set one. */
 const DEFAULT_LIST_MAXIMUM = 1000;
+/** Largest number of resources that a list returns. */
 const MAXIMUM_LIST = 10_000;
+/** Number of history entries that are returned if the request does not set one. */
 const DEFAULT_HISTORY_MAXIMUM = 50;
+/** Largest number of changes that are read and returned. */
 const MAXIMUM_HISTORY = 1000;
+/** Largest number of resources in one request of `apply`. */
 const MAXIMUM_RESOURCES_OF_ONE_CHANGE = 1000;
 
 /** Options of {@link ResourceHandlers}. */
@@ -54,21 +59,21 @@
   submitter: ChangeSubmitter;
 }
 
-function required(resource: CreateRequest['resource']): ResourceValue {
+function checkedValueOf(resource: CreateRequest['resource']): ResourceValue {
   const findings = new Findings();
   const value = checkResource(resource, 'resource', findings);
   if (!value) throw invalidArgument(findings.list());
   return value;
 }
 
-/** The handlers; `this` is bound because connect calls them bare. */
+/** Handlers of the operators' calls about resources. They are arrow functions because connect calls them without `this`. */
 export class ResourceHandlers implements ServiceImpl<typeof ResourceService> {
   private readonly changes: ConfigurationChanges;
 
   private readonly submitter: ChangeSubmitter;
 
   /**
-   * @param options - where resources are read and changed.
+   * @param options - the configuration to read, and the submitter of changes.
    */
   constructor({ changes, submitter }: ResourceHandlersOptions) {
     this.changes = changes;
@@ -77,13 +82,13 @@
 
   create = async (request: CreateRequest, context: HandlerContext): Promise<ChangeResponse> => {
     const origin = originOf(context, request.origin);
-    const value = required(request.resource);
+    const value = checkedValueOf(request.resource);
     return this.submitter.submit(origin, [upsertOf(value, 'resource', 0n)], { creating: true });
   };
 
   change = async (request: ChangeRequest, context: HandlerContext): Promise<ChangeResponse> => {
     const origin = originOf(context, request.origin);
-    const value = required(request.resource);
+    const value = checkedValueOf(request.resource);
     const { kind, name } = keyOf(value);
     const { expectedRevision } = request;
     const changed = (current: ConfigurationEntity | undefined) => {
@@ -160,7 +165,7 @@
     const maximum = Math.min(request.maximum || DEFAULT_HISTORY_MAXIMUM, MAXIMUM_HISTORY);
     const all = kind === '' && name === '';
     const history = await this.changes.history(all ? maximum : MAXIMUM_HISTORY).catch((cause) => {
-      const text = 'The history is with the platform, which does not answer.';
+      const text = 'The history is kept in the store, which does not answer.';
       throw new ConnectError(text, Code.Unavailable, undefined, undefined, cause);
     });
     const entries = history.filter((change) => touches(change, kind, name)).slice(0, maximum);
@@ -169,9 +174,10 @@
 
   private editsOf({ resources }: ApplyRequest): PlacedEdit[] {
     const findings = new Findings();
-    if (resources.length === 0) findings.add({ field: 'resources' }, 'holds nothing to apply');
+    if (resources.length === 0)
+      findings.add({ field: 'resources' }, 'is empty; expected at least one resource');
     if (resources.length > MAXIMUM_RESOURCES_OF_ONE_CHANGE) {
-      const most = `holds more than ${MAXIMUM_RESOURCES_OF_ONE_CHANGE}; apply them in parts`;
+      const most = `holds more than ${MAXIMUM_RESOURCES_OF_ONE_CHANGE} resources; apply them in parts`;
       findings.add({ field: 'resources' }, most);
       throw invalidArgument(findings.list());
     }
@@ -183,7 +189,7 @@
       const { kind, name } = keyOf(value);
       const earlier = seen.get(`${kind}/${name}`);
       if (earlier) {
-        findings.add({ field: `${field}.${value.case}.name` }, `stands in ${earlier} already`);
+        findings.add({ field: `${field}.${value.case}.name` }, `is already used by ${earlier}`);
         return [];
       }
       seen.set(`${kind}/${name}`, field);
--- a/src/operators/RolloutHandlers.ts
+++ b/src/operators/RolloutHandlers.ts
@@ -1,5 +1,5 @@
 /**
- * Calls that start and steer roll-outs of model versions.
+ * Operators' calls that start, halt, resume, roll back and list roll-outs of model versions.
  */
 import { create } from '@bufbuild/protobuf';
 import type { HandlerContext, ServiceImpl } from '@connectrpc/connect';
@@ -27,11 +27,13 @@
 import type { RolloutAction } from './rolloutSteering.js';
 import { ROLLOUT_ACTIONS, steered } from './rolloutSteering.js';
 
-const DEFAULT_UNAVAILABLE_SHARE = 0.25;
-const DEFAULT_FAILURES = 1;
+/** Largest share of a pool's runners that may be unavailable at once, if the request does not set it. */
+const DEFAULT_MAXIMUM_UNAVAILABLE_SHARE = 0.25;
+/** Number of failures at which a roll-out halts, if the request does not set it. */
+const DEFAULT_MAXIMUM_FAILURES = 1;
 
-/** States in which a roll-out still has something to do. */
-const OPEN_STATES: ReadonlySet<string> = new Set(['running', 'halted', 'rolling_back']);
+/** States of a roll-out that is not finished. The service cannot start another one. */
+const UNFINISHED_STATES: ReadonlySet<string> = new Set(['running', 'halted', 'rolling_back']);
 
 /** Options of {@link RolloutHandlers}. */
 export interface RolloutHandlersOptions {
@@ -45,14 +47,14 @@
   return entity.entity.value;
 }
 
-function refuseSteering(rollout: Rollout, action: RolloutAction): ConnectError {
+function unsuitableActionError(rollout: Rollout, action: RolloutAction): ConnectError {
   return new ConnectError(
-    `The roll-out is ${rollout.state.replace('_', ' ')}; it cannot be told to ${action.replace('_', ' ')}.`,
+    `The roll-out is ${rollout.state.replace('_', ' ')}; in this state it does not accept the action ${action.replace('_', ' ')}.`,
     Code.FailedPrecondition,
   );
 }
 
-/** The handlers. */
+/** Handlers of the operators' calls about roll-outs. */
 export class RolloutHandlers implements ServiceImpl<typeof RolloutService> {
   private readonly changes: ConfigurationChanges;
 
@@ -61,7 +63,7 @@
   private readonly fleet: FleetView;
 
   /**
-   * @param options - where roll-outs are kept, and what is known of the fleet.
+   * @param options - the configuration that holds the roll-outs, the submitter of changes and the view of the fleet.
    */
   constructor({ changes, submitter, fleet }: RolloutHandlersOptions) {
     this.changes = changes;
@@ -82,7 +84,7 @@
       field: 'service',
       modify: (current) => {
         const before = current?.entity.case === 'rollout' ? current.entity.value : undefined;
-        if (before && OPEN_STATES.has(before.state)) {
+        if (before && UNFINISHED_STATES.has(before.state)) {
           throw new ConnectError(
             `A roll-out of ${before.service} to ${before.toVersion} is ${before.state}; halt and roll it back, or let it finish.`,
             Code.FailedPrecondition,
@@ -109,7 +111,7 @@
       modify: (current) => {
         const before = rolloutOf(current, name);
         const rollout = steered(before, action);
-        if (!rollout) throw refuseSteering(before, action);
+        if (!rollout) throw unsuitableActionError(before, action);
         rollout.reason = origin.comment || `${action.replace('_', ' ')} by ${origin.author}`;
         return entityOf({ case: 'rollout', value: rollout });
       },
@@ -129,14 +131,15 @@
     const findings = new Findings();
     const service = this.fleet.service(request.service);
     if (!service) throw notFound('service', request.service);
-    if (service.kind !== 'engine') findings.add({ field: 'service' }, 'is not a pool of engines');
+    if (service.kind !== 'engine')
+      findings.add({ field: 'service' }, 'is not a service of kind engine');
     const versions = this.fleet.configuration().modelVersions;
     const wanted = versions.find(
       ({ model, version }) => model === service.model && version === request.toVersion,
     );
-    if (!wanted) findings.add({ field: 'toVersion' }, `is no version of ${service.model}`);
+    if (!wanted) findings.add({ field: 'toVersion' }, `is not a known version of ${service.model}`);
     if (wanted?.state === 'withdrawn') findings.add({ field: 'toVersion' }, 'is withdrawn');
-    const share = request.maximumUnavailableShare || DEFAULT_UNAVAILABLE_SHARE;
+    const share = request.maximumUnavailableShare || DEFAULT_MAXIMUM_UNAVAILABLE_SHARE;
     if (!(share > 0 && share <= 1)) {
       findings.add({ field: 'maximumUnavailableShare' }, 'has to be above 0 and at most 1');
     }
@@ -149,7 +152,7 @@
       toVersion: request.toVersion,
       state: 'running',
       maximumUnavailableShare: share,
-      maximumFailures: request.maximumFailures || DEFAULT_FAILURES,
+      maximumFailures: request.maximumFailures || DEFAULT_MAXIMUM_FAILURES,
       dataCentres,
     });
   }
@@ -163,7 +166,7 @@
       const place = { field: `dataCentres[${position}]` };
       findings.add(place, `has no runner of ${request.service}; known are ${known.join(', ')}`);
     });
-    // Data centres that are not named come last: a roll-out that forgot one would never finish.
+    // Data centres that the request does not name come last. A roll-out that left one out would never finish.
     const rest = known.filter((dataCentre) => !request.dataCentres.includes(dataCentre));
     return [...request.dataCentres, ...rest];
   }
--- a/src/operators/daemonRevisions.ts
+++ b/src/operators/daemonRevisions.ts
@@ -1,37 +1,38 @@
 /**
- * Which revision of the configuration is in force on which daemon, as far as this daemon can know.
+ * The revision of the configuration that is in force on each daemon, as far as this daemon knows.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type { Member } from '../generated/baobabdock/v1/peers_pb.js';
 
-/** States in which a daemon serves and so has to have the newest configuration. */
+/** States in which a daemon serves requests and therefore needs the newest configuration. */
 const SERVING_STATES: ReadonlySet<string> = new Set(['alive', 'suspect', 'leaving']);
 
-/** A daemon that serves, with its revision. */
+/** A daemon that serves requests, with its revision of the configuration. */
 export interface DaemonRevision {
   readonly member: Member;
-  /** At least this one is in force there. */
+  /** The daemon has this revision or a newer one in force. */
   readonly revision: bigint;
 }
 
 /**
  * @param member - a daemon's record.
- * @returns Whether it is believed to serve.
+ * @returns Whether the daemon serves requests, by its state in this daemon's view.
  */
 export function serves(member: Member): boolean {
   return SERVING_STATES.has(member.state);
 }
 
-function larger(a: bigint, b: bigint): bigint {
+function newerRevision(a: bigint, b: bigint): bigint {
   return a > b ? a : b;
 }
 
 /**
- * Revisions of daemons in other data centres come as the lowest of each data centre. A record may carry
- * an older one; as revisions never go back, the larger of both is certain.
+ * Lists the serving daemons with their revisions. For another data centre only the lowest revision of its daemons is
+ * received, in the data centre's summary. A daemon's own record may carry an older one. Revisions never decrease, so the
+ * daemon has at least the larger of the two.
  *
- * @param fleet - what this daemon believes.
- * @returns All daemons that serve.
+ * @param fleet - this daemon's view of the fleet.
+ * @returns All daemons that serve requests.
  */
 export function daemonRevisions(fleet: FleetView): readonly DaemonRevision[] {
   const lowest = new Map(
@@ -45,26 +46,29 @@
     .filter(serves)
     .map((member) => {
       const own = member.daemonId === self.daemonId;
-      const sum = lowest.get(member.dataCentre);
-      const elsewhere = member.dataCentre !== self.dataCentre && sum !== undefined ? sum : 0n;
-      const known = own ? BigInt(fleet.configurationRevision()) : elsewhere;
-      return { member, revision: larger(known, member.configurationRevision) };
+      const summaryRevision = lowest.get(member.dataCentre);
+      const reportedRevision =
+        member.dataCentre !== self.dataCentre && summaryRevision !== undefined
+          ? summaryRevision
+          : 0n;
+      const known = own ? BigInt(fleet.configurationRevision()) : reportedRevision;
+      return { member, revision: newerRevision(known, member.configurationRevision) };
     });
 }
 
 /**
- * @param fleet - what this daemon believes.
+ * @param fleet - this daemon's view of the fleet.
  * @returns The newest revision that any serving daemon has in force.
  */
 export function newestRevision(fleet: FleetView): bigint {
   return daemonRevisions(fleet)
     .map(({ revision }) => revision)
-    .reduce(larger, BigInt(fleet.configurationRevision()));
+    .reduce(newerRevision, BigInt(fleet.configurationRevision()));
 }
 
 /**
- * @param fleet - what this daemon believes.
- * @returns The revision that every serving daemon has in force.
+ * @param fleet - this daemon's view of the fleet.
+ * @returns The lowest revision of all serving daemons: each of them has it or a newer one in force.
  */
 export function everywhereRevision(fleet: FleetView): bigint {
   return daemonRevisions(fleet)
--- a/src/operators/exampleResources.spec.ts
+++ b/src/operators/exampleResources.spec.ts
@@ -30,7 +30,7 @@
     }
   });
 
-  it('have the sizes of today, and lean to reuse and to an even load', () => {
+  it('have the expected numbers of accounts and services, and one policy for reuse and one for an even load', () => {
     const state = ConfigurationState.EMPTY.withEdits(FILES.flatMap(editsOf));
     const { clientAccounts, services, routingPolicies } = state.configuration();
     const firms = ['litoral', 'kutiya-punkt'];
--- a/src/operators/findingFields.ts
+++ b/src/operators/findingFields.ts
@@ -1,14 +1,15 @@
 /**
- * Moves findings from the edits of a change to the fields of the request that the edits came from.
+ * Translates the fields of findings from the edits of a change to the fields of the operator's request.
  */
 import type { Finding } from '../findings/Findings.js';
 
+/** Matches a field of an edit, for example `edits[2].weight`: the index, and `.weight`. */
 const EDIT_FIELD = /^edits\[(\d+)\](.*)$/u;
 
 /**
- * @param findings - with fields such as `edits[2].weight`.
- * @param placed - for each edit the field of the request that it came from.
- * @returns The same mistakes under fields such as `resources[2].clientAccount.weight`.
+ * @param findings - findings with fields such as `edits[2].weight`.
+ * @param placed - for each edit, the field of the request that it was made from.
+ * @returns The same findings with fields such as `resources[2].clientAccount.weight`.
  */
 export function relocateFindings(
   findings: readonly Finding[],
--- a/src/operators/fleetStatus.ts
+++ b/src/operators/fleetStatus.ts
@@ -1,5 +1,5 @@
 /**
- * The status of daemons, pools and runners, read from what one daemon believes of the fleet.
+ * The status of daemons, pools, runners and gates for operators, read from one daemon's view of the fleet.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -30,9 +30,9 @@
 
 /**
  * @param daemon - a daemon's record, with the revision in force there.
- * @param newest - the revision that it should have.
- * @param drains - in force.
- * @returns What operators see of it.
+ * @param newest - the revision that the daemon should have; below it, the status says that the daemon lags.
+ * @param drains - the drains in force.
+ * @returns The daemon's status for operators.
  */
 export function daemonStatus(
   { member, revision }: DaemonRevision,
@@ -93,10 +93,10 @@
 }
 
 /**
- * @param fleet - what this daemon believes.
- * @param gates - readings of this daemon's own gates.
- * @param service - only this service; empty for all.
- * @returns The answer to an operator.
+ * @param fleet - this daemon's view of the fleet.
+ * @param gates - the readings of this daemon's own gates.
+ * @param service - name of the only service to show; empty for all.
+ * @returns The status for an operator.
  */
 export function fleetStatus(
   fleet: FleetView,
@@ -105,10 +105,10 @@
 ): StatusResponse {
   const { services, drains, rollouts } = fleet.configuration();
   const newest = newestRevision(fleet);
-  const gone = fleet.members().filter((member) => !serves(member));
+  const notServing = fleet.members().filter((member) => !serves(member));
   const daemons = [
     ...daemonRevisions(fleet),
-    ...gone.map((member) => ({ member, revision: member.configurationRevision })),
+    ...notServing.map((member) => ({ member, revision: member.configurationRevision })),
   ];
   const shown = services.filter(({ name }) => service === '' || name === service);
   const names = new Set(shown.map(({ name }) => name));
--- a/src/operators/historyEntries.ts
+++ b/src/operators/historyEntries.ts
@@ -1,5 +1,5 @@
 /**
- * The history of changes, as operators see it.
+ * Converts accepted changes into the history entries that operators see.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -24,7 +24,8 @@
 
 /**
  * @param change - an accepted change.
- * @returns Its entry; an unconditional edit counts as "changed", for what was there before is not kept.
+ * @returns The history entry. An edit without an expected revision is shown as "changed", because the change does not
+ *   record whether the entity existed before.
  */
 export function historyEntry(change: ConfigurationChange): HistoryEntry {
   return create(HistoryEntrySchema, {
@@ -39,9 +40,9 @@
 
 /**
  * @param change - an accepted change.
- * @param kind - kind of a resource; empty for any.
- * @param name - its name; empty for any.
- * @returns Whether the change touched it.
+ * @param kind - kind of an entity; empty for any.
+ * @param name - name of an entity; empty for any.
+ * @returns Whether the change edited such an entity.
  */
 export function touches(change: ConfigurationChange, kind: string, name: string): boolean {
   return change.edits.some((edit) => {
--- a/src/operators/operatorContext.ts
+++ b/src/operators/operatorContext.ts
@@ -1,5 +1,5 @@
 /**
- * Who calls, as the handlers of the operators' interface see it.
+ * The operator who makes a call, and the checks of the operator's role and of a change's origin.
  */
 import type { HandlerContext } from '@connectrpc/connect';
 import { Code, ConnectError, createContextKey } from '@connectrpc/connect';
@@ -9,27 +9,33 @@
 import type { Operator } from './OperatorTokens.js';
 import { Findings } from '../findings/Findings.js';
 
+/** Largest length of a change id, in characters. */
 const MAXIMUM_CHANGE_ID_LENGTH = 128;
+/** Largest length of a change's reason, in characters. */
 const MAXIMUM_REASON_LENGTH = 1000;
 const CHANGE_ID = /^[A-Za-z0-9._:-]+$/u;
 
-/** Set for each call by the server, before a handler runs. */
+/** Context key of the operator. The server sets it for each call, before a handler runs. */
 export const operatorKey = createContextKey<Operator | undefined>(undefined, {
-  description: 'the operator who calls',
+  description: 'the operator who makes the call',
 });
 
 /**
- * @param context - of a call.
- * @returns The caller.
- * @throws ConnectError `unauthenticated` for a call that came past the server's check.
+ * Returns the operator who makes a call. The server refuses calls without a token before; this guards a handler that is
+ * reached without that check.
+ *
+ * @param context - the call's context.
+ * @returns The operator.
+ * @throws ConnectError `unauthenticated` if the context has no operator.
  */
 export function callerOf(context: HandlerContext): Operator {
   const operator = context.values.get(operatorKey);
-  if (!operator) throw new ConnectError('No operator is known.', Code.Unauthenticated);
+  if (!operator)
+    throw new ConnectError('The call has no authenticated operator.', Code.Unauthenticated);
   return operator;
 }
 
-/** What a change says of itself, checked. */
+/** Id, author and reason of a change, after the checks. */
 export interface CheckedOrigin {
   readonly changeId: string;
   readonly author: string;
@@ -37,11 +43,11 @@
 }
 
 /**
- * Checks that the caller may change things and that the change can be recognized when it is repeated.
+ * Checks that the operator may make changes, and that the change has a valid id by which a repeat is recognised.
  *
- * @param context - of the call.
- * @param origin - what the caller sent with the change.
- * @returns The origin with the caller's name.
+ * @param context - the call's context.
+ * @param origin - id and reason as the operator sent them.
+ * @returns The origin with the operator's name as author.
  * @throws ConnectError `permission_denied` or `invalid_argument`.
  */
 export function originOf(context: HandlerContext, origin: ChangeOrigin | undefined): CheckedOrigin {
--- a/src/operators/operatorErrors.ts
+++ b/src/operators/operatorErrors.ts
@@ -1,5 +1,5 @@
 /**
- * What a refused call of an operator answers: one error with all mistakes, or with the newer value.
+ * Errors that operators' calls answer: one error with all findings, or a conflict with the newer value.
  */
 import { create } from '@bufbuild/protobuf';
 import { Code, ConnectError } from '@connectrpc/connect';
@@ -12,12 +12,12 @@
 import type { ChangeOutcome } from './ConfigurationChanges.js';
 import { resourceOf } from './resourceKinds.js';
 
-/** Every outcome but the accepted one. */
+/** Every outcome of a change except `accepted`. */
 export type RefusedOutcome = Exclude<ChangeOutcome, { kind: 'accepted' }>;
 
 /**
- * @param findings - at least one mistake.
- * @returns An error that names every field, as text and as details.
+ * @param findings - at least one finding.
+ * @returns An error with every finding and its field, as text and as error details.
  */
 export function invalidArgument(findings: readonly Finding[]): ConnectError {
   const detail = {
@@ -30,18 +30,18 @@
 }
 
 /**
- * @param field - the one field that is wrong.
- * @param message - what is wrong and what would be right.
- * @returns As {@link invalidArgument}.
+ * @param field - the field with the error.
+ * @param message - what is wrong and what is expected.
+ * @returns An error as by {@link invalidArgument}, with this one finding.
  */
 export function invalidField(field: string, message: string): ConnectError {
   return invalidArgument([{ place: { field }, message }]);
 }
 
 /**
- * @param kind - what was asked for.
+ * @param kind - the kind of thing that was requested, for example `client_account`.
  * @param name - its name.
- * @returns An error that says it does not exist.
+ * @returns An error that says that it does not exist.
  */
 export function notFound(kind: string, name: string): ConnectError {
   return new ConnectError(`There is no ${kind.replaceAll('_', ' ')} "${name}".`, Code.NotFound);
@@ -55,7 +55,7 @@
   const current = resourceOf(outcome.current);
   const changedRevision = outcome.current?.changedRevision ?? 0n;
   const text = match(code)
-    .with(Code.AlreadyExists, () => 'There is one of that name already.')
+    .with(Code.AlreadyExists, () => 'One with this name already exists.')
     .otherwise(() =>
       outcome.current
         ? `It has changed since it was read, in revision ${changedRevision}.`
@@ -71,10 +71,11 @@
 }
 
 /**
- * Turns a refused change into the error that the operator gets.
+ * Converts a change that was not accepted into the error for the operator.
  *
- * @param outcome - how the change ended.
- * @param options - `creating` when the change was to create something, and who made the newer change.
+ * @param outcome - the outcome of the change.
+ * @param options - `creating`: the change was to create an entity, so that a conflict with an existing one is reported as
+ *   "already exists"; `changedBy`: the change that made the newer value.
  * @returns The error.
  */
 export function refusal(
--- a/src/operators/operatorsFeature.ts
+++ b/src/operators/operatorsFeature.ts
@@ -11,7 +11,7 @@
 const SECOND = 1000;
 const MINUTE = 60 * SECOND;
 
-/** What an operator's token allows: reading, or changing as well. */
+/** Roles of an operator: `read` allows reading only, `write` allows changes as well. */
 export const OPERATOR_ROLES = ['read', 'write'] as const;
 
 const tokenSettings = z.strictObject({
@@ -71,7 +71,7 @@
 /** Settings of the operators' interface, checked and with defaults. */
 export type OperatorsSettings = z.infer<typeof operatorsSettings>;
 
-/** The operators' interface, as the program registers it. */
+/** The operators' interface as a feature of the program. */
 export const operatorsFeature = defineFeature({
   name: 'operators',
   settings: operatorsSettings,
@@ -94,8 +94,9 @@
       number: 2102,
       name: 'operators.no_tokens',
       level: 'warn',
-      text: 'No token is set, so that every call of an operator is refused.',
-      operatorAction: 'Run `baobabdock operator token create` and put its line into the settings.',
+      text: 'The settings hold no operator token, so every call of an operator is refused.',
+      operatorAction:
+        'Run `baobabdock operator token create` and add the line that it prints to the settings.',
     }),
     changed: defineLogEvent({
       number: 2110,
@@ -108,37 +109,37 @@
       number: 2111,
       name: 'operators.refused',
       level: 'info',
-      text: 'A call of an operator was refused.',
-      operatorAction: 'None; the operator was told each mistake, or the newer value.',
+      text: 'A change of an operator was refused.',
+      operatorAction: 'None; the answer to the operator has every finding, or the newer value.',
     }),
     unauthenticated: defineLogEvent({
       number: 2112,
       name: 'operators.unauthenticated',
       level: 'warn',
-      text: 'A call to the interface for operators came without a valid token.',
+      text: 'A call to the interface for operators had no valid token.',
       operatorAction:
-        'Many from one address: find out who; the port should be open to operators only.',
+        'If many come from one address, find out who uses it; the port should be open to operators only.',
     }),
     keyCreated: defineLogEvent({
       number: 2113,
       name: 'operators.key_created',
       level: 'info',
-      text: 'An operator made a key for a client account.',
+      text: 'An operator created a key for a client account.',
       operatorAction: 'None; the key itself was shown to that operator only.',
     }),
     unsure: defineLogEvent({
       number: 2114,
       name: 'operators.unsure',
       level: 'warn',
-      text: 'Whether a change took effect is unknown, because the platform did not answer.',
+      text: 'Whether a change took effect is unknown, because the store did not answer.',
       operatorAction: 'Repeat the change with the same change id; it is made at most once.',
     }),
     internal: defineLogEvent({
       number: 2120,
       name: 'operators.internal',
       level: 'error',
-      text: 'A call of an operator failed by a fault of the program.',
-      operatorAction: 'Report it with the line; the operator was answered with code internal.',
+      text: 'A call of an operator failed with an unexpected exception.',
+      operatorAction: 'Report it with this log line; the operator got an error with code internal.',
     }),
   },
 });
--- a/src/operators/resourceChecks.ts
+++ b/src/operators/resourceChecks.ts
@@ -1,5 +1,5 @@
 /**
- * What is wrong with a request about resources before the configuration's own rules are asked.
+ * Checks of requests about resources, before the configuration's own validation.
  */
 import { clone, create } from '@bufbuild/protobuf';
 
@@ -13,10 +13,10 @@
 import { RESOURCE_KINDS, entityOf, isResourceKind } from './resourceKinds.js';
 
 /**
- * @param resource - as it came.
- * @param field - where it stands in the request.
- * @param findings - receives what is missing.
- * @returns What it holds, or `undefined` when that is nothing or has no name.
+ * @param resource - the resource as received.
+ * @param field - its field in the request.
+ * @param findings - collects the errors.
+ * @returns The resource's value, or `undefined` if it is empty or has no name.
  */
 export function checkResource(
   resource: Resource | undefined,
@@ -37,9 +37,9 @@
 }
 
 /**
- * @param kind - as it came.
- * @param findings - receives what is wrong.
- * @returns The kind, or `undefined`.
+ * @param kind - the kind as received.
+ * @param findings - collects the errors.
+ * @returns The kind, or `undefined` if there is no such kind.
  */
 export function checkKind(kind: string, findings: Findings): ResourceKind | undefined {
   if (isResourceKind(kind)) return kind;
@@ -48,13 +48,14 @@
 }
 
 /**
- * A version set directly would be loaded by every runner at once, whatever capacity is left: callers would
- * see refusals all over the service. Only a roll-out takes the runners in steps.
+ * Checks that a change does not set a service's version directly. Every runner would load the new version at once, no
+ * matter how much capacity is left, and callers of the whole service would be refused. Only a roll-out changes the version,
+ * because it takes the runners in steps.
  *
- * @param value - what the service is to become.
- * @param current - what it is.
- * @param field - where it stands in the request.
- * @param findings - receives what is wrong.
+ * @param value - the new value of the service.
+ * @param current - the service's current value.
+ * @param field - the field of the resource in the request.
+ * @param findings - collects the errors.
  */
 export function checkVersionIsKept(
   value: ResourceValue,
@@ -72,12 +73,13 @@
 }
 
 /**
- * Keys are made and removed by their own calls; whoever changes an account's limits sends none and must
- * not take the account's keys away by that: every caller of the account would be refused at once.
+ * Keeps the keys of a client account when a change sends none. Keys are created and removed by their own calls, so a change
+ * of the account's limits comes without them. Without this, such a change would remove the keys and every caller of the
+ * account would be refused at once.
  *
- * @param value - what a resource is to become.
- * @param current - what it is.
- * @returns The resource with the account's keys kept.
+ * @param value - the new value of a resource.
+ * @param current - the resource's current value.
+ * @returns The new value, with the account's current keys if it had none.
  */
 export function keepKeys(
   value: ResourceValue,
@@ -91,10 +93,11 @@
 }
 
 /**
- * @param value - what a resource is to become.
- * @param field - where it stands in the request.
- * @param expectedRevision - what the operator saw; 0 for nothing, `undefined` for "whatever it is".
- * @returns The edit.
+ * @param value - the new value of a resource.
+ * @param field - the field of the resource in the request.
+ * @param expectedRevision - the revision of the value that the operator read; 0 if there was none, `undefined` to overwrite
+ *   any value.
+ * @returns The edit that sets the value.
  */
 export function upsertOf(
   value: ResourceValue,
--- a/src/operators/resourceFields.ts
+++ b/src/operators/resourceFields.ts
@@ -1,5 +1,6 @@
 /**
- * Fields of resources as people write them: in files and on the command line.
+ * Fields of resources as operators write them in files and on the command line: which there are, and checks of their
+ * values.
  */
 import type { DescField, DescMessage, JsonValue } from '@bufbuild/protobuf';
 import { ScalarType } from '@bufbuild/protobuf';
@@ -23,7 +24,7 @@
   routing_policy: RoutingPolicySchema,
 } as const satisfies Record<ResourceKind, DescMessage>;
 
-/** The member of a `Resource` that holds each kind; also its singular in files' findings. */
+/** Name of the field of a `Resource` message that holds each kind of resource. */
 export const RESOURCE_CASES = {
   client_account: 'clientAccount',
   service: 'service',
@@ -31,26 +32,27 @@
   routing_policy: 'routingPolicy',
 } as const satisfies Record<ResourceKind, string>;
 
-/** Made by their own calls, never written by people. */
-const HIDDEN_FIELDS: ReadonlySet<string> = new Set(['keys']);
+/** Fields that only dedicated calls change and that operators cannot write. */
+const MANAGED_FIELDS: ReadonlySet<string> = new Set(['keys']);
 
 /**
  * @param schema - a resource's schema.
- * @returns The fields that people may write.
+ * @returns The fields that operators may write.
  */
 export function writableFields(schema: DescMessage): readonly DescField[] {
-  return schema.fields.filter(({ localName }) => !HIDDEN_FIELDS.has(localName));
+  return schema.fields.filter(({ localName }) => !MANAGED_FIELDS.has(localName));
 }
 
 /**
  * @param schema - a resource's schema.
- * @param name - as somebody wrote it.
- * @returns The field, or a message that says which there are.
+ * @param name - the field's name as written by an operator.
+ * @returns The field, or an error message with the known fields.
  */
 export function findField(schema: DescMessage, name: string): DescField | string {
   const field = writableFields(schema).find(({ localName }) => localName === name);
   if (field) return field;
-  if (HIDDEN_FIELDS.has(name)) return 'is made by: baobabdock operator keys create';
+  if (MANAGED_FIELDS.has(name))
+    return 'cannot be set here; create keys with: baobabdock operator keys create';
   const known = writableFields(schema).map(({ localName }) => localName);
   return `is no field; there are ${known.join(', ')}`;
 }
@@ -72,7 +74,7 @@
     .otherwise(() => 'cannot be written by hand');
 }
 
-/** A mistake in a value, with its position where the value is a list. */
+/** An error in a value; if the value is a list, with the index of the wrong item. */
 export interface ValueMistake {
   readonly position?: number;
   readonly message: string;
@@ -80,8 +82,8 @@
 
 /**
  * @param field - a field of a resource.
- * @param value - what somebody wrote.
- * @returns Every mistake in it.
+ * @param value - the value as written by an operator.
+ * @returns Every error in the value.
  */
 export function valueMistakes(field: DescField, value: unknown): readonly ValueMistake[] {
   if (field.fieldKind === 'list' && field.listKind === 'scalar') {
@@ -98,11 +100,11 @@
 }
 
 /**
- * Reads a value from the command line, where everything is text.
+ * Converts a text from the command line into the type of a field.
  *
  * @param field - a field of a resource.
- * @param text - as typed; items of a list are separated by commas.
- * @returns The value, to be checked by {@link valueMistakes}.
+ * @param text - the text as typed; items of a list are separated by commas.
+ * @returns The value, not yet checked by {@link valueMistakes}; the text itself if it cannot be converted.
  */
 export function valueFromText(field: DescField, text: string): JsonValue {
   if (field.fieldKind === 'list') return text === '' ? [] : text.split(',');
--- a/src/operators/resourceKinds.ts
+++ b/src/operators/resourceKinds.ts
@@ -1,5 +1,5 @@
 /**
- * The kinds of things that a configuration holds, and how to find one of them.
+ * The kinds of entities in a configuration, with functions that convert, list and find entities.
  */
 import { create } from '@bufbuild/protobuf';
 import { match } from 'ts-pattern';
@@ -10,7 +10,7 @@
 import type { Resource } from '../generated/baobabdock/v1/operators_pb.js';
 import { ResourceSchema } from '../generated/baobabdock/v1/operators_pb.js';
 
-/** What operators create, change, list, read and remove. */
+/** Kinds of resources: the entities that operators create, change, list, read and remove directly. */
 export const RESOURCE_KINDS = [
   'client_account',
   'service',
@@ -18,16 +18,16 @@
   'routing_policy',
 ] as const;
 
-/** A kind of {@link RESOURCE_KINDS}. */
+/** One of {@link RESOURCE_KINDS}. */
 export type ResourceKind = (typeof RESOURCE_KINDS)[number];
 
-/** Any part of the configuration: resources, and what drains and roll-outs leave there. */
+/** Kind of any entity in the configuration: a resource, a drain or a roll-out. */
 export type EntityKind = ResourceKind | 'drain' | 'rollout';
 
-/** An entity that holds something. */
+/** The content of an entity that is not empty. */
 export type EntityValue = Exclude<ConfigurationEntity['entity'], { case: undefined }>;
 
-/** A resource that holds something. */
+/** The content of a resource that is not empty. */
 export type ResourceValue = Exclude<Resource['resource'], { case: undefined }>;
 
 const KIND_OF_CASE: Readonly<Record<EntityValue['case'], EntityKind>> = {
@@ -41,7 +41,7 @@
 
 /**
  * @param kind - any text.
- * @returns Whether it names a kind of resource.
+ * @returns Whether the text is a kind of resource.
  */
 export function isResourceKind(kind: string): kind is ResourceKind {
   return (RESOURCE_KINDS as readonly string[]).includes(kind);
@@ -49,15 +49,15 @@
 
 /**
  * @param drain - a drain.
- * @returns The name under which the configuration keeps it.
+ * @returns The drain's name in the configuration.
  */
 export function drainName(drain: Pick<Drain, 'kind' | 'id'>): string {
   return `${drain.kind}:${drain.id}`;
 }
 
 /**
- * @param value - an entity.
- * @returns Its kind and name.
+ * @param value - the content of an entity.
+ * @returns The entity's kind and name.
  */
 export function keyOf(value: EntityValue): { kind: EntityKind; name: string } {
   const kind = KIND_OF_CASE[value.case];
@@ -65,16 +65,16 @@
 }
 
 /**
- * @param value - a resource.
- * @returns The entity that a change carries.
+ * @param value - the content of an entity.
+ * @returns The entity as a message.
  */
 export function entityOf(value: EntityValue): ConfigurationEntity {
   return create(ConfigurationEntitySchema, { entity: value });
 }
 
 /**
- * @param entity - a part of the configuration.
- * @returns It as operators see it, or `undefined` when it is a drain or roll-out, or empty.
+ * @param entity - an entity of the configuration.
+ * @returns The entity as a resource, or `undefined` if it is empty, a drain or a roll-out.
  */
 export function resourceOf(entity: ConfigurationEntity | undefined): Resource | undefined {
   const value = entity?.entity;
@@ -84,11 +84,11 @@
 }
 
 /**
- * Lists one kind of a configuration's parts.
+ * Lists the entities of one kind.
  *
- * @param configuration - where to look.
- * @param kind - what is wanted.
- * @returns The parts, in the configuration's order.
+ * @param configuration - the configuration.
+ * @param kind - the kind of entity.
+ * @returns The entities, in the configuration's order.
  */
 export function entitiesOf(configuration: Configuration, kind: EntityKind): readonly EntityValue[] {
   return match(kind)
@@ -112,9 +112,9 @@
 }
 
 /**
- * @param configuration - where to look.
- * @param key - kind and name.
- * @returns The part, or `undefined`.
+ * @param configuration - the configuration.
+ * @param key - kind and name of the entity.
+ * @returns The entity, or `undefined`.
  */
 export function findEntity(
   configuration: Configuration,
--- a/src/operators/rolloutSteering.ts
+++ b/src/operators/rolloutSteering.ts
@@ -1,31 +1,31 @@
 /**
- * What operators' actions make of a roll-out.
+ * State changes of a roll-out by operators' actions: halt, resume and roll back.
  */
 import { match } from 'ts-pattern';
 
 import type { Rollout } from '../generated/baobabdock/v1/configuration_pb.js';
 
-/** What an operator can tell a roll-out. */
+/** Actions that an operator can apply to a roll-out. */
 export const ROLLOUT_ACTIONS = ['halt', 'resume', 'roll_back'] as const;
 
-/** See {@link ROLLOUT_ACTIONS}. */
+/** One of {@link ROLLOUT_ACTIONS}. */
 export type RolloutAction = (typeof ROLLOUT_ACTIONS)[number];
 
-function turnedBack(rollout: Rollout): Rollout {
+function beginRollback(rollout: Rollout): Rollout {
   const { dataCentres, finishedDataCentres, resumesAs } = rollout;
   const back = { ...rollout, state: 'rolling_back', resumesAs: '' };
   if (resumesAs === 'rolling_back') return back;
-  // The data centre whose turn it was is partly changed: the way back begins with it.
+  // The data centre in progress may have runners of both versions, so it is rolled back, too.
   const touched = dataCentres.slice(0, finishedDataCentres.length + 1);
   return { ...back, finishedDataCentres: touched };
 }
 
 /**
- * Carries out an action.
+ * Applies an action to a roll-out.
  *
- * @param rollout - as it is; not altered.
- * @param action - what the operator wants.
- * @returns The roll-out afterwards, or `undefined` when the action does not fit its state.
+ * @param rollout - the current roll-out; not modified.
+ * @param action - the operator's action.
+ * @returns The roll-out after the action, or `undefined` if its state does not allow the action.
  */
 export function steered(rollout: Rollout, action: RolloutAction): Rollout | undefined {
   return match([rollout.state, action] as const)
@@ -40,7 +40,7 @@
       resumesAs: '',
     }))
     .with(['running', 'roll_back'], ['halted', 'roll_back'], ['finished', 'roll_back'], () =>
-      turnedBack(rollout),
+      beginRollback(rollout),
     )
     .otherwise(() => undefined);
 }
--- a/src/operators/testOperatorServer.ts
+++ b/src/operators/testOperatorServer.ts
@@ -1,5 +1,5 @@
 /**
- * A server for operators on loopback over a configuration in memory: for tests.
+ * An operators' server on loopback with a configuration in memory, for tests.
  */
 import type { MemoryFault } from './MemoryConfigurationChanges.js';
 import { SilentLog } from '../logging/Log.js';
@@ -12,29 +12,30 @@
 import { operatorsSettings } from './operatorsFeature.js';
 import { createOperatorToken } from './OperatorTokens.js';
 
+/** Small enough that a test can exceed it with a short request. */
 const SMALL_BODY_BYTES = 65_536;
 
-class NoGates extends GateStatusSource {
+class EmptyGateStatus extends GateStatusSource {
   override gateReadings(): readonly GateStatusReading[] {
     return [];
   }
 }
 
-/** What a test needs of it. */
+/** A running server with the configuration and the view of the fleet behind it. */
 export interface TestOperatorServer {
   readonly changes: MemoryConfigurationChanges;
   readonly fleet: FixedFleetView;
   readonly endpoint: string;
-  /** May change things, as "ana". */
+  /** Token of operator "ana" with role `write`. */
   readonly writeToken: string;
-  /** May only read, as "boris". */
+  /** Token of operator "boris" with role `read`. */
   readonly readToken: string;
-  /** Orders faults of the next changes. */
+  /** Injects faults into the next changes, one for each change. */
   fail(...faults: MemoryFault[]): void;
   close(): Promise<void>;
 }
 
-/** @returns A server with an empty configuration, listening on a free port. */
+/** @returns A server with an empty configuration that listens on a free port. */
 export async function startTestOperatorServer(): Promise<TestOperatorServer> {
   const changes = new MemoryConfigurationChanges();
   const fleet = new FixedFleetView();
@@ -50,7 +51,7 @@
       ],
     }),
     fleet,
-    gates: new NoGates(),
+    gates: new EmptyGateStatus(),
     metricsPage: () => 'baobabdock_answers_total 1\n',
     changes,
     clock: new SystemClock(),
