--- a/src/daemon/Daemon.ts
+++ b/src/daemon/Daemon.ts
@@ -1,6 +1,6 @@
 /**
- * Starts the features of one daemon in the order in which they need each other, and stops them so that no
- * request in progress is cut.
+ * A daemon: starts its features in the order of their dependencies, and stops them without cutting off requests in
+ * progress.
  */
 import { Code, ConnectError } from '@connectrpc/connect';
 
@@ -29,11 +29,12 @@
   clock?: Clock;
 }
 
-const NEWS_INTERVAL_MILLISECONDS = 500;
+/** Interval at which this daemon's revisions and pool loads are given to membership to be gossiped. */
+const PUBLISH_INTERVAL_MILLISECONDS = 500;
 
-/** One daemon in all its roles: entry, gate, home, locate, watcher, operators' interface. */
+/** Runs one daemon in all its roles: entry, gate, home, locate, watcher and operators' interface. */
 export class Daemon {
-  /** Resolved when operators drain this daemon; it then has to be stopped. */
+  /** Resolves when operators drain this daemon; the process then has to call {@link Daemon.stop}. */
   readonly drained: Promise<void>;
 
   private readonly context: DaemonContext;
@@ -42,12 +43,12 @@
 
   private membership: MembershipTask | undefined;
 
-  private newsTimer: NodeJS.Timeout | undefined;
+  private publishTimer: NodeJS.Timeout | undefined;
 
-  private reviewPlanned = false;
+  private gateReviewScheduled = false;
 
   /**
-   * @param options - the checked settings, the log, the clock.
+   * @param options - the checked settings, the log and the clock.
    */
   constructor({ settings, log, clock = new SystemClock() }: DaemonOptions) {
     this.context = { settings, log, clock };
@@ -58,12 +59,12 @@
     fleet.onChange((change, member) => this.fleetChanged(change, member));
   }
 
-  /** Opens the ports, joins the fleet and begins to serve. */
+  /** Opens the ports, joins the fleet and starts to serve requests. */
   async start(): Promise<void> {
     const { settings, log, clock } = this.context;
     const { fleet, peers, callers, operators, configuration, gates, orders } = this.parts;
     const { host, peerPort, seeds } = settings.daemon;
-    for (const handlers of this.allHandlers()) peers.mount(handlers);
+    for (const handlers of this.peerHandlers()) peers.mount(handlers);
     const peerAddress = `${host}:${await peers.listen(host, peerPort)}`;
     const { host: callerHost, port: callerPort } = await callers.start();
     const callerAddress = `${callerHost}:${callerPort}`;
@@ -72,22 +73,23 @@
     fleet.applyMember(self);
     this.membership = createMembership(this.context, this.parts, self, {
       onNewerRevision: (newer) => configuration.newerRevision(newer),
-      onResumed: () => this.planReview(),
-      onSteppedBack: () => this.planReview(),
+      onResumed: () => this.scheduleGateReview(),
+      onSteppedBack: () => this.scheduleGateReview(),
     });
     this.membership.start(seeds);
     configuration.start();
     gates.start();
     orders.start();
-    this.newsTimer = setInterval(() => this.publishNews(), NEWS_INTERVAL_MILLISECONDS);
+    this.publishTimer = setInterval(() => this.publishLocalState(), PUBLISH_INTERVAL_MILLISECONDS);
     log.write(daemonLogEvents.started, { callerAddress, peerAddress, operatorAddress });
   }
 
   /**
-   * A planned stop. The order matters: first the fleet learns that this daemon leaves, so that gates and
-   * homes move while it still answers; then callers are refused with a true "not run"; then what runs ends.
+   * Runs the planned stop. The order matters. First the fleet learns that this daemon leaves, so that gates and homes move
+   * to other daemons while this one still answers. Then new requests are refused with "not run", which is true
+   * because none of them has been started. Then the requests in progress finish.
    *
-   * @returns Whether everything in progress ended within the grace.
+   * @returns Whether all requests in progress finished within the grace period.
    */
   async stop(): Promise<boolean> {
     const { log } = this.context;
@@ -95,7 +97,7 @@
     log.write(daemonLogEvents.stopping, { inProgress: requests.inProgress() });
     this.membership?.leave();
     orders.stop();
-    const ended = await this.withinGrace(
+    const ended = await this.endsWithinGrace(
       Promise.all([callers.drain(), gates.drain()]).then(() => true),
     );
     if (!ended) log.write(daemonLogEvents.stopForced, { inProgress: requests.inProgress() });
@@ -105,7 +107,7 @@
 
   private async close(): Promise<void> {
     const { callers, operators, requests, gates, configuration, peers, link, store } = this.parts;
-    clearInterval(this.newsTimer);
+    clearInterval(this.publishTimer);
     await callers.stop();
     await operators.close();
     requests.stop();
@@ -117,7 +119,7 @@
     await store.close();
   }
 
-  private async withinGrace(work: Promise<boolean>): Promise<boolean> {
+  private async endsWithinGrace(work: Promise<boolean>): Promise<boolean> {
     let timer: NodeJS.Timeout | undefined;
     const grace = new Promise<boolean>((resolve) => {
       const { shutdownGraceMilliseconds } = this.context.settings.daemon;
@@ -128,8 +130,11 @@
     return ended;
   }
 
-  /** Membership comes last, so its methods look it up at the call. */
-  private allHandlers(): readonly PeerHandlers[] {
+  /**
+   * Lists the handlers of calls from other daemons. Membership is created only after the ports are open, so its handlers
+   * look it up at each call and answer `unavailable` before.
+   */
+  private peerHandlers(): readonly PeerHandlers[] {
     const { configuration, requests, gates, homes } = this.parts;
     const membership = (): MembershipTask => {
       if (!this.membership) throw new ConnectError('', Code.Unavailable);
@@ -150,24 +155,24 @@
   private fleetChanged(change: FleetChange, member?: Member): void {
     const { configuration, fleet } = this.parts;
     if (change === 'members') configuration.updateMembers(fleet.members());
-    // Equal revisions with other content show only when the digests are compared.
+    // Compares the digests, too: two daemons may have different contents under the same revision.
     else if (member) configuration.peerRevision(member);
-    // Waiting for the timer would add half a second to each hop of a new revision on its way to all daemons.
-    if (change === 'configuration' || change === 'runners') this.publishNews();
-    if (change !== 'pools') this.planReview();
+    // Published at once: waiting for the timer would delay a new revision by half a second at each hop between daemons.
+    if (change === 'configuration' || change === 'runners') this.publishLocalState();
+    if (change !== 'pools') this.scheduleGateReview();
   }
 
-  /** Changes come in bursts; one review after a burst is enough. */
-  private planReview(): void {
-    if (this.reviewPlanned) return;
-    this.reviewPlanned = true;
+  /** Schedules a review of the gates that this daemon holds. Changes come in bursts, so there is one review per burst. */
+  private scheduleGateReview(): void {
+    if (this.gateReviewScheduled) return;
+    this.gateReviewScheduled = true;
     setImmediate(() => {
-      this.reviewPlanned = false;
+      this.gateReviewScheduled = false;
       this.parts.gates.review();
     });
   }
 
-  private publishNews(): void {
+  private publishLocalState(): void {
     const { configuration, fleet, gates } = this.parts;
     this.membership?.publish({
       configurationRevision: fleet.configurationRevision(),
--- a/src/daemon/DaemonMetrics.spec.ts
+++ b/src/daemon/DaemonMetrics.spec.ts
@@ -7,9 +7,8 @@
 
 describe('DaemonMetrics', () => {
   it('shows times in the unit that the names of the series say', () => {
-    // Symptom: baobabdock_first_byte_seconds showed 250 for a quarter of a second.
-    // Sequence: an answer is measured in milliseconds, and the page is read.
-    // Cause: one of two times was recorded without the change of units.
+    // Guards against a missing conversion of milliseconds to seconds in one of the two times:
+    // baobabdock_first_byte_seconds then shows 250 for a quarter of a second.
     const metrics = new DaemonMetrics({ registry: new MetricRegistry() });
     metrics.answered({
       route: 'chat',
--- a/src/daemon/DaemonMetrics.ts
+++ b/src/daemon/DaemonMetrics.ts
@@ -1,5 +1,5 @@
 /**
- * The metrics of one daemon: what the callers' interface measures, and the page that a scrape reads.
+ * The metrics of one daemon: measurements of the callers' interface, gauges of the daemon, and the page for scrapes.
  */
 import type { AnsweredExchange, MetricsPage } from '../callers/CallerMetrics.js';
 import { CallerMetrics } from '../callers/CallerMetrics.js';
@@ -17,12 +17,12 @@
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Steps of 100 µs, up to ten minutes. */
+/** Histogram of durations in seconds: steps of 100 µs, up to ten minutes. */
 const DURATIONS = { resolution: 0.0001, maximum: 600 } as const;
 
-/** Registers the callers' metrics and writes the page. */
+/** Registers and records the daemon's metrics, and formats the page. */
 export class DaemonMetrics extends CallerMetrics {
-  /** Called before each page, to set gauges. */
+  /** Called before each page is formatted, to update the gauges. */
   beforePage: () => void = () => {};
 
   private readonly registry: MetricRegistry;
@@ -40,7 +40,7 @@
   private readonly peerCalls: Gauge<'call' | 'side'>;
 
   /**
-   * @param options - the registry.
+   * @param options - the registry that the page shows.
    */
   constructor({ registry }: DaemonMetricsOptions) {
     super();
@@ -94,17 +94,17 @@
   /**
    * Sets a gauge of the daemon.
    *
-   * @param what - for example `gates`.
-   * @param value - its value now.
+   * @param what - the gauge's name, for example `gates`.
+   * @param value - the current value.
    */
   set(what: string, value: number): void {
     this.gauges.set(value, { what });
   }
 
   /**
-   * Sets what one kind of call between daemons has cost so far.
+   * Sets the number and the bytes of one kind of call between daemons.
    *
-   * @param count - totals since the start.
+   * @param count - totals since the start of the daemon.
    */
   setTraffic({ call, side, calls, sentBytes, receivedBytes }: TrafficCount): void {
     this.peerCalls.set(calls, { call, side });
--- a/src/daemon/HostedGateStatus.ts
+++ b/src/daemon/HostedGateStatus.ts
@@ -1,5 +1,5 @@
 /**
- * What operators see of the gates of this daemon.
+ * The state of this daemon's gates for the operators' interface.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type { GateHost } from '../gates/GateHost.js';
@@ -12,14 +12,14 @@
   fleet: FleetView;
 }
 
-/** Reads the gates of a host. */
+/** Reads the gates that this daemon holds. */
 export class HostedGateStatus extends GateStatusSource {
   private readonly host: GateHost;
 
   private readonly fleet: FleetView;
 
   /**
-   * @param options - the gates, and the means of their pools.
+   * @param options - the host of the gates, and the view of the fleet for runner states and mean loads.
    */
   constructor({ host, fleet }: HostedGateStatusOptions) {
     super();
--- a/src/daemon/createDaemonLog.ts
+++ b/src/daemon/createDaemonLog.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the log of a daemon from its settings.
+ * Creates the log of a daemon from its settings.
  */
 import { ConsolaLog } from '../logging/ConsolaLog.js';
 import { StreamSink } from '../logging/StreamSink.js';
@@ -7,8 +7,8 @@
 import type { DaemonSettings } from './daemonFeature.js';
 
 /**
- * @param settings - the daemon's section.
- * @returns A log on standard output whose lines all name the daemon.
+ * @param settings - the `daemon` section of the settings.
+ * @returns A log to standard output; every line has the daemon's id.
  */
 export function createDaemonLog({ id, log }: DaemonSettings): ConsolaLog {
   return new ConsolaLog({
--- a/src/daemon/createMembership.ts
+++ b/src/daemon/createMembership.ts
@@ -1,5 +1,5 @@
 /**
- * Builds the membership of a daemon whose ports are open.
+ * Creates the membership task of a daemon, once its ports are open and its addresses are known.
  */
 import { randomInt } from 'node:crypto';
 
@@ -13,8 +13,8 @@
 /**
  * @param context - settings, log and clock.
  * @param parts - the fleet's state and the link to other daemons.
- * @param self - this daemon with its addresses.
- * @param listener - who hears of changes.
+ * @param self - this daemon's record with its addresses.
+ * @param listener - receives the membership's events.
  * @returns The task, not yet started.
  */
 export function createMembership(
--- a/src/daemon/createOrders.ts
+++ b/src/daemon/createOrders.ts
@@ -1,5 +1,5 @@
 /**
- * Puts together what gives orders to engines.
+ * Creates the supervisor of the orders that this daemon gives to engines, such as drains and roll-outs.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type { Log } from '../logging/Log.js';
@@ -21,7 +21,7 @@
 }
 
 /**
- * @param options - what the daemon has made already.
+ * @param options - the daemon's settings and the parts that the supervisor uses.
  * @returns The supervisor, not yet started.
  */
 export function createOrders({ settings, ...others }: CreateOrdersOptions): OrderSupervisor {
--- a/src/daemon/createParts.ts
+++ b/src/daemon/createParts.ts
@@ -1,5 +1,5 @@
 /**
- * Builds the features of one daemon over their ports; nothing of it runs yet.
+ * Creates the parts of one daemon and connects them. Nothing is started and no port is opened.
  */
 import { randomInt, randomUUID } from 'node:crypto';
 import { setTimeout as wait } from 'node:timers/promises';
@@ -38,14 +38,14 @@
 import { HostedGateStatus } from './HostedGateStatus.js';
 import { selfMember } from './selfMember.js';
 
-/** What the parts are built from. */
+/** Settings, log and clock, from which the parts are created. */
 export interface DaemonContext {
   readonly settings: Settings;
   readonly log: Log;
   readonly clock: Clock;
 }
 
-/** The features of one daemon. Membership is missing: it needs addresses, which are known once ports are open. */
+/** The parts of one daemon, except membership: it needs the addresses, which are known only once the ports are open. */
 export interface DaemonParts {
   readonly fleet: FleetState;
   readonly link: ConnectPeerLink;
@@ -62,7 +62,7 @@
   readonly orders: OrderSupervisor;
 }
 
-/** Seeds are taken below this. */
+/** Upper limit, exclusive, of the random seeds. */
 export const LARGEST_SEED = 2 ** 31;
 
 function createPeers({ settings, log, clock }: DaemonContext) {
@@ -77,7 +77,7 @@
   return { tokens, link: new ConnectPeerLink(options), peers: new PeerServer(options) };
 }
 
-function createPlatform({ settings, log, clock }: DaemonContext) {
+function createStore({ settings, log, clock }: DaemonContext) {
   const platformCalls = new PlatformCallMeter({ clock });
   const health = new PlatformHealth({ log });
   const store = new EtcdPlatformStore({ ...settings.platform, meter: platformCalls, health });
@@ -105,7 +105,7 @@
   });
 }
 
-function createEditor(
+function createConfigurationEditor(
   { log, clock }: DaemonContext,
   configuration: ConfigurationTask,
 ): ConfigurationEditor {
@@ -134,9 +134,9 @@
 }
 
 /**
- * Builds all parts.
+ * Creates all parts.
  *
- * @param context - checked settings, log and clock.
+ * @param context - the checked settings, log and clock.
  * @returns The parts, not yet started.
  */
 export function createParts(context: DaemonContext): DaemonParts {
@@ -144,7 +144,7 @@
   const { host, callerPort, operatorPort } = settings.daemon;
   const fleet = new FleetState({ self: selfMember(settings.daemon, clock) });
   const { tokens, link, peers } = createPeers(context);
-  const { platformCalls, store } = createPlatform(context);
+  const { platformCalls, store } = createStore(context);
   const configuration = createConfiguration(context, { fleet, link, store });
   const homes = createHomes(context, { fleet, link });
   const registry = new MetricRegistry({ clock });
@@ -187,7 +187,7 @@
     metrics,
     settings: settings.callers,
   });
-  const changes = createEditor(context, configuration);
+  const changes = createConfigurationEditor(context, configuration);
   const operators = new OperatorServer({
     host,
     port: operatorPort,
--- a/src/daemon/daemonFeature.ts
+++ b/src/daemon/daemonFeature.ts
@@ -1,5 +1,5 @@
 /**
- * What a daemon is and where it runs: its settings, and the program's log events, numbers 1000 to 1099.
+ * The daemon feature: settings of the daemon's name, location, addresses and log, and log events 1000 to 1099.
  */
 import { z } from 'zod';
 
@@ -8,7 +8,7 @@
 
 const HIGHEST_PORT = 65_535;
 
-/** Long enough for the streams that are open when a daemon is told to stop. */
+/** Long enough for the streams that are open at the start of a planned stop to finish. */
 const SHUTDOWN_GRACE_MILLISECONDS = 60_000;
 
 const NAME = /^[a-z0-9][a-z0-9.-]{0,62}$/u;
@@ -32,7 +32,7 @@
 /** Settings of the daemon itself. */
 export const daemonSettings = z.strictObject({
   id: name('Name of this daemon, unique over the fleet and kept over its restarts.'),
-  firm: name('The firm whose estate this daemon belongs to.'),
+  firm: name('The firm that owns this daemon.'),
   region: name('The region, for example a city.'),
   dataCentre: name('The data centre, unique over all regions.'),
   host: z
@@ -46,7 +46,7 @@
     .array(z.string().regex(ADDRESS, 'has to be an IP number and a port, as in 10.0.0.1:7400'))
     .default([])
     .describe(
-      'Addresses (IP number and peer port) of some other daemons, asked at the start; two or three in each ' +
+      'Addresses (IP number and peer port) of some other daemons, contacted at the start; two or three in each ' +
         'data centre are enough. Empty only for the first daemon of a fleet.',
     ),
   log: z
@@ -78,15 +78,15 @@
     number: 1000,
     name: 'daemon.started',
     level: 'info',
-    text: 'The daemon is up; its addresses are in the fields.',
+    text: 'The daemon has started; its addresses are in the fields.',
     operatorAction: 'None.',
   }),
   stopping: defineLogEvent({
     number: 1001,
     name: 'daemon.stopping',
     level: 'info',
-    text: 'A planned stop began: no new requests, those in progress finish.',
-    operatorAction: 'None; wait for 1002.',
+    text: 'A planned stop has begun: new requests are refused, those in progress finish.',
+    operatorAction: 'None; event 1002 reports the end.',
   }),
   stopped: defineLogEvent({
     number: 1002,
@@ -99,7 +99,7 @@
     number: 1003,
     name: 'daemon.stop_forced',
     level: 'warn',
-    text: 'The grace of a planned stop ran out with requests in progress; they were cut.',
+    text: 'The grace period of a planned stop ended with requests in progress; they were cut off.',
     operatorAction: 'Raise daemon.shutdownGraceMilliseconds above the longest stream.',
   }),
   startFailed: defineLogEvent({
@@ -107,25 +107,25 @@
     name: 'daemon.start_failed',
     level: 'error',
     text: 'The daemon could not start.',
-    operatorAction: 'Read the cause; a port in use and an address of another host are usual.',
+    operatorAction: 'Read the cause; usual ones are a port in use and an address of another host.',
   }),
   failed: defineLogEvent({
     number: 1005,
     name: 'daemon.failed',
     level: 'error',
-    text: 'Something failed that no part of the program expected.',
-    operatorAction: 'Report it with the line. The daemon goes on where it can.',
+    text: 'An exception or rejected promise was not handled by any part of the program.',
+    operatorAction: 'Report it with this log line. The daemon continues to run.',
   }),
   logLinesDropped: defineLogEvent({
     number: 1010,
     name: 'daemon.log_lines_dropped',
     level: 'warn',
-    text: 'Whatever reads the log was too slow, so that lines were dropped.',
-    operatorAction: 'Look at the reader of the log; the daemon itself is not held up.',
+    text: 'The reader of the log was too slow, so log lines were dropped.',
+    operatorAction: 'Check the reader of the log; the daemon itself is not blocked.',
   }),
 };
 
-/** The daemon's feature. */
+/** The daemon feature, with its settings and log events. */
 export const daemonFeature = defineFeature({
   name: 'daemon',
   settings: daemonSettings,
--- a/src/daemon/drainedByOperators.ts
+++ b/src/daemon/drainedByOperators.ts
@@ -1,15 +1,16 @@
 /**
- * Notices that operators drain this daemon: it then leaves the fleet as on a planned stop.
+ * Detects that operators drain this daemon, upon which it leaves the fleet by a planned stop.
  */
 import type { FleetState } from '../fleet/FleetState.js';
 
 /**
- * A drain names the incarnation that operators saw. This process began with `startIncarnation` and may have
- * raised it since to refute a suspicion; a drain of an earlier process is below it.
+ * Waits for a drain of this process. A drain names the daemon's incarnation at the time of the operator's call. This process
+ * started with `startIncarnation` and may have raised it since to refute a suspicion. A drain of an earlier process has a
+ * lower incarnation and is ignored.
  *
- * @param fleet - what this daemon believes.
- * @param startIncarnation - with which this process began.
- * @returns Resolved when a drain of this process is in force.
+ * @param fleet - this daemon's view of the fleet.
+ * @param startIncarnation - the incarnation with which this process started.
+ * @returns A promise that resolves when a drain of this process is in force.
  */
 export function drainedByOperators(fleet: FleetState, startIncarnation: bigint): Promise<void> {
   const { daemonId } = fleet.self();
--- a/src/daemon/poolNews.ts
+++ b/src/daemon/poolNews.ts
@@ -1,12 +1,12 @@
 /**
- * Pool digests as membership carries them.
+ * Converts the load digests of pools into the form in which membership gossips them.
  */
 import type { PoolDigest } from '../generated/baobabdock/v1/peers_pb.js';
 import type { PoolNews } from '../membership/membershipTypes.js';
 
 /**
- * @param digest - of one pool, from the gates of this daemon.
- * @returns The same as plain data.
+ * @param digest - load of one pool on the gates of this daemon, as a protobuf message.
+ * @returns The same values as a plain object.
  */
 export function toPoolNews(digest: PoolDigest): PoolNews {
   const { service, runners, load, lightestRunner, lightestLoad } = digest;
--- a/src/daemon/refreshMetrics.ts
+++ b/src/daemon/refreshMetrics.ts
@@ -1,12 +1,12 @@
 /**
- * Sets the gauges that are read rather than counted, just before a scrape.
+ * Updates the gauges whose values are read from the daemon's parts, just before a scrape.
  */
 import type { DaemonParts } from './createParts.js';
 
 const MICROSECONDS_PER_SECOND = 1_000_000;
 
 /**
- * @param parts - of the daemon.
+ * @param parts - the daemon's parts, from which the values are read.
  */
 export function refreshMetrics(parts: DaemonParts): void {
   const { metrics, gates, requests, fleet, platformCalls, link, peers } = parts;
--- a/src/daemon/runDaemon.ts
+++ b/src/daemon/runDaemon.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one daemon from its start to its planned stop.
+ * Runs one daemon process from its start to the end of its planned stop.
  */
 import { once } from 'node:events';
 
@@ -13,10 +13,10 @@
 const EXIT_FAILURE = 1;
 
 /**
- * Runs until SIGTERM or SIGINT.
+ * Runs a daemon until SIGTERM, SIGINT or a drain by operators, then stops it.
  *
  * @param settings - the checked settings.
- * @returns The exit code: 0 after a planned stop in which nothing was cut.
+ * @returns The exit code: 0 after a planned stop that cut off no request, else 1.
  */
 export async function runDaemon(settings: Settings): Promise<number> {
   const log = createDaemonLog(settings.daemon);
@@ -35,7 +35,7 @@
     await log.flush();
     return EXIT_FAILURE;
   }
-  // A drain by operators ends the process like a signal: whoever keeps it running starts a new one.
+  // A drain by operators ends the process like a signal. The process supervisor then starts a new one.
   await Promise.race([stop, daemon.drained]);
   const ended = await daemon.stop();
   log.write(daemonLogEvents.stopped, { ended });
--- a/src/daemon/selfMember.ts
+++ b/src/daemon/selfMember.ts
@@ -1,5 +1,5 @@
 /**
- * This daemon's own record, as the fleet gets to know it.
+ * This daemon's own member record, as other daemons receive it.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -8,16 +8,16 @@
 import type { Clock } from '../time/Clock.js';
 import type { DaemonSettings } from './daemonFeature.js';
 
-/** Where a daemon is reached; empty until its ports are open. */
+/** Addresses of a daemon; empty until its ports are open. */
 export interface DaemonAddresses {
   peerAddress?: string;
   callerAddress?: string;
 }
 
 /**
- * @param settings - the daemon's section.
- * @param clock - the wall clock names the incarnation.
- * @param addresses - `host:port` for peers and for callers.
+ * @param settings - the `daemon` section of the settings.
+ * @param clock - its wall-clock time in milliseconds becomes the incarnation.
+ * @param addresses - `host:port` for other daemons and for callers.
  * @returns A record in state `alive`.
  */
 export function selfMember(
