--- a/src/operators/ChangeSubmitter.ts
+++ b/src/operators/ChangeSubmitter.ts
@@ -68,8 +68,7 @@
     return { kind: edit.edit.value.kind as EntityKind, name: edit.edit.value.name };
   }
   const value = edit.edit.value?.entity;
-  if (!value || value.case === undefined)
-    throw new Error('The edit holds no entity: expected an upsert with a value or a removal.');
+  if (!value || value.case === undefined) throw new Error('An edit without an entity was built.');
   return keyOf(value);
 }
 
@@ -173,10 +172,7 @@
       }
       current = newer;
     }
-    throw (
-      conflict ??
-      new ConnectError('The change conflicted with other changes at every attempt.', Code.Aborted)
-    );
+    throw conflict ?? new ConnectError('The change lost every race.', Code.Aborted);
   }
 
   /**
--- a/src/operators/FixedFleetView.ts
+++ b/src/operators/FixedFleetView.ts
@@ -36,10 +36,7 @@
 
   override self(): Member {
     const [self] = this.daemons;
-    if (!self)
-      throw new Error(
-        'FixedFleetView.daemons is empty: expected this daemon as its first element.',
-      );
+    if (!self) throw new Error('The test set no daemon.');
     return self;
   }
 
--- a/src/operators/KeyHandlers.ts
+++ b/src/operators/KeyHandlers.ts
@@ -90,7 +90,7 @@
     if (answer.repeated) {
       // The earlier call stored the hash of another key. That key was not kept and cannot be shown again.
       throw new ConnectError(
-        'This change has already created its key, and a key is shown only once. Create another key with a new change id.',
+        'This change made its key already and the key is shown only once. Make another with a new change id.',
         Code.AlreadyExists,
       );
     }
--- a/src/operators/MemoryConfigurationChanges.ts
+++ b/src/operators/MemoryConfigurationChanges.ts
@@ -29,8 +29,7 @@
     return { kind: edit.edit.value.kind as EntityKind, name: edit.edit.value.name };
   }
   const value = edit.edit.value?.entity;
-  if (!value || value.case === undefined)
-    throw new RangeError('The edit holds no entity: expected an upsert with a value or a removal.');
+  if (!value || value.case === undefined) throw new RangeError('An edit holds nothing.');
   return keyOf(value);
 }
 
@@ -63,7 +62,7 @@
 
   override async change(change: RequestedChange): Promise<ChangeOutcome> {
     const fault = this.faults.shift();
-    if (fault === 'unavailable') return { kind: 'unavailable', message: 'The store is down.' };
+    if (fault === 'unavailable') return { kind: 'unavailable', message: 'The platform is down.' };
     const outcome = this.apply(change);
     if (fault === 'lost_answer') return { kind: 'unsure', message: 'The answer was lost.' };
     return outcome;
--- a/src/operators/OperatorClient.ts
+++ b/src/operators/OperatorClient.ts
@@ -42,8 +42,7 @@
     token,
     timeoutMilliseconds = DEFAULT_TIMEOUT_MILLISECONDS,
   }: OperatorClientOptions) {
-    if (endpoints.length === 0)
-      throw new RangeError('The list of endpoints is empty: expected at least one URL.');
+    if (endpoints.length === 0) throw new RangeError('At least one endpoint is needed.');
     this.endpoints = endpoints;
     this.token = token;
     this.timeoutMilliseconds = timeoutMilliseconds;
--- a/src/operators/OperatorServer.ts
+++ b/src/operators/OperatorServer.ts
@@ -67,10 +67,7 @@
       if (error instanceof ConnectError) throw error;
       const message = error instanceof Error ? VError.fullStack(error) : String(error);
       log.write(events.internal, { method: request.method.name, message });
-      throw new ConnectError(
-        'The daemon failed with an internal error; its log has the details.',
-        Code.Internal,
-      );
+      throw new ConnectError('The daemon failed by a fault of its own.', Code.Internal);
     }
   };
 }
@@ -177,7 +174,7 @@
     this.log.write(events.unauthenticated, { from: request.socket.remoteAddress ?? '' });
     const body = JSON.stringify({
       code: 'unauthenticated',
-      message: 'The request has no valid token; expected the header Authorization: Bearer <token>.',
+      message: 'A valid token is needed: Authorization: Bearer <token>.',
     });
     response.writeHead(HTTP_UNAUTHORIZED, {
       'content-type': 'application/json',
--- a/src/operators/ResourceFile.ts
+++ b/src/operators/ResourceFile.ts
@@ -99,10 +99,7 @@
     const root = this.document.contents;
     if (!isMap(root)) {
       const known = RESOURCE_SECTIONS.join(', ');
-      this.collectedFindings.add(
-        { file: this.file, line: 1, column: 1 },
-        `has to be a map with some of the sections ${known}`,
-      );
+      this.collectedFindings.add({ file: this.file, line: 1, column: 1 }, `has to hold ${known}`);
       return;
     }
     for (const { key } of root.items) {
@@ -111,10 +108,7 @@
       if (kind) this.readSection(name, kind);
       else {
         const known = RESOURCE_SECTIONS.join(', ');
-        this.collectedFindings.add(
-          this.placeOfNode(key, name),
-          `is an unknown section; there are ${known}`,
-        );
+        this.collectedFindings.add(this.placeOfNode(key, name), `is unknown; there are ${known}`);
       }
     }
   }
@@ -128,7 +122,7 @@
     section.items.forEach((item, position) => {
       const path = [name, position];
       if (isMap(item)) this.readResource(path, kind);
-      else this.collectedFindings.add(this.placeOfPath(path), 'has to be a map of fields');
+      else this.collectedFindings.add(this.placeOfPath(path), 'has to hold fields');
     });
   }
 
--- a/src/operators/ResourceHandlers.ts
+++ b/src/operators/ResourceHandlers.ts
@@ -165,7 +165,7 @@
     const maximum = Math.min(request.maximum || DEFAULT_HISTORY_MAXIMUM, MAXIMUM_HISTORY);
     const all = kind === '' && name === '';
     const history = await this.changes.history(all ? maximum : MAXIMUM_HISTORY).catch((cause) => {
-      const text = 'The history is kept in the store, which does not answer.';
+      const text = 'The history is with the platform, which does not answer.';
       throw new ConnectError(text, Code.Unavailable, undefined, undefined, cause);
     });
     const entries = history.filter((change) => touches(change, kind, name)).slice(0, maximum);
@@ -174,10 +174,9 @@
 
   private editsOf({ resources }: ApplyRequest): PlacedEdit[] {
     const findings = new Findings();
-    if (resources.length === 0)
-      findings.add({ field: 'resources' }, 'is empty; expected at least one resource');
+    if (resources.length === 0) findings.add({ field: 'resources' }, 'holds nothing to apply');
     if (resources.length > MAXIMUM_RESOURCES_OF_ONE_CHANGE) {
-      const most = `holds more than ${MAXIMUM_RESOURCES_OF_ONE_CHANGE} resources; apply them in parts`;
+      const most = `holds more than ${MAXIMUM_RESOURCES_OF_ONE_CHANGE}; apply them in parts`;
       findings.add({ field: 'resources' }, most);
       throw invalidArgument(findings.list());
     }
@@ -189,7 +188,7 @@
       const { kind, name } = keyOf(value);
       const earlier = seen.get(`${kind}/${name}`);
       if (earlier) {
-        findings.add({ field: `${field}.${value.case}.name` }, `is already used by ${earlier}`);
+        findings.add({ field: `${field}.${value.case}.name` }, `stands in ${earlier} already`);
         return [];
       }
       seen.set(`${kind}/${name}`, field);
--- a/src/operators/RolloutHandlers.ts
+++ b/src/operators/RolloutHandlers.ts
@@ -49,7 +49,7 @@
 
 function unsuitableActionError(rollout: Rollout, action: RolloutAction): ConnectError {
   return new ConnectError(
-    `The roll-out is ${rollout.state.replace('_', ' ')}; in this state it does not accept the action ${action.replace('_', ' ')}.`,
+    `The roll-out is ${rollout.state.replace('_', ' ')}; it cannot be told to ${action.replace('_', ' ')}.`,
     Code.FailedPrecondition,
   );
 }
@@ -131,13 +131,12 @@
     const findings = new Findings();
     const service = this.fleet.service(request.service);
     if (!service) throw notFound('service', request.service);
-    if (service.kind !== 'engine')
-      findings.add({ field: 'service' }, 'is not a service of kind engine');
+    if (service.kind !== 'engine') findings.add({ field: 'service' }, 'is not a pool of engines');
     const versions = this.fleet.configuration().modelVersions;
     const wanted = versions.find(
       ({ model, version }) => model === service.model && version === request.toVersion,
     );
-    if (!wanted) findings.add({ field: 'toVersion' }, `is not a known version of ${service.model}`);
+    if (!wanted) findings.add({ field: 'toVersion' }, `is no version of ${service.model}`);
     if (wanted?.state === 'withdrawn') findings.add({ field: 'toVersion' }, 'is withdrawn');
     const share = request.maximumUnavailableShare || DEFAULT_MAXIMUM_UNAVAILABLE_SHARE;
     if (!(share > 0 && share <= 1)) {
--- a/src/operators/operatorContext.ts
+++ b/src/operators/operatorContext.ts
@@ -17,7 +17,7 @@
 
 /** Context key of the operator. The server sets it for each call, before a handler runs. */
 export const operatorKey = createContextKey<Operator | undefined>(undefined, {
-  description: 'the operator who makes the call',
+  description: 'the operator who calls',
 });
 
 /**
@@ -30,8 +30,7 @@
  */
 export function callerOf(context: HandlerContext): Operator {
   const operator = context.values.get(operatorKey);
-  if (!operator)
-    throw new ConnectError('The call has no authenticated operator.', Code.Unauthenticated);
+  if (!operator) throw new ConnectError('No operator is known.', Code.Unauthenticated);
   return operator;
 }
 
--- a/src/operators/operatorErrors.ts
+++ b/src/operators/operatorErrors.ts
@@ -55,7 +55,7 @@
   const current = resourceOf(outcome.current);
   const changedRevision = outcome.current?.changedRevision ?? 0n;
   const text = match(code)
-    .with(Code.AlreadyExists, () => 'One with this name already exists.')
+    .with(Code.AlreadyExists, () => 'There is one of that name already.')
     .otherwise(() =>
       outcome.current
         ? `It has changed since it was read, in revision ${changedRevision}.`
--- a/src/operators/resourceFields.ts
+++ b/src/operators/resourceFields.ts
@@ -51,8 +51,7 @@
 export function findField(schema: DescMessage, name: string): DescField | string {
   const field = writableFields(schema).find(({ localName }) => localName === name);
   if (field) return field;
-  if (MANAGED_FIELDS.has(name))
-    return 'cannot be set here; create keys with: baobabdock operator keys create';
+  if (MANAGED_FIELDS.has(name)) return 'is made by: baobabdock operator keys create';
   const known = writableFields(schema).map(({ localName }) => localName);
   return `is no field; there are ${known.join(', ')}`;
 }
