--- a/src/orders/ChangePlan.ts
+++ b/src/orders/ChangePlan.ts
@@ -1,7 +1,7 @@
 /**
- * The changes of the configuration that a roll-out needs: which runners to drain, which to give back, when
- * to halt and when a data centre is done. One change at a time, with wishes gathered, because each costs
- * the platform a write and every daemon a pull.
+ * Plans the changes of the configuration that a roll-out needs: which runners to drain, which to return to
+ * service, when to halt and when a data centre is finished. Changes are batched and made one at a time,
+ * because each costs the platform a write and every daemon a pull.
  */
 import type { PoolPicture, RolloutPicture } from './poolTypes.js';
 import type { RolloutTimings } from './rolloutTimings.js';
@@ -10,10 +10,10 @@
 import type { ChangeEnd, RolloutAction, RolloutReport, RolloutStep } from './rolloutTypes.js';
 import type { RunnerWork } from './RunnerWork.js';
 
-/** What a change carries. */
+/** Content of a change of the configuration. */
 export type PlannedChange = Omit<Extract<RolloutAction, { kind: 'change' }>, 'kind' | 'call'>;
 
-/** A line for the log that goes with a change. */
+/** A log event that is written together with a change. */
 export interface PlannedReport {
   readonly event: RolloutReport;
   readonly fields: Readonly<Record<string, string | number | boolean>>;
@@ -24,173 +24,195 @@
   timings: RolloutTimings;
 }
 
-function stepOf(rollout: RolloutPicture, after: RolloutStep['after'], reason: string): RolloutStep {
+function rolloutStep(
+  rollout: RolloutPicture,
+  after: RolloutStep['after'],
+  reason: string,
+): RolloutStep {
   const { state, finishedDataCentres } = rollout;
   return { before: { state, finishedDataCentres }, after, reason };
 }
 
-/** Every runner that is not known to serve counts: the capacity that is kept is the one that is certain. */
-function unavailableHere(picture: PoolPicture, works: readonly RunnerWork[]): number {
-  return picture.runners.length - works.filter((work) => work.available).length;
+/** Counts every runner that is not known to serve, so that only capacity that is certain counts as kept. */
+function unavailableInDataCentre(picture: PoolPicture, trackers: readonly RunnerWork[]): number {
+  return picture.runners.length - trackers.filter((tracker) => tracker.available).length;
 }
 
-function unavailableOf(picture: PoolPicture, works: readonly RunnerWork[]): number {
-  return picture.elsewhere.unavailable + unavailableHere(picture, works);
+function unavailableInService(picture: PoolPicture, trackers: readonly RunnerWork[]): number {
+  return picture.elsewhere.unavailable + unavailableInDataCentre(picture, trackers);
 }
 
 /**
- * The share holds for the whole service and for the data centre: a share of the whole could be all of one
- * data centre, whose callers would then all go elsewhere, or nowhere where the policy forbids it.
+ * Number of runners that may still be drained. The share limits both the whole service and the data centre:
+ * a share of the service alone could be all runners of one data centre, whose callers would then all be
+ * routed elsewhere, or be refused where the policy forbids that.
  */
-function mayStillTake(picture: PoolPicture, share: number, works: readonly RunnerWork[]): number {
+function remainingDrainAllowance(
+  picture: PoolPicture,
+  share: number,
+  trackers: readonly RunnerWork[],
+): number {
   const { runners, elsewhere } = picture;
   const ofService = unavailableAllowance(runners.length + elsewhere.runners, share);
-  // A data centre with a single runner is emptied for a while, where the service has others.
+  // A data centre with a single runner may be empty for a while, if the service has runners elsewhere.
   const ofDataCentre = Math.max(1, Math.floor(share * runners.length));
   return Math.min(
-    ofService - unavailableOf(picture, works),
-    ofDataCentre - unavailableHere(picture, works),
+    ofService - unavailableInService(picture, trackers),
+    ofDataCentre - unavailableInDataCentre(picture, trackers),
   );
 }
 
-function takesOf(picture: PoolPicture, turn: Turn, works: readonly RunnerWork[]): RunnerWork[] {
+function runnersToDrain(
+  picture: PoolPicture,
+  turn: Turn,
+  trackers: readonly RunnerWork[],
+): RunnerWork[] {
   const { rollout } = picture;
   if (!turn.mayTake || !rollout) return [];
-  const free = mayStillTake(picture, rollout.maximumUnavailableShare, works);
-  if (free <= 0) return [];
-  return works
-    .filter((work) => work.phase === 'outdated' && work.available)
+  const remaining = remainingDrainAllowance(picture, rollout.maximumUnavailableShare, trackers);
+  if (remaining <= 0) return [];
+  return trackers
+    .filter((tracker) => tracker.phase === 'outdated' && tracker.available)
     .sort((a, b) => (a.runner.id < b.runner.id ? -1 : 1))
-    .slice(0, free);
+    .slice(0, remaining);
 }
 
-/** Remembers the one change under way and the picture to wait for. */
+/** Plans the next change of one pool. Keeps track of the change in progress and of the revision to wait for. */
 export class ChangePlan {
   private readonly timings: RolloutTimings;
 
   private call: number | undefined;
 
-  /** No further change before the picture shows this revision: it would be planned on what is past. */
+  /** Revision that the picture must reach before the next change, which would otherwise use outdated data. */
   private awaitedRevision = 0;
 
-  private notBefore = -Infinity;
+  /** Monotonic time before which a failed change is not retried. */
+  private retryAt = -Infinity;
 
-  private wishedSince: number | undefined;
+  /** Monotonic time since which there have been changes to make; they are batched from then on. */
+  private pendingSince: number | undefined;
 
   /**
-   * @param options - the times.
+   * @param options - the timings.
    */
   constructor({ timings }: ChangePlanOptions) {
     this.timings = timings;
   }
 
-  /** Forgets everything: another lease. */
+  /** Forgets everything, because another lease begins. */
   reset(): void {
     this.call = undefined;
     this.awaitedRevision = 0;
-    this.notBefore = -Infinity;
-    this.wishedSince = undefined;
+    this.retryAt = -Infinity;
+    this.pendingSince = undefined;
   }
 
-  /** @param call - number of the change that goes out. */
+  /** @param call - call number of the change that is being made. */
   began(call: number): void {
     this.call = call;
-    this.wishedSince = undefined;
+    this.pendingSince = undefined;
   }
 
   /**
-   * @param now - the time.
-   * @param call - number of the change that ended.
-   * @param end - how.
-   * @returns Whether it is the one that was waited for.
+   * Processes the result of a change.
+   *
+   * @param now - monotonic time in milliseconds.
+   * @param call - call number of the change.
+   * @param end - its result.
+   * @returns Whether this change was the one in progress.
    */
   ended(now: number, call: number, end: ChangeEnd): boolean {
     if (this.call !== call) return false;
     this.call = undefined;
     if (end.kind === 'accepted') this.awaitedRevision = end.revision;
-    else this.notBefore = now + this.timings.changeRetryMilliseconds;
+    else this.retryAt = now + this.timings.changeRetryMilliseconds;
     return true;
   }
 
   /**
-   * @param now - the time.
-   * @returns When a wish is due, or `undefined` when there is none.
+   * @param now - monotonic time in milliseconds.
+   * @returns Monotonic time at which the next batch of changes is due, or `undefined` if there is none.
    */
   nextTime(now: number): number | undefined {
-    if (this.wishedSince === undefined || this.call !== undefined) return undefined;
-    return Math.max(now, this.notBefore, this.wishedSince + this.timings.gatherMilliseconds);
+    if (this.pendingSince === undefined || this.call !== undefined) return undefined;
+    return Math.max(now, this.retryAt, this.pendingSince + this.timings.gatherMilliseconds);
   }
 
   /**
-   * @param now - the time.
+   * Plans the next change.
+   *
+   * @param now - monotonic time in milliseconds.
    * @param picture - the pool.
-   * @param turn - its part in the roll-out.
-   * @param works - the runners that are ours.
-   * @returns The change to make now, or `undefined`.
+   * @param turn - the pool's current part in the roll-out.
+   * @param trackers - trackers of the runners that the roll-out manages.
+   * @returns The change to make now with its log events, or `undefined` if there is none.
    */
   next(
     now: number,
     picture: PoolPicture,
     turn: Turn,
-    works: readonly RunnerWork[],
+    trackers: readonly RunnerWork[],
   ): { change: PlannedChange; reports: readonly PlannedReport[] } | undefined {
     if (this.call !== undefined || picture.revision < this.awaitedRevision) return undefined;
-    const halt = this.haltOf(now, picture, turn, works);
-    if (halt) return now < this.notBefore ? undefined : halt;
-    const lifts = works.filter(({ phase, runner }) => {
+    const halt = this.planHalt(now, picture, turn, trackers);
+    if (halt) return now < this.retryAt ? undefined : halt;
+    const returned = trackers.filter(({ phase, runner }) => {
       const back = phase === 'returning' || phase === 'settled';
       return back && runner.drain === 'rollout';
     });
-    const takes = takesOf(picture, turn, works);
-    const finish = this.finishOf(picture, turn, works);
-    if (lifts.length + takes.length === 0 && !finish) {
-      this.wishedSince = undefined;
+    const drained = runnersToDrain(picture, turn, trackers);
+    const finish = this.planFinish(picture, turn, trackers);
+    if (returned.length + drained.length === 0 && !finish) {
+      this.pendingSince = undefined;
       return undefined;
     }
-    this.wishedSince ??= now;
+    this.pendingSince ??= now;
     const due = this.nextTime(now) ?? now;
     if (now < due) return undefined;
     if (finish) return finish;
-    const drains = takes.map(({ runner: { id, incarnation } }) => ({ runnerId: id, incarnation }));
-    const change = { drains, lifts: lifts.map(({ runner }) => runner.id) };
+    const drains = drained.map(({ runner: { id, incarnation } }) => ({
+      runnerId: id,
+      incarnation,
+    }));
+    const change = { drains, lifts: returned.map(({ runner }) => runner.id) };
     const fields = {
       taken: drains.map(({ runnerId }) => runnerId).join(','),
       givenBack: change.lifts.join(','),
-      unavailable: unavailableOf(picture, works),
+      unavailable: unavailableInService(picture, trackers),
     };
     return { change, reports: [{ event: 'runnersTaken', fields }] };
   }
 
-  private haltOf(
+  private planHalt(
     now: number,
     picture: PoolPicture,
     turn: Turn,
-    works: readonly RunnerWork[],
+    trackers: readonly RunnerWork[],
   ): { change: PlannedChange; reports: readonly PlannedReport[] } | undefined {
     const { rollout } = picture;
     if (!turn.active || !rollout) return undefined;
-    const reasons = works.flatMap((work) => this.troubleOf(now, work) ?? []);
-    const stuck = works.some((work) => this.isStuck(now, work));
+    const reasons = trackers.flatMap((tracker) => this.haltReason(now, tracker) ?? []);
+    const stuck = trackers.some((tracker) => this.isStuck(now, tracker));
     if (reasons.length === 0) return undefined;
     if (!stuck && reasons.length < Math.max(1, rollout.maximumFailures)) return undefined;
     const reason = `${picture.dataCentre}: ${reasons.join('; ')}`;
     const { finishedDataCentres } = rollout;
-    const step = stepOf(rollout, { state: 'halted', finishedDataCentres }, reason);
+    const step = rolloutStep(rollout, { state: 'halted', finishedDataCentres }, reason);
     return {
       change: { drains: [], lifts: [], rollout: step },
       reports: [{ event: 'rolloutHalted', fields: { rollout: rollout.name, reason } }],
     };
   }
 
-  private troubleOf(now: number, work: RunnerWork): string | undefined {
-    const { runner, phase, failure } = work;
+  private haltReason(now: number, tracker: RunnerWork): string | undefined {
+    const { runner, phase, failure } = tracker;
     if (phase === 'failed') return `${runner.id}: ${failure}`;
-    if (!this.isStuck(now, work)) return undefined;
-    if (work.silentSince !== undefined) return `${runner.id}: does not answer`;
+    if (!this.isStuck(now, tracker)) return undefined;
+    if (tracker.silentSince !== undefined) return `${runner.id}: does not answer`;
     return `${runner.id}: still has requests in progress`;
   }
 
-  /** Taken, and neither dead nor getting anywhere: a person has to look. */
+  /** Whether a runner drained for the roll-out is up but makes no progress, so that an operator must check it. */
   private isStuck(now: number, { runner, phase, silentSince, drainedSince }: RunnerWork): boolean {
     const { longestSilenceMilliseconds, longestDrainMilliseconds } = this.timings;
     if (runner.drain !== 'rollout') return false;
@@ -199,20 +221,20 @@
     return phase === 'draining' && drained;
   }
 
-  private finishOf(
+  private planFinish(
     picture: PoolPicture,
     turn: Turn,
-    works: readonly RunnerWork[],
+    trackers: readonly RunnerWork[],
   ): { change: PlannedChange; reports: readonly PlannedReport[] } | undefined {
     const { rollout, dataCentre } = picture;
     if (!turn.active || !rollout) return undefined;
-    const done = works.every(
+    const done = trackers.every(
       ({ phase, runner, silentSince }) =>
         phase === 'settled' && runner.drain === 'none' && silentSince === undefined,
     );
     if (!done) return undefined;
     const { wantedVersion, ...after } = afterDataCentre(rollout, dataCentre);
-    const step = stepOf(rollout, after, `${dataCentre} is done`);
+    const step = rolloutStep(rollout, after, `${dataCentre} is done`);
     const fields = { rollout: rollout.name, state: after.state };
     return {
       change: {
--- a/src/orders/HeldLease.ts
+++ b/src/orders/HeldLease.ts
@@ -1,8 +1,8 @@
 /**
- * The times of a lease that this daemon was granted, by its own monotonic clock.
+ * Validity and due times of a lease that this daemon was granted, by its own monotonic clock.
  *
- * Everything is counted from before a call was sent: the platform counts from when it received it, so that
- * the lease never ends there before it ends here.
+ * All times are counted from before a call was sent. The platform counts from when it received the call, so
+ * that the lease always ends here before it ends there.
  */
 import type { LeaseTimings } from './leaseTimings.js';
 import { READINGS_PER_TIME_TO_LIVE, RENEWALS_PER_TIME_TO_LIVE } from './leaseTimings.js';
@@ -12,39 +12,41 @@
   leaseId: string;
   nonce: string;
   timings: LeaseTimings;
-  /** Monotonic milliseconds before the grant was asked for. */
+  /** Monotonic time in milliseconds before the grant was requested. */
   askedAt: number;
-  /** As granted. */
+  /** Time to live as granted. */
   timeToLiveMilliseconds: number;
 }
 
-/** A lease granted by the platform, with or without its key written. */
+/** A lease granted by the platform. Its key may not have been written yet. */
 export class HeldLease {
   readonly leaseId: string;
 
-  /** What the key holds when it is ours. */
+  /** The nonce in the key's value if this daemon wrote the key. */
   readonly nonce: string;
 
-  /** Modified revision of the key, once it is ours; 0 before. */
+  /** Fencing token: the modified revision of the key; 0 until this daemon has written it. */
   token = 0;
 
-  /** When it became known that the key is ours. */
+  /** Monotonic time at which this daemon learned that it holds the key. */
   acquiredAt = 0;
 
-  /** When the next renewal is due. */
+  /** Monotonic time at which the next renewal is due. */
   renewAt = 0;
 
-  /** When the key is due to be read again. */
+  /** Monotonic time at which the next read of the key is due. */
   readAt = 0;
 
   private readonly timings: LeaseTimings;
 
+  /** Monotonic time until which the store lease is certain to exist. */
   private leaseUntil = 0;
 
+  /** Monotonic time until which the key counts as held by this daemon since it was last seen. */
   private keyUntil = Infinity;
 
   /**
-   * @param options - of the grant.
+   * @param options - the grant and the timings.
    */
   constructor({ leaseId, nonce, timings, askedAt, timeToLiveMilliseconds }: HeldLeaseOptions) {
     this.leaseId = leaseId;
@@ -53,36 +55,37 @@
     this.extend(askedAt, timeToLiveMilliseconds);
   }
 
-  /** @returns Monotonic milliseconds from which nothing may be done under this lease. */
+  /** @returns Monotonic time in milliseconds from which nothing may be done under this lease. */
   get until(): number {
     return Math.min(this.leaseUntil, this.keyUntil);
   }
 
   /**
-   * The platform granted or renewed it.
+   * Extends the validity after the platform granted or renewed the lease.
    *
-   * @param askedAt - before the call was sent.
-   * @param timeToLiveMilliseconds - as granted.
+   * @param askedAt - monotonic time before the call was sent.
+   * @param timeToLiveMilliseconds - time to live as granted.
    */
   extend(askedAt: number, timeToLiveMilliseconds: number): void {
-    this.leaseUntil = askedAt + this.trusted(timeToLiveMilliseconds);
+    this.leaseUntil = askedAt + this.shortenByDrift(timeToLiveMilliseconds);
     this.renewAt = askedAt + timeToLiveMilliseconds / RENEWALS_PER_TIME_TO_LIVE;
   }
 
   /**
-   * The key was seen to be ours.
+   * Extends the validity after a read or write showed that this daemon holds the key.
    *
-   * @param askedAt - before the call was sent.
-   * @param token - its modified revision.
+   * @param askedAt - monotonic time before the call was sent.
+   * @param token - modified revision of the key.
    */
   confirm(askedAt: number, token: number): void {
     const { timeToLiveMilliseconds } = this.timings;
     this.token = token;
-    this.keyUntil = askedAt + this.trusted(timeToLiveMilliseconds);
+    this.keyUntil = askedAt + this.shortenByDrift(timeToLiveMilliseconds);
     this.readAt = askedAt + timeToLiveMilliseconds / READINGS_PER_TIME_TO_LIVE;
   }
 
-  private trusted(milliseconds: number): number {
+  /** Subtracts the drift that the clocks of this daemon and the platform may have. */
+  private shortenByDrift(milliseconds: number): number {
     return milliseconds * (1 - this.timings.clockDriftShare);
   }
 }
--- a/src/orders/LeaseBackOff.ts
+++ b/src/orders/LeaseBackOff.ts
@@ -1,40 +1,40 @@
 /**
- * Waits between attempts at a lease: longer with each failure, and spread. Without the spread every lease of
- * the fleet would be asked for at the moment the platform returns from an outage.
+ * Exponential backoff with jitter between attempts to acquire a lease. Without the jitter every lease of the
+ * fleet would be requested at the moment the platform returns from an outage.
  */
 import { rendezvousScore } from '../routing/rendezvous.js';
 import type { LeaseTimings } from './leaseTimings.js';
 
-/** One more than the largest hash. */
+/** One more than the largest hash value. */
 const HASH_RANGE = 2 ** 32;
 
-/** Doublings of the wait after failures; more would pass the time to live. */
+/** Maximum number of doublings of the wait; more would exceed the time to live. */
 const MAXIMUM_DOUBLINGS = 5;
 
 /** Options of {@link LeaseBackOff}. */
 export interface LeaseBackOffOptions {
-  /** The lease's key and the daemon's name: the seed of the spread. */
+  /** The lease's key; with the holder it is the seed of the jitter. */
   key: string;
   holder: string;
   timings: LeaseTimings;
 }
 
-/** Gives the same waits in the same session. */
+/** Computes the waits. They are deterministic: a replayed session has the same waits. */
 export class LeaseBackOff {
   private readonly options: LeaseBackOffOptions;
 
   private failures = 0;
 
-  private draws = 0;
+  private jitterDraws = 0;
 
   /**
-   * @param options - seed and times.
+   * @param options - seed of the jitter, and timings.
    */
   constructor(options: LeaseBackOffOptions) {
     this.options = options;
   }
 
-  /** A call succeeded: the next failure begins with the shortest wait. */
+  /** Starts again with the shortest wait, after a call succeeded. */
   reset(): void {
     this.failures = 0;
   }
@@ -49,12 +49,12 @@
   }
 
   /**
-   * @param span - in milliseconds.
-   * @returns A part of it.
+   * @param span - upper bound in milliseconds.
+   * @returns Jitter between 0 and the upper bound, in milliseconds.
    */
   jitter(span: number): number {
     const { key, holder } = this.options;
-    this.draws += 1;
-    return (span * rendezvousScore(`${key}/${this.draws}`, holder)) / HASH_RANGE;
+    this.jitterDraws += 1;
+    return (span * rendezvousScore(`${key}/${this.jitterDraws}`, holder)) / HASH_RANGE;
   }
 }
--- a/src/orders/LeaseCalls.ts
+++ b/src/orders/LeaseCalls.ts
@@ -1,15 +1,15 @@
 /**
- * The platform's calls that a lease waits for. Each has a number, so that a late answer to an earlier one
- * is recognized and dropped.
+ * Calls to the platform that are in progress for a lease. Each has a number, so that a late answer to an
+ * earlier call is recognized and dropped.
  */
 
-/** What a call is for. */
+/** Purpose of a call. */
 export type CallPurpose = 'look' | 'grant' | 'write' | 'check' | 'renewal' | 'verification';
 
 /** A call that has not been answered. */
 export interface PendingCall {
   readonly purpose: CallPurpose;
-  /** Monotonic milliseconds before it was sent. */
+  /** Monotonic time in milliseconds before the call was sent. */
   readonly askedAt: number;
 }
 
@@ -18,7 +18,7 @@
   timeoutMilliseconds: number;
 }
 
-/** At most one call of each purpose at a time. */
+/** Tracks the pending calls of a lease: at most one of each purpose at a time. */
 export class LeaseCalls {
   private readonly timeoutMilliseconds: number;
 
@@ -27,16 +27,18 @@
   private last = 0;
 
   /**
-   * @param options - how long an answer may take.
+   * @param options - timeout of a call.
    */
   constructor({ timeoutMilliseconds }: LeaseCallsOptions) {
     this.timeoutMilliseconds = timeoutMilliseconds;
   }
 
   /**
-   * @param now - before the call is sent.
-   * @param purpose - what it is for.
-   * @returns Its number.
+   * Registers a call that is about to be sent.
+   *
+   * @param now - monotonic time in milliseconds.
+   * @param purpose - purpose of the call.
+   * @returns The number of the call.
    */
   ask(now: number, purpose: CallPurpose): number {
     this.last += 1;
@@ -45,8 +47,10 @@
   }
 
   /**
-   * @param call - a number.
-   * @returns The call, which no longer waits; `undefined` when it was given up or answered.
+   * Removes a call that was answered.
+   *
+   * @param call - number of the call.
+   * @returns The call, or `undefined` if it has expired or was answered before.
    */
   answered(call: number): PendingCall | undefined {
     const found = this.pending.get(call);
@@ -55,16 +59,18 @@
   }
 
   /**
-   * @param purpose - of a call.
-   * @returns Whether such a call waits for its answer.
+   * @param purpose - purpose of a call.
+   * @returns Whether a call of this purpose is pending.
    */
   waitsFor(purpose: CallPurpose): boolean {
     return [...this.pending.values()].some((call) => call.purpose === purpose);
   }
 
   /**
-   * @param now - the time.
-   * @returns Calls whose time is up; they no longer wait.
+   * Removes the calls that have timed out.
+   *
+   * @param now - monotonic time in milliseconds.
+   * @returns The removed calls.
    */
   expired(now: number): PendingCall[] {
     const late = [...this.pending].filter(([, call]) => now >= this.expiryOf(call));
@@ -72,12 +78,12 @@
     return late.map(([, call]) => call);
   }
 
-  /** @returns When the next call expires; `Infinity` when none waits. */
+  /** @returns Monotonic time at which the next call expires; `Infinity` when none is pending. */
   nextExpiry(): number {
     return Math.min(Infinity, ...[...this.pending.values()].map((call) => this.expiryOf(call)));
   }
 
-  /** Waits for nothing any more. */
+  /** Removes all pending calls; their answers will be dropped. */
   forget(): void {
     this.pending.clear();
   }
--- a/src/orders/LeaseDecisions.spec.ts
+++ b/src/orders/LeaseDecisions.spec.ts
@@ -9,11 +9,11 @@
 import type { CallFate, LeaseFaults, MetOrder } from './testLeaseWorld.js';
 import { LeaseWorld } from './testLeaseWorld.js';
 
-const { longestOrderMilliseconds: LONGEST_ORDER } = DEFAULT_LEASE_TIMINGS;
+const { longestOrderMilliseconds: LONGEST_ORDER_MILLISECONDS } = DEFAULT_LEASE_TIMINGS;
 const MINUTE = 60_000;
 
-const CALM: LeaseFaults = {
-  fates: [{ there: 2, back: 2, lost: 'nothing' }],
+const NO_FAULTS: LeaseFaults = {
+  callFaults: [{ requestDelay: 2, answerDelay: 2, lost: 'nothing' }],
   pauses: [],
   outages: [],
   deletions: [],
@@ -21,12 +21,12 @@
   orderDelays: [50],
 };
 
-function lostCall(position: number, lost: CallFate['lost']): CallFate[] {
-  const calm: CallFate = { there: 2, back: 2, lost: 'nothing' };
+function callsWithOneLost(position: number, lost: CallFate['lost']): CallFate[] {
+  const calm: CallFate = { requestDelay: 2, answerDelay: 2, lost: 'nothing' };
   return Array.from({ length: 40 }, (_, index) => (index === position ? { ...calm, lost } : calm));
 }
 
-/** Pairs of orders of different holders of which the later-numbered one began before the other had ended. */
+/** Pairs of orders of two holders where the newer one sent its order before the older one's had arrived. */
 function overlaps(orders: readonly MetOrder[]): [MetOrder, MetOrder][] {
   return orders.flatMap((newer) =>
     orders
@@ -35,9 +35,9 @@
   );
 }
 
-const fate: fc.Arbitrary<CallFate> = fc.record({
-  there: fc.integer({ min: 1, max: 3000 }),
-  back: fc.integer({ min: 1, max: 3000 }),
+const callFault: fc.Arbitrary<CallFate> = fc.record({
+  requestDelay: fc.integer({ min: 1, max: 3000 }),
+  answerDelay: fc.integer({ min: 1, max: 3000 }),
   lost: fc.oneof(
     { weight: 5, arbitrary: fc.constant('nothing' as const) },
     { weight: 1, arbitrary: fc.constantFrom('request' as const, 'answer' as const) },
@@ -47,7 +47,7 @@
 const time = fc.integer({ min: 0, max: 8 * MINUTE });
 
 const faults: fc.Arbitrary<LeaseFaults> = fc.record({
-  fates: fc.array(fate, { minLength: 1, maxLength: 40 }),
+  callFaults: fc.array(callFault, { minLength: 1, maxLength: 40 }),
   pauses: fc.array(
     fc.record({
       daemon: fc.nat(2),
@@ -61,42 +61,46 @@
   }),
   deletions: fc.array(time, { maxLength: 3 }),
   clockRates: fc.array(fc.constantFrom(0.98, 1, 1.02), { minLength: 3, maxLength: 3 }),
-  orderDelays: fc.array(fc.integer({ min: 1, max: LONGEST_ORDER }), { minLength: 1, maxLength: 9 }),
+  orderDelays: fc.array(fc.integer({ min: 1, max: LONGEST_ORDER_MILLISECONDS }), {
+    minLength: 1,
+    maxLength: 9,
+  }),
 });
 
-/** Answers the one action of a kind that the last message brought. */
-class Session {
+/** Drives the decisions by hand and finds the call numbers of the actions of the last message. */
+class LeaseDriver {
   readonly decisions = new LeaseDecisions({ key: 'k', holder: 'd' });
 
   private last: readonly LeaseAction[] = [];
 
-  tell(now: number, message: LeaseMessage): readonly LeaseAction[] {
+  send(now: number, message: LeaseMessage): readonly LeaseAction[] {
     this.last = this.decisions.decide(now, message);
     return this.last;
   }
 
   call(kind: LeaseAction['kind']): number {
     const action = this.last.find(({ kind: asked }) => asked === kind);
-    if (!action || !('call' in action)) throw new Error(`There is no ${kind}.`);
+    if (!action || !('call' in action))
+      throw new Error(`The last message caused no action ${kind} with a call number.`);
     return action.call;
   }
 
-  /** Up to the write of the key, at 2000. */
+  /** Goes as far as the write of the key, at 2000 ms, and returns its call number. */
   toWrite(): number {
-    this.tell(0, { kind: 'lease_fencing', checked: true });
-    this.tell(0, { kind: 'lease_rank', rank: 0 });
-    this.tell(2000, { kind: 'tick' });
+    this.send(0, { kind: 'lease_fencing', checked: true });
+    this.send(0, { kind: 'lease_rank', rank: 0 });
+    this.send(2000, { kind: 'tick' });
     const reading = { kind: 'absent', storeRevision: 50 } as const;
-    this.tell(2000, { kind: 'lease_read', call: this.call('read_lease'), reading });
+    this.send(2000, { kind: 'lease_read', call: this.call('read_lease'), reading });
     const term = { kind: 'granted', leaseId: 'l', timeToLiveMilliseconds: 30_000 } as const;
-    this.tell(2000, { kind: 'lease_term', call: this.call('grant_lease'), term });
+    this.send(2000, { kind: 'lease_term', call: this.call('grant_lease'), term });
     return this.call('write_lease');
   }
 
-  /** Holds the lease from 2000 on. */
+  /** Acquires the lease at 2000 ms. */
   hold(): void {
     const writing = { kind: 'committed', revision: 60 } as const;
-    this.tell(2000, { kind: 'lease_written', call: this.toWrite(), writing });
+    this.send(2000, { kind: 'lease_written', call: this.toWrite(), writing });
   }
 }
 
@@ -107,25 +111,25 @@
 
 describe(LeaseDecisions.name, () => {
   it('gives the lease to the first daemon, and to the second when the first is gone', () => {
-    const world = new LeaseWorld({ daemons: 2, faults: CALM, checksFencing: true });
-    world.run(MINUTE);
-    expect(world.believers()).toEqual([0]);
-    world.tell(0, { kind: 'release' });
-    world.run(4 * MINUTE);
-    expect(world.believers()).toEqual([1]);
+    const simulation = new LeaseWorld({ daemons: 2, faults: NO_FAULTS, checksFencing: true });
+    simulation.run(MINUTE);
+    expect(simulation.believers()).toEqual([0]);
+    simulation.tell(0, { kind: 'release' });
+    simulation.run(4 * MINUTE);
+    expect(simulation.believers()).toEqual([1]);
   });
 
-  it('holds the lease whichever one call is lost', () => {
+  it('acquires the lease whichever single call is lost', () => {
     for (const lost of ['answer', 'request'] as const) {
       for (let position = 0; position < 20; position += 1) {
-        const fates = lostCall(position, lost);
-        const world = new LeaseWorld({
+        const callFaults = callsWithOneLost(position, lost);
+        const simulation = new LeaseWorld({
           daemons: 1,
-          faults: { ...CALM, fates },
+          faults: { ...NO_FAULTS, callFaults },
           checksFencing: true,
         });
-        world.run(20_000);
-        expect(world.believers()).toEqual([0]);
+        simulation.run(20_000);
+        expect(simulation.believers()).toEqual([0]);
       }
     }
   });
@@ -140,139 +144,141 @@
   ];
   for (const [name, reading, state] of afterLostWrite) {
     it(`reads after the answer to its write was lost: ${name}`, () => {
-      // Symptom: a pool stays without orders while its key names a daemon that gives none.
-      // Sequence: the key is written, the answer is lost, the daemon takes it for a failure.
-      // Cause: only a read can tell whether a write took effect; the daemon did not read.
-      const session = new Session();
-      const call = session.toWrite();
+      // Guards against a pool without orders whose key names a daemon that gives none: the key is written,
+      // the answer is lost, and the daemon treats the write as failed. Only a read can show whether a write
+      // took effect.
+      const driver = new LeaseDriver();
+      const call = driver.toWrite();
       const writing = { kind: 'unsure', reason: 'timeout' } as const;
-      session.tell(3000, { kind: 'lease_written', call, writing });
-      expect(session.decisions.state).toEqual('checking');
-      session.tell(3001, { kind: 'lease_read', call: session.call('read_lease'), reading });
-      session.tell(3001, { kind: 'tick' });
-      expect(session.decisions.state).toEqual(state as typeof session.decisions.state);
+      driver.send(3000, { kind: 'lease_written', call, writing });
+      expect(driver.decisions.state).toEqual('checking');
+      driver.send(3001, { kind: 'lease_read', call: driver.call('read_lease'), reading });
+      driver.send(3001, { kind: 'tick' });
+      expect(driver.decisions.state).toEqual(state as typeof driver.decisions.state);
     });
   }
 
   it('counts a renewal from before it was asked for, and lapses at the first message after', () => {
-    // Symptom: a holder believes in its lease for seconds after the platform has given it away.
-    // Sequence: a renewal takes four seconds; the holder counts from its answer; the next one fails.
-    // Cause: the platform counts from when it received the call, not from when the answer was read.
-    const session = new Session();
-    session.hold();
-    session.tell(12_000, { kind: 'tick' });
-    const call = session.call('renew_lease');
+    // Guards against a holder that acts under its lease for seconds after the platform has granted it to
+    // another: a renewal takes four seconds, the holder counts from its answer, and the next renewal fails.
+    // The platform counts from when it received the call, not from when the answer was read.
+    const driver = new LeaseDriver();
+    driver.hold();
+    driver.send(12_000, { kind: 'tick' });
+    const call = driver.call('renew_lease');
     const term = { kind: 'granted', leaseId: 'l', timeToLiveMilliseconds: 30_000 } as const;
-    session.tell(16_000, { kind: 'lease_term', call, term });
-    // The key's own confirmation, at 2000, ends first.
-    expect(session.decisions.authority?.until).toEqual(2000 + 28_500);
+    driver.send(16_000, { kind: 'lease_term', call, term });
+    // The confirmation of the key, at 2000 ms, expires first.
+    expect(driver.decisions.authority?.until).toEqual(2000 + 28_500);
     const reading = found('d/1');
-    session.tell(17_000, { kind: 'tick' });
-    session.tell(17_001, { kind: 'lease_read', call: session.call('read_lease'), reading });
-    expect(session.decisions.authority?.until).toEqual(12_000 + 28_500);
-    const actions = session.tell(40_500, { kind: 'tick' });
-    expect(session.decisions.authority).toEqual(undefined);
+    driver.send(17_000, { kind: 'tick' });
+    driver.send(17_001, { kind: 'lease_read', call: driver.call('read_lease'), reading });
+    expect(driver.decisions.authority?.until).toEqual(12_000 + 28_500);
+    const actions = driver.send(40_500, { kind: 'tick' });
+    expect(driver.decisions.authority).toEqual(undefined);
     expect(actions.map(({ kind }) => kind).includes('revoke_lease')).toEqual(true);
-    expect(session.decisions.state).toEqual('waiting');
+    expect(driver.decisions.state).toEqual('waiting');
   });
 
   it('gives up when the platform renews the lease but its key cannot be seen any more', () => {
-    // Symptom: two daemons give orders although each renews its lease. Sequence: the key is deleted by
-    // hand, another daemon writes it; the first one's lease lives on. Cause: a lease that is renewed says
-    // nothing of the key.
-    const session = new Session();
-    session.hold();
+    // Guards against two daemons that give orders while each renews its own lease: the key is deleted by hand
+    // and another daemon writes it, while the lease of the first remains valid. A renewed lease does not show
+    // that the key still exists.
+    const driver = new LeaseDriver();
+    driver.hold();
     for (let now = 3000; now < 30_000; now += 1000) {
-      for (const action of session.tell(now, { kind: 'tick' })) {
+      for (const action of driver.send(now, { kind: 'tick' })) {
         if (action.kind === 'renew_lease') {
           const term = { kind: 'granted', leaseId: 'l', timeToLiveMilliseconds: 30_000 } as const;
-          session.decisions.decide(now, { kind: 'lease_term', call: action.call, term });
+          driver.decisions.decide(now, { kind: 'lease_term', call: action.call, term });
         }
         if (action.kind === 'read_lease') {
-          // Old data shows the key as it was; it proves nothing.
+          // An outdated read still shows the key, but does not prove that it exists.
           const reading = found('d/1', 40);
-          session.decisions.decide(now, { kind: 'lease_read', call: action.call, reading });
+          driver.decisions.decide(now, { kind: 'lease_read', call: action.call, reading });
         }
       }
     }
-    expect(session.decisions.state).toEqual('held');
-    session.tell(30_500, { kind: 'tick' });
-    expect(session.decisions.state).toEqual('waiting');
+    expect(driver.decisions.state).toEqual('held');
+    driver.send(30_500, { kind: 'tick' });
+    expect(driver.decisions.state).toEqual('waiting');
   });
 
   it('stops by its own clock when the holder was paused past its lease', () => {
-    // Symptom: two daemons give orders to the same engines. Sequence: the holder is frozen for a minute,
-    // its lease lapses, another daemon acquires it, the first one wakes up and goes on.
-    // Cause: the woken process trusted what it had believed before the pause.
+    // Guards against two daemons that give orders to the same engines: the holder is paused for three minutes,
+    // its lease expires, another daemon acquires it, and the first one resumes and goes on. This happens if the
+    // resumed process does not check its clock.
     const pauses = [{ daemon: 0, at: MINUTE, length: 3 * MINUTE }];
-    const world = new LeaseWorld({
+    const simulation = new LeaseWorld({
       daemons: 2,
-      faults: { ...CALM, pauses },
+      faults: { ...NO_FAULTS, pauses },
       checksFencing: true,
     });
-    world.run(MINUTE - 1);
-    expect(world.believers()).toEqual([0]);
-    world.run(4 * MINUTE + 5000);
-    expect(world.believers()).toEqual([1]);
-    expect(overlaps(world.orders)).toEqual([]);
+    simulation.run(MINUTE - 1);
+    expect(simulation.believers()).toEqual([0]);
+    simulation.run(4 * MINUTE + 5000);
+    expect(simulation.believers()).toEqual([1]);
+    expect(overlaps(simulation.orders)).toEqual([]);
   });
 
   it('stops when the platform is silent for longer than its lease, and returns after the outage', () => {
     const outages = [{ at: MINUTE, length: 2 * MINUTE }];
-    const world = new LeaseWorld({
+    const simulation = new LeaseWorld({
       daemons: 2,
-      faults: { ...CALM, outages },
+      faults: { ...NO_FAULTS, outages },
       checksFencing: true,
     });
-    world.run(MINUTE + 31_000);
-    expect(world.believers()).toEqual([]);
-    world.run(5 * MINUTE);
-    expect(world.believers().length).toEqual(1);
+    simulation.run(MINUTE + 31_000);
+    expect(simulation.believers()).toEqual([]);
+    simulation.run(5 * MINUTE);
+    expect(simulation.believers().length).toEqual(1);
   });
 
   it('waits out the old lease and orders under way before engines that ignore the token', () => {
-    // Symptom: an engine that ignores fencing tokens loads what an old holder wanted, after the new one's
-    // order. Sequence: the key is deleted by hand while the old holder's order is under way; a new holder
-    // acquires the lease and orders at once; the old order arrives last.
-    // Cause: the new holder did not wait until nothing of the old one could arrive.
-    const slow = { ...CALM, deletions: [MINUTE], orderDelays: [LONGEST_ORDER] };
+    // Guards against an engine that ignores fencing tokens and carries out an old holder's order after the new
+    // holder's: the key is deleted by hand while the old order is on its way, a new holder acquires the lease
+    // and gives an order at once, and the old order arrives last. The new holder has to wait until no order of
+    // the old one can arrive any more.
+    const slow = { ...NO_FAULTS, deletions: [MINUTE], orderDelays: [LONGEST_ORDER_MILLISECONDS] };
     const pauses = [{ daemon: 0, at: MINUTE + 20_000, length: 5 * MINUTE }];
-    const world = new LeaseWorld({
+    const simulation = new LeaseWorld({
       daemons: 2,
       faults: { ...slow, pauses },
       checksFencing: false,
     });
-    world.run(8 * MINUTE);
-    expect(new Set(world.holders.values()).size).toEqual(2);
-    expect(overlaps(world.orders)).toEqual([]);
+    simulation.run(8 * MINUTE);
+    expect(new Set(simulation.holders.values()).size).toEqual(2);
+    expect(overlaps(simulation.orders)).toEqual([]);
   });
 
-  it('takes a suspended instance and a newer token for the end of its lease', () => {
+  it('gives its lease up after a suspension, and when an engine has seen a newer token', () => {
     for (const kind of ['clock_jumped', 'fenced'] as const) {
-      const world = new LeaseWorld({ daemons: 1, faults: CALM, checksFencing: true });
-      world.run(MINUTE);
-      const [before] = world.believers();
-      world.tell(0, { kind });
-      expect([before, ...world.believers()]).toEqual([0]);
-      world.run(4 * MINUTE);
-      expect(world.holders.size).toEqual(2);
+      const simulation = new LeaseWorld({ daemons: 1, faults: NO_FAULTS, checksFencing: true });
+      simulation.run(MINUTE);
+      const [before] = simulation.believers();
+      simulation.tell(0, { kind });
+      expect([before, ...simulation.believers()]).toEqual([0]);
+      simulation.run(4 * MINUTE);
+      expect(simulation.holders.size).toEqual(2);
     }
   });
 
-  it('never lets two holders share a token, nor an older token be newer, in any interleaving', () => {
+  it('never lets two holders share a token, and gives each new holder a higher one, in any interleaving', () => {
     fc.assert(
       fc.property(faults, (wrong) => {
-        const world = new LeaseWorld({ daemons: 3, faults: wrong, checksFencing: true });
-        world.run(10 * MINUTE);
+        const simulation = new LeaseWorld({ daemons: 3, faults: wrong, checksFencing: true });
+        simulation.run(10 * MINUTE);
         const owners = new Map<number, number>();
-        for (const { token, daemon } of world.orders) {
+        for (const { token, daemon } of simulation.orders) {
           expect(owners.get(token) ?? daemon).toEqual(daemon);
           owners.set(token, daemon);
         }
-        // What a checking engine lets pass is ordered by token; a holder's first order is later than
-        // the lease of every earlier one began.
+        // Engines that check tokens accept only rising ones, so the first orders of the holders have to be
+        // sent in the order of their tokens.
         const first = [...owners.keys()].map((token) =>
-          Math.min(...world.orders.filter((met) => met.token === token).map((met) => met.sentAt)),
+          Math.min(
+            ...simulation.orders.filter((met) => met.token === token).map((met) => met.sentAt),
+          ),
         );
         expect([...owners.keys()]).toEqual([...owners.keys()].sort((a, b) => a - b));
         expect(first).toEqual([...first].sort((a, b) => a - b));
@@ -284,9 +290,9 @@
   it('never lets orders of two holders overlap at engines that ignore tokens', () => {
     fc.assert(
       fc.property(faults, (wrong) => {
-        const world = new LeaseWorld({ daemons: 3, faults: wrong, checksFencing: false });
-        world.run(10 * MINUTE);
-        expect(overlaps(world.orders)).toEqual([]);
+        const simulation = new LeaseWorld({ daemons: 3, faults: wrong, checksFencing: false });
+        simulation.run(10 * MINUTE);
+        expect(overlaps(simulation.orders)).toEqual([]);
       }),
       { seed: 2, numRuns: 250 },
     );
@@ -297,12 +303,12 @@
     const decisions = new LeaseDecisions({ key: 'k', holder: 'd' });
     decisions.decide(0, { kind: 'lease_rank', rank: 5 });
     expect([decisions.state, decisions.nextWake()]).toEqual(['idle', undefined]);
-    const world = new LeaseWorld({ daemons: 1, faults: CALM, checksFencing: true });
-    world.onCall = (kind) => calls.push(kind);
-    world.run(MINUTE);
+    const simulation = new LeaseWorld({ daemons: 1, faults: NO_FAULTS, checksFencing: true });
+    simulation.onCall = (kind) => calls.push(kind);
+    simulation.run(MINUTE);
     calls.length = 0;
-    world.run(11 * MINUTE);
-    // Three renewals and two readings in 30 s, for ten minutes.
+    simulation.run(11 * MINUTE);
+    // Three renewals and two reads of the key per 30 s, for ten minutes.
     expect([
       Math.round(calls.filter((kind) => kind === 'renew_lease').length / 20),
       Math.round(calls.filter((kind) => kind === 'read_lease').length / 20),
--- a/src/orders/LeaseDecisions.ts
+++ b/src/orders/LeaseDecisions.ts
@@ -1,8 +1,9 @@
 /**
- * Acquires, keeps and gives up the lease of one pool in one data centre.
+ * Acquires, renews and releases the lease of one pool in one data centre.
  *
- * Whoever tries is safe, because the key is written only where there is none; hash order merely spares the
- * platform a crowd. What a holder may do ends by its own clock, whether or not the platform answers.
+ * Any number of daemons may safely try at the same time, because the key is written only if it does not exist.
+ * The rendezvous order only limits how many daemons call the platform. A holder's authority ends by its own
+ * clock, whether or not the platform answers.
  */
 import { match } from 'ts-pattern';
 
@@ -29,14 +30,14 @@
 
 /** Options of {@link LeaseDecisions}. */
 export interface LeaseDecisionsOptions {
-  /** Key at the platform; also the seed of all jitter. */
+  /** Key of the lease in the store; also part of the seed of the jitter. */
   key: string;
-  /** This daemon's name with its incarnation. */
+  /** This daemon's name with its incarnation, written into the key. */
   holder: string;
   timings?: Partial<LeaseTimings>;
 }
 
-/** One daemon's part in one lease. */
+/** Decisions of one daemon about one lease. */
 export class LeaseDecisions extends Decisions<LeaseMessage, LeaseAction> {
   private readonly key: string;
 
@@ -46,21 +47,23 @@
 
   private readonly progress: LeaseProgress;
 
+  /** Place among the possible holders, from 0; -1 for none. */
   private rank = -1;
 
   private fencingChecked = false;
 
-  private tryAt = Infinity;
+  /** Monotonic time of the next read of the key while the state is `waiting`. */
+  private nextAttemptAt = Infinity;
 
   private attempts = 0;
 
   private readonly backOff: LeaseBackOff;
 
-  /** Highest store revision seen: a read below it shows old data and proves nothing. */
+  /** Highest store revision seen. A read with a lower revision shows outdated data and is ignored. */
   private storeRevision = 0;
 
   /**
-   * @param options - which lease, and for whom.
+   * @param options - the lease's key, the holder's name and the timings.
    */
   constructor({ key, holder, timings = {} }: LeaseDecisionsOptions) {
     super();
@@ -72,12 +75,12 @@
     this.backOff = new LeaseBackOff({ key, holder, timings: this.timings });
   }
 
-  /** @returns The state of the chart. */
+  /** @returns The state of `lease.chart.json`. */
   get state(): LeaseState {
     return this.progress.state;
   }
 
-  /** @returns What this daemon may act under as of the last message, or `undefined`. */
+  /** @returns The authority to give orders as of the last message, or `undefined` if there is none. */
   get authority(): Authority | undefined {
     if (this.progress.state !== 'held' || !this.progress.lease) return undefined;
     return { token: this.progress.lease.token, until: this.progress.lease.until };
@@ -85,9 +88,10 @@
 
   override decide(now: number, message: LeaseMessage): readonly LeaseAction[] {
     this.progress.begin();
-    this.lapse(now);
-    this.take(now, message);
-    for (const call of this.progress.calls.expired(now)) this.unanswered(now, call.purpose);
+    this.expireLease(now);
+    this.handle(now, message);
+    for (const call of this.progress.calls.expired(now))
+      this.handleUnansweredCall(now, call.purpose);
     this.act(now);
     return this.progress.taken();
   }
@@ -95,7 +99,7 @@
   override nextWake(): number | undefined {
     const { lease } = this.progress;
     const times = [this.progress.calls.nextExpiry()];
-    if (this.progress.state === 'waiting') times.push(this.tryAt);
+    if (this.progress.state === 'waiting') times.push(this.nextAttemptAt);
     if (this.progress.holding && lease) {
       times.push(lease.until);
       if (!this.progress.calls.waitsFor('renewal')) times.push(lease.renewAt);
@@ -106,35 +110,36 @@
     return Number.isFinite(earliest) ? earliest : undefined;
   }
 
-  private take(now: number, message: LeaseMessage): void {
+  private handle(now: number, message: LeaseMessage): void {
     match(message)
       .with({ kind: 'tick' }, () => {})
-      .with({ kind: 'lease_rank' }, ({ rank }) => this.ranked(now, rank))
+      .with({ kind: 'lease_rank' }, ({ rank }) => this.updateRank(now, rank))
       .with({ kind: 'lease_fencing' }, ({ checked }) => {
         this.fencingChecked = checked;
       })
-      .with({ kind: 'lease_read' }, ({ call, reading }) => this.read(now, call, reading))
-      .with({ kind: 'lease_term' }, ({ call, term }) => this.termed(now, call, term))
-      .with({ kind: 'lease_written' }, ({ call, writing }) => this.written(now, call, writing))
-      .with({ kind: 'clock_jumped' }, () => this.lose(now, 'the instance was suspended'))
-      .with({ kind: 'fenced' }, () => this.lose(now, 'an engine has seen a newer holder'))
+      .with({ kind: 'lease_read' }, ({ call, reading }) => this.handleRead(now, call, reading))
+      .with({ kind: 'lease_term' }, ({ call, term }) => this.handleTerm(now, call, term))
+      .with({ kind: 'lease_written' }, ({ call, writing }) => this.handleWrite(now, call, writing))
+      .with({ kind: 'clock_jumped' }, () => this.loseLease(now, 'the instance was suspended'))
+      .with({ kind: 'fenced' }, () => this.loseLease(now, 'an engine has seen a newer holder'))
       .with({ kind: 'release' }, () => this.release())
       .exhaustive();
   }
 
-  /** A paused process wakes up with a lease that others may have taken: its own clock tells. */
-  private lapse(now: number): void {
+  /** Gives up a lease that has expired by the own clock: after a pause another daemon may have acquired it. */
+  private expireLease(now: number): void {
     const { lease } = this.progress;
     if (!lease || now < lease.until) return;
-    if (this.progress.holding) this.lose(now, 'it lapsed before a renewal was confirmed');
+    if (this.progress.holding) this.loseLease(now, 'it lapsed before a renewal was confirmed');
     else this.retry(now, 'the lease lapsed before its key was written');
   }
 
-  private ranked(now: number, rank: number): void {
+  private updateRank(now: number, rank: number): void {
     const before = this.rank;
     this.rank = rank;
     const candidate = rank >= 0 && rank < CANDIDATES;
-    // A holder stays one: moving the lease with every daemon that joins would cost calls and pauses.
+    // A holder keeps its lease whatever its rank: moving it with every daemon that joins would cost calls and
+    // interrupt the work.
     if (this.progress.holding) return;
     if (!candidate) {
       if (this.progress.state === 'idle') return;
@@ -146,12 +151,12 @@
     else if (rank >= before) return;
     if (this.progress.state !== 'waiting') return;
     const standby = rank * STANDBY_TIMES_TO_LIVE * this.timings.timeToLiveMilliseconds;
-    this.tryAt = now + standby + this.backOff.jitter(this.timings.retryMilliseconds);
+    this.nextAttemptAt = now + standby + this.backOff.jitter(this.timings.retryMilliseconds);
   }
 
   private act(now: number): void {
     const { lease } = this.progress;
-    if (this.progress.state === 'waiting' && now >= this.tryAt) {
+    if (this.progress.state === 'waiting' && now >= this.nextAttemptAt) {
       this.progress.go('due');
       this.progress.ask(now, 'look', (call) => ({ kind: 'read_lease', call }));
     }
@@ -175,12 +180,12 @@
     return acquiredAt + (this.fencingChecked ? 0 : settlingMilliseconds(this.timings));
   }
 
-  private read(now: number, number: number, reading: LeaseReading): void {
+  private handleRead(now: number, number: number, reading: LeaseReading): void {
     const call = this.progress.calls.answered(number);
     if (!call) return;
     const stale = reading.kind !== 'failed' && reading.storeRevision < this.storeRevision;
     if (reading.kind === 'failed' || stale) {
-      this.unanswered(now, call.purpose);
+      this.handleUnansweredCall(now, call.purpose);
       return;
     }
     this.storeRevision = reading.storeRevision;
@@ -188,15 +193,15 @@
     const own = reading.kind === 'found' && lease && reading.claim.nonce === lease.nonce;
     if (call.purpose === 'verification') {
       if (own) lease.confirm(call.askedAt, reading.modifiedRevision);
-      else this.lose(now, 'its key is gone or belongs to another daemon');
+      else this.loseLease(now, 'its key is gone or belongs to another daemon');
       return;
     }
-    if (own) this.acquired(now, call.askedAt, reading.modifiedRevision);
-    else if (reading.kind === 'found') this.occupied(now, reading.claim.holder);
-    else this.free(now);
+    if (own) this.markAcquired(now, call.askedAt, reading.modifiedRevision);
+    else if (reading.kind === 'found') this.handleOccupiedKey(now, reading.claim.holder);
+    else this.handleFreeKey(now);
   }
 
-  private free(now: number): void {
+  private handleFreeKey(now: number): void {
     this.progress.go('free');
     if (this.progress.state === 'granting') {
       const { timeToLiveMilliseconds } = this.timings;
@@ -210,15 +215,15 @@
     this.write(now);
   }
 
-  private termed(now: number, number: number, term: LeaseTerm): void {
+  private handleTerm(now: number, number: number, term: LeaseTerm): void {
     const call = this.progress.calls.answered(number);
     if (!call) return;
     if (term.kind === 'failed') {
-      this.unanswered(now, call.purpose);
+      this.handleUnansweredCall(now, call.purpose);
       return;
     }
     if (term.kind === 'lost') {
-      this.lose(now, 'the platform no longer knows the lease');
+      this.loseLease(now, 'the platform no longer knows the lease');
       return;
     }
     const { leaseId, timeToLiveMilliseconds } = term;
@@ -251,34 +256,37 @@
     this.progress.ask(now, 'write', (call) => ({ kind: 'write_lease', call, leaseId, claim }));
   }
 
-  private written(now: number, number: number, writing: LeaseWriting): void {
+  private handleWrite(now: number, number: number, writing: LeaseWriting): void {
     const call = this.progress.calls.answered(number);
     if (!call) return;
     match(writing)
       .with({ kind: 'committed' }, ({ revision }) => {
         this.storeRevision = Math.max(this.storeRevision, revision);
-        this.acquired(now, call.askedAt, revision);
+        this.markAcquired(now, call.askedAt, revision);
       })
-      // The write of which the answer was lost has landed after all.
+      // If the nonce is our own, an earlier write whose answer was lost has taken effect.
       .with({ kind: 'found' }, ({ claim, modifiedRevision }) =>
         claim.nonce === this.progress.lease?.nonce
-          ? this.acquired(now, call.askedAt, modifiedRevision)
-          : this.occupied(now, claim.holder),
+          ? this.markAcquired(now, call.askedAt, modifiedRevision)
+          : this.handleOccupiedKey(now, claim.holder),
       )
-      .with({ kind: 'absent' }, () => this.retry(now, 'the key came and went'))
+      .with({ kind: 'absent' }, () => this.retry(now, 'the key was deleted during the write'))
       .with({ kind: 'failed' }, ({ reason }) => this.retry(now, reason))
-      .with({ kind: 'unsure' }, ({ reason }) => this.check(now, reason))
+      .with({ kind: 'unsure' }, ({ reason }) => this.verifyWrite(now, reason))
       .exhaustive();
   }
 
-  /** After a lost answer only a read can tell; taking it for a failure would leave the pool without orders. */
-  private check(now: number, reason: string): void {
+  /**
+   * Reads the key after the answer to a write was lost, since only a read shows whether the write took effect.
+   * Treating the write as failed would leave the pool without orders.
+   */
+  private verifyWrite(now: number, reason: string): void {
     if (this.progress.state === 'acquiring') this.progress.report('leaseUnsure', { reason });
     this.progress.go('unsure');
     this.progress.ask(now, 'check', (call) => ({ kind: 'read_lease', call }));
   }
 
-  private acquired(now: number, askedAt: number, token: number): void {
+  private markAcquired(now: number, askedAt: number, token: number): void {
     const { lease } = this.progress;
     if (!lease) return;
     lease.confirm(askedAt, token);
@@ -289,22 +297,23 @@
     this.progress.report('leaseAcquired', { token, settlesInMilliseconds: settles });
   }
 
-  private occupied(now: number, holder: string): void {
+  private handleOccupiedKey(now: number, holder: string): void {
     this.progress.give();
     this.progress.go('occupied');
     this.backOff.reset();
     const { timeToLiveMilliseconds } = this.timings;
-    const patience = this.rank === 0 ? 1 : STANDBY_TIMES_TO_LIVE;
-    const own = holder === this.holder ? timeToLiveMilliseconds : 0;
-    this.tryAt = now + timeToLiveMilliseconds * patience + own + this.backOff.jitter(own);
+    const timesToLive = this.rank === 0 ? 1 : STANDBY_TIMES_TO_LIVE;
+    const ownLeaseWait = holder === this.holder ? timeToLiveMilliseconds : 0;
+    this.nextAttemptAt =
+      now + timeToLiveMilliseconds * timesToLive + ownLeaseWait + this.backOff.jitter(ownLeaseWait);
   }
 
-  private unanswered(now: number, purpose: string): void {
+  private handleUnansweredCall(now: number, purpose: string): void {
     const { lease } = this.progress;
     const wait = this.backOff.next();
     if (purpose === 'renewal' && lease) lease.renewAt = now + wait;
     else if (purpose === 'verification' && lease) lease.readAt = now + wait;
-    else if (purpose === 'write') this.check(now, 'the platform did not answer');
+    else if (purpose === 'write') this.verifyWrite(now, 'the platform did not answer');
     else this.retry(now, 'the platform did not answer');
   }
 
@@ -312,16 +321,16 @@
     const wait = this.backOff.next();
     this.progress.give();
     this.progress.go('failed');
-    this.tryAt = now + wait;
+    this.nextAttemptAt = now + wait;
     this.progress.report('leaseFailed', { reason, retryInMilliseconds: Math.round(wait) });
   }
 
-  private lose(now: number, reason: string): void {
+  private loseLease(now: number, reason: string): void {
     if (!this.progress.holding || !this.progress.lease) return;
     this.progress.report('leaseLost', { token: this.progress.lease.token, reason });
     this.progress.give();
     this.progress.go('lost');
-    this.tryAt = now + this.backOff.next();
+    this.nextAttemptAt = now + this.backOff.next();
   }
 
   private release(): void {
--- a/src/orders/LeaseProgress.ts
+++ b/src/orders/LeaseProgress.ts
@@ -1,6 +1,6 @@
 /**
- * Where a daemon is with a lease: the state of its chart, what it was granted, which calls it waits for, and
- * the actions of the message that is being decided.
+ * Progress of one daemon with a lease: the state of `lease.chart.json`, the granted lease, the pending calls,
+ * and the actions that result from the current message.
  */
 import { ChartInterpreter } from '../charts/ChartInterpreter.js';
 import type { HeldLease } from './HeldLease.js';
@@ -18,11 +18,11 @@
   callTimeoutMilliseconds: number;
 }
 
-/** Changed by the lease's decisions only. */
+/** Mutable state of a lease. Only the lease decisions change it. */
 export class LeaseProgress {
   readonly calls: LeaseCalls;
 
-  /** What the platform granted, with or without its key written. */
+  /** The lease that the platform granted. Its key may not have been written yet. */
   lease: HeldLease | undefined;
 
   private readonly key: string;
@@ -32,56 +32,58 @@
   private actions: LeaseAction[] = [];
 
   /**
-   * @param options - which lease, and how long calls are waited for.
+   * @param options - the lease's key and the timeout of calls.
    */
   constructor({ key, callTimeoutMilliseconds }: LeaseProgressOptions) {
     this.key = key;
     this.calls = new LeaseCalls({ timeoutMilliseconds: callTimeoutMilliseconds });
   }
 
-  /** @returns The state of the chart. */
+  /** @returns The state of `lease.chart.json`. */
   get state(): LeaseState {
     return this.current;
   }
 
-  /** @returns Whether the key is this daemon's, as far as it knows. */
+  /** @returns Whether this daemon holds the key, as far as it knows. */
   get holding(): boolean {
     return this.current === 'settling' || this.current === 'held';
   }
 
-  /** Begins a message. */
+  /** Discards the actions of the previous message. */
   begin(): void {
     this.actions = [];
   }
 
-  /** @returns The actions of the message. */
+  /** @returns The actions of the current message. */
   taken(): readonly LeaseAction[] {
     return this.actions;
   }
 
-  /** @param event - of the chart; one that the state does not accept changes nothing. */
+  /** @param event - event of the state chart. One that the state does not accept changes nothing. */
   go(event: LeaseEvent): void {
     this.current = interpreter.next(this.current, event).state;
   }
 
   /**
-   * @param now - the time.
-   * @param purpose - of the call.
-   * @param action - makes the action from the call's number.
+   * Registers a call and adds its action.
+   *
+   * @param now - monotonic time in milliseconds.
+   * @param purpose - purpose of the call.
+   * @param action - creates the action for the call's number.
    */
   ask(now: number, purpose: CallPurpose, action: (call: number) => LeaseAction): void {
     this.actions.push(action(this.calls.ask(now, purpose)));
   }
 
   /**
-   * @param event - of the log.
-   * @param fields - its details.
+   * @param event - name of the log event.
+   * @param fields - fields of the log event besides the lease.
    */
   report(event: LeaseReport, fields: Record<string, string | number | boolean>): void {
     this.actions.push({ kind: 'report', event, fields: { lease: this.key, ...fields } });
   }
 
-  /** Gives back whatever was granted: a write that lands late then finds its lease gone. */
+  /** Revokes the granted lease, so that a write that arrives late fails because its lease is gone. */
   give(): void {
     if (this.lease) this.actions.push({ kind: 'revoke_lease', leaseId: this.lease.leaseId });
     this.lease = undefined;
--- a/src/orders/LeaseStore.ts
+++ b/src/orders/LeaseStore.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's calls of one lease, with every failure turned into a message.
+ * Calls to the platform's store for one lease. Every failure becomes a result, so that no call throws.
  */
 import type { PlatformStore } from '../store/PlatformStore.js';
 import { PlatformStoreError } from '../store/PlatformStore.js';
@@ -11,11 +11,11 @@
 /** Options of a {@link LeaseStore}. */
 export interface LeaseStoreOptions {
   store: PlatformStore;
-  /** The lease's key. */
+  /** Key of the lease in the store. */
   key: string;
 }
 
-/** What somebody wrote by hand is a claim of nobody; it is waited for like any other. */
+/** Parses the key's value. A value written by hand counts as an unknown holder, which is waited for as well. */
 function claimOf(value: Uint8Array): LeaseClaim {
   try {
     const { holder, nonce } = JSON.parse(decoder.decode(value)) as Partial<LeaseClaim>;
@@ -29,21 +29,21 @@
   return error instanceof Error ? error.message : String(error);
 }
 
-/** Never throws. */
+/** Reads, grants, renews, writes and revokes one lease. Its methods never throw. */
 export class LeaseStore {
   private readonly store: PlatformStore;
 
   private readonly key: string;
 
   /**
-   * @param options - the platform and the key.
+   * @param options - the store and the lease's key.
    */
   constructor({ store, key }: LeaseStoreOptions) {
     this.store = store;
     this.key = key;
   }
 
-  /** @returns What the key holds. */
+  /** @returns The value of the lease's key, or why it could not be read. */
   async read(): Promise<LeaseReading> {
     try {
       const { entry, revision: storeRevision } = await this.store.get(this.key);
@@ -56,8 +56,8 @@
   }
 
   /**
-   * @param timeToLiveMilliseconds - as wanted.
-   * @returns A lease of the platform.
+   * @param timeToLiveMilliseconds - requested time to live.
+   * @returns A new store lease, or why there is none.
    */
   async grant(timeToLiveMilliseconds: number): Promise<LeaseTerm> {
     try {
@@ -68,8 +68,8 @@
   }
 
   /**
-   * @param leaseId - the lease.
-   * @returns Its new time to live, or that it is lost.
+   * @param leaseId - ID of the store lease.
+   * @returns Its new time to live, or that the lease is lost.
    */
   async renew(leaseId: string): Promise<LeaseTerm> {
     try {
@@ -83,11 +83,11 @@
   }
 
   /**
-   * Writes the key under a lease, if nobody has written it.
+   * Writes the key under a store lease, provided that the key does not exist.
    *
-   * @param leaseId - the lease.
-   * @param claim - who we are.
-   * @returns How it ended.
+   * @param leaseId - ID of the store lease.
+   * @param claim - the value, which names this daemon and attempt.
+   * @returns Result of the write.
    */
   async write(leaseId: string, claim: LeaseClaim): Promise<LeaseWriting> {
     const { key } = this;
@@ -109,7 +109,7 @@
     }
   }
 
-  /** @param leaseId - the lease; one that cannot be revoked lapses by itself. */
+  /** @param leaseId - ID of the store lease. One that cannot be revoked expires by itself. */
   async revoke(leaseId: string): Promise<void> {
     await this.store.revokeLease(leaseId).catch(() => {});
   }
--- a/src/orders/OrderDecisions.ts
+++ b/src/orders/OrderDecisions.ts
@@ -1,5 +1,5 @@
 /**
- * Everything that is decided for one pool in one data centre: who gives orders, and which.
+ * Combines the decisions for one pool in one data centre: who holds the lease, and which orders are given.
  */
 import { match } from 'ts-pattern';
 
@@ -18,14 +18,14 @@
   rollout?: RolloutDecisionsOptions;
 }
 
-/** A lease, and the work on runners under it. */
+/** Decides on the lease of a pool and on the roll-out work under that lease. */
 export class OrderDecisions extends Decisions<OrderMessage, OrderAction> {
   private readonly lease: LeaseDecisions;
 
   private readonly rollout: RolloutDecisions;
 
   /**
-   * @param options - of the lease and of the work on runners.
+   * @param options - options of the lease decisions and of the roll-out decisions.
    */
   constructor({ lease, rollout }: OrderDecisionsOptions) {
     super();
@@ -35,10 +35,12 @@
 
   override decide(now: number, message: OrderMessage): readonly OrderAction[] {
     const actions: OrderAction[] = [];
-    const leaseSays = (said: LeaseMessage) => actions.push(...this.lease.decide(now, said));
-    const rolloutSays = (said: RolloutMessage) => actions.push(...this.rollout.decide(now, said));
+    const decideLease = (forwarded: LeaseMessage) =>
+      actions.push(...this.lease.decide(now, forwarded));
+    const decideRollout = (forwarded: RolloutMessage) =>
+      actions.push(...this.rollout.decide(now, forwarded));
     if (message.kind === 'order_ended' && message.end.kind === 'refused_fencing') {
-      leaseSays({ kind: 'fenced' });
+      decideLease({ kind: 'fenced' });
     }
     match(message)
       .with(
@@ -47,16 +49,16 @@
         { kind: 'load_read' },
         { kind: 'order_ended' },
         { kind: 'change_ended' },
-        (said) => {
-          // The lease looks at the clock first: work on runners must not outlive it.
-          leaseSays({ kind: 'tick' });
-          rolloutSays(this.authorityMessage());
-          rolloutSays(said);
+        (forwarded) => {
+          // Lets the lease check the clock first, because no work may go on after the lease expired.
+          decideLease({ kind: 'tick' });
+          decideRollout(this.authorityMessage());
+          decideRollout(forwarded);
         },
       )
-      .otherwise((said) => {
-        leaseSays(said);
-        rolloutSays(this.authorityMessage());
+      .otherwise((forwarded) => {
+        decideLease(forwarded);
+        decideRollout(this.authorityMessage());
       });
     return actions;
   }
--- a/src/orders/OrderSupervisor.ts
+++ b/src/orders/OrderSupervisor.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps one order task for each pool whose lease this daemon may come to hold.
+ * Runs one order task for each pool whose lease this daemon may acquire.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type { Log } from '../logging/Log.js';
@@ -13,7 +13,7 @@
 import type { PoolName } from './poolPicture.js';
 import { candidateRank, enginePools, leaseKey, poolsSharingWeights } from './poolPicture.js';
 
-/** Between two looks at the fleet when nothing has told of a change, in milliseconds. */
+/** Interval at which the fleet is reviewed even if no change was reported, in milliseconds. */
 const REVIEW_MILLISECONDS = 1_000;
 
 /** Options of an {@link OrderSupervisor}. */
@@ -22,13 +22,13 @@
   fleet: FleetView;
   store: PlatformStore;
   changes: ConfigurationChanges;
-  /** Makes the connection to an engine. */
+  /** Creates the connection to the engine at an address. */
   upstreamOf: (address: string) => Upstream;
   clock: Clock;
   log: Log;
 }
 
-/** All pools of one daemon. */
+/** Starts and stops the order tasks of one daemon as pools and its rank for them change. */
 export class OrderSupervisor {
   private readonly options: OrderSupervisorOptions;
 
@@ -37,19 +37,19 @@
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param options - what the tasks need.
+   * @param options - settings and the services that the tasks use.
    */
   constructor(options: OrderSupervisorOptions) {
     this.options = options;
   }
 
-  /** Begins; the platform is asked by the first daemons in hash order only. */
+  /** Starts the periodic review. Only the first daemons in rendezvous order call the platform. */
   start(): void {
     this.review();
     this.timer = setInterval(() => this.review(), REVIEW_MILLISECONDS);
   }
 
-  /** Compares tasks with pools; to be called after changes of the fleet as well. */
+  /** Starts and stops tasks to match the pools. Has to be called after changes of the fleet as well. */
   review(): void {
     const { fleet } = this.options;
     const pools = new Map(enginePools(fleet).map((pool) => [leaseKey(pool), pool]));
@@ -60,14 +60,14 @@
     }
     for (const [key, pool] of pools) {
       const rank = candidateRank(fleet, pool);
-      const near = rank >= 0 && rank < CANDIDATES;
-      // A task outlives its rank: it may hold the lease, and then keeps it.
-      if (near && !this.tasks.has(key)) this.tasks.set(key, this.newTask(pool));
+      const isCandidate = rank >= 0 && rank < CANDIDATES;
+      // A task stays when the daemon is no longer a candidate: it may hold the lease, and then keeps it.
+      if (isCandidate && !this.tasks.has(key)) this.tasks.set(key, this.newTask(pool));
       this.tasks.get(key)?.review();
     }
   }
 
-  /** A planned stop: gives all leases back. */
+  /** Stops all tasks and releases their leases. */
   stop(): void {
     clearInterval(this.timer);
     for (const task of this.tasks.values()) task.release();
@@ -77,7 +77,7 @@
   private newTask(pool: PoolName): OrderTask {
     const { settings, fleet, ...others } = this.options;
     const { daemonId, incarnation } = fleet.self();
-    const sharing = poolsSharingWeights(fleet, pool.dataCentre);
+    const poolCount = poolsSharingWeights(fleet, pool.dataCentre);
     const { longestOrderMilliseconds, longestDrainMilliseconds, longestSilenceMilliseconds } =
       settings;
     return new OrderTask({
@@ -96,8 +96,8 @@
         },
         rollout: {
           timings: { longestDrainMilliseconds, longestSilenceMilliseconds },
-          weightBytesPerSecond: settings.weightStoreBytesPerSecond / sharing,
-          concurrentLoads: Math.max(1, Math.floor(settings.weightStoreConcurrentLoads / sharing)),
+          weightBytesPerSecond: settings.weightStoreBytesPerSecond / poolCount,
+          concurrentLoads: Math.max(1, Math.floor(settings.weightStoreConcurrentLoads / poolCount)),
         },
       },
     });
--- a/src/orders/OrderTask.spec.ts
+++ b/src/orders/OrderTask.spec.ts
@@ -28,11 +28,11 @@
 import { leaseKey } from './poolPicture.js';
 
 const POOL = { service: 'sales', dataCentre: 'rosario-1' };
-const STEP = 250;
-const LONGEST_RUN = 20 * 60_000;
+const STEP_MILLISECONDS = 250;
+const LONGEST_RUN_MILLISECONDS = 20 * 60_000;
 
-/** An engine that obeys at once; checks the token as it is told to. */
-class ObedientEngine extends EngineUpstream {
+/** An engine that carries out each order at once and refuses outdated fencing tokens. */
+class CompliantEngine extends EngineUpstream {
   state: UpstreamState = {
     model: 'tile',
     versions: ['1'],
@@ -41,7 +41,7 @@
     loading: [],
   };
 
-  readonly met: { order: UpstreamOrder; token: number }[] = [];
+  readonly received: { order: UpstreamOrder; token: number }[] = [];
 
   highestToken = 0;
 
@@ -58,7 +58,7 @@
     if (token < this.highestToken) {
       return Promise.resolve({ kind: 'refused_fencing', highestFencingToken: this.highestToken });
     }
-    this.met.push({ order, token });
+    this.received.push({ order, token });
     const { versions } = this.state;
     if (order.kind === 'load_version') {
       this.state = { ...this.state, versions: [...versions, order.version] };
@@ -71,8 +71,8 @@
   }
 }
 
-/** One daemon with its order task, over the platform's stand-in, in time that the test moves. */
-class World {
+/** One daemon with its order task, an in-memory store and a clock that the test advances. */
+class OrderTaskHarness {
   readonly clock = new ManualClock({ wallMilliseconds: 1_000_000 });
 
   readonly store = new MemoryPlatformStore({ clock: this.clock });
@@ -81,7 +81,7 @@
 
   readonly fleet = new FixedFleetView();
 
-  readonly engines = new Map<string, ObedientEngine>();
+  readonly engines = new Map<string, CompliantEngine>();
 
   readonly steps: DecisionStep<OrderMessage, OrderAction>[] = [];
 
@@ -140,12 +140,13 @@
     );
   }
 
-  /** Moves time until the condition holds; throws when it never does. */
-  async until(condition: () => boolean): Promise<void> {
-    const end = this.clock.monotonicMilliseconds() + LONGEST_RUN;
+  /** Advances the clock until the condition holds. Throws if it does not hold within the longest run. */
+  async advanceUntil(condition: () => boolean): Promise<void> {
+    const end = this.clock.monotonicMilliseconds() + LONGEST_RUN_MILLISECONDS;
     while (!condition()) {
-      if (this.clock.monotonicMilliseconds() > end) throw new Error('It never came about.');
-      this.clock.advance(STEP);
+      if (this.clock.monotonicMilliseconds() > end)
+        throw new Error('The condition did not hold within the longest run.');
+      this.clock.advance(STEP_MILLISECONDS);
       this.fleet.revision = this.changes.revision();
       this.task.review();
       this.task.send({ kind: 'tick' });
@@ -154,12 +155,12 @@
   }
 
   orders(): { order: UpstreamOrder; token: number }[] {
-    return [...this.engines.values()].flatMap(({ met }) => met);
+    return [...this.engines.values()].flatMap(({ received }) => received);
   }
 
   private addRunner(number: number): void {
     const address = `127.0.0.1:${9000 + number}`;
-    this.engines.set(address, new ObedientEngine({ address }));
+    this.engines.set(address, new CompliantEngine({ address }));
     const record = create(RunnerRecordSchema, {
       runnerId: `r${number}`,
       service: 'sales',
@@ -185,83 +186,96 @@
 
 describe(OrderTask.name, () => {
   it('rolls a version out through lease, drains, orders and the configuration', async () => {
-    const world = new World(5);
-    await world.startRollout();
-    const rollout = () => world.changes.configuration().rollouts[0];
-    await world.until(() => rollout()?.state === 'finished');
-    world.task.release();
-    const [service] = world.changes.configuration().services;
-    expect([service?.wantedVersion, world.changes.configuration().drains.length]).toEqual(['2', 0]);
-    const versions = [...world.engines.values()].map(({ state }) => state.versions.join());
+    const harness = new OrderTaskHarness(5);
+    await harness.startRollout();
+    const rollout = () => harness.changes.configuration().rollouts[0];
+    await harness.advanceUntil(() => rollout()?.state === 'finished');
+    harness.task.release();
+    const [service] = harness.changes.configuration().services;
+    expect([service?.wantedVersion, harness.changes.configuration().drains.length]).toEqual([
+      '2',
+      0,
+    ]);
+    const versions = [...harness.engines.values()].map(({ state }) => state.versions.join());
     expect(versions).toEqual(['2', '2', '2', '2', '2']);
-    const { entry } = await world.store.get(leaseKey(POOL));
+    const { entry } = await harness.store.get(leaseKey(POOL));
     expect(entry).toEqual(undefined);
-    const tokens = new Set(world.orders().map(({ token }) => token));
-    expect([world.orders().length, tokens.size]).toEqual([10, 1]);
+    const tokens = new Set(harness.orders().map(({ token }) => token));
+    expect([harness.orders().length, tokens.size]).toEqual([10, 1]);
   });
 
   it('sends no order when the process was paused between decision and call', async () => {
-    // Symptom: an engine carries out an order of a holder whose lease lapsed a minute ago.
-    // Sequence: the order is decided under a valid lease; the process is frozen; it wakes and sends.
-    // Cause: the clock was checked when the order was decided, not when it was sent.
-    const world = new World(4);
-    await world.startRollout();
-    const decided = () => world.steps.flatMap(({ actions }) => actions).filter(isOrder).length;
-    world.onStep = ({ actions }) => {
-      if (actions.some(isOrder) && decided() === 1) world.clock.advance(60_000);
+    // Guards against an engine carrying out an order of a holder whose lease expired a minute ago: the order
+    // is decided under a valid lease, the process is paused, resumes and sends it. This happens if the clock
+    // is checked only when the order is decided, not when it is sent.
+    const harness = new OrderTaskHarness(4);
+    await harness.startRollout();
+    const decided = () => harness.steps.flatMap(({ actions }) => actions).filter(isOrder).length;
+    harness.onStep = ({ actions }) => {
+      if (actions.some(isOrder) && decided() === 1) harness.clock.advance(60_000);
     };
-    await world.until(() => world.steps.some(({ message }) => message.kind === 'order_ended'));
-    const ended = world.steps.find(({ message }) => message.kind === 'order_ended')?.message;
+    await harness.advanceUntil(() =>
+      harness.steps.some(({ message }) => message.kind === 'order_ended'),
+    );
+    const ended = harness.steps.find(({ message }) => message.kind === 'order_ended')?.message;
     expect(ended?.kind === 'order_ended' && ended.end).toEqual({ kind: 'not_sent' });
-    expect(world.orders()).toEqual([]);
-    await world.until(() => world.changes.configuration().rollouts[0]?.state === 'finished');
-    world.task.release();
+    expect(harness.orders()).toEqual([]);
+    await harness.advanceUntil(
+      () => harness.changes.configuration().rollouts[0]?.state === 'finished',
+    );
+    harness.task.release();
   });
 
   it('gives its lease up when an engine has met a newer holder', async () => {
-    // Symptom: a holder that was replaced goes on with the engines that the new one has not reached.
-    // Sequence: the new holder's order reaches one engine; the old holder is refused there.
-    // Cause: the refusal was taken for a fault of that one engine.
-    const world = new World(4);
-    await world.startRollout();
-    for (const engine of world.engines.values()) engine.highestToken = 1_000_000;
-    await world.until(() => world.steps.some(({ actions }) => actions.some(isLeaseLost)));
-    expect(world.orders()).toEqual([]);
-    expect(world.changes.configuration().rollouts[0]?.state).toEqual('running');
-    world.task.release();
+    // Guards against a replaced holder that goes on with the engines that the new holder has not reached yet.
+    // The new holder's order reaches one engine, which then refuses the old holder. This happens if the
+    // refusal is treated as a fault of that one engine.
+    const harness = new OrderTaskHarness(4);
+    await harness.startRollout();
+    for (const engine of harness.engines.values()) engine.highestToken = 1_000_000;
+    await harness.advanceUntil(() =>
+      harness.steps.some(({ actions }) => actions.some(isLeaseLost)),
+    );
+    expect(harness.orders()).toEqual([]);
+    expect(harness.changes.configuration().rollouts[0]?.state).toEqual('running');
+    harness.task.release();
   });
 
   it('goes on through an outage of the platform, once it holds the lease again', async () => {
-    const world = new World(8);
-    await world.startRollout();
-    await world.until(() => world.orders().length >= 2);
-    const before = world.orders().length;
-    world.store.faults.set({ outage: true });
-    world.changes.faults.push(...Array.from({ length: 3 }, () => 'unavailable' as const));
-    await world.until(() => world.steps.some(({ actions }) => actions.some(isLeaseLost)));
-    const during = world.orders().length;
-    const outageEnd = world.clock.monotonicMilliseconds() + 120_000;
-    await world.until(() => world.clock.monotonicMilliseconds() >= outageEnd);
-    expect([world.orders().length - during, during >= before]).toEqual([0, true]);
-    world.store.faults.set({ outage: false });
-    await world.until(() => world.changes.configuration().rollouts[0]?.state === 'finished');
-    world.task.release();
-    expect(new Set(world.orders().map(({ token }) => token)).size).toEqual(2);
+    const harness = new OrderTaskHarness(8);
+    await harness.startRollout();
+    await harness.advanceUntil(() => harness.orders().length >= 2);
+    const before = harness.orders().length;
+    harness.store.faults.set({ outage: true });
+    harness.changes.faults.push(...Array.from({ length: 3 }, () => 'unavailable' as const));
+    await harness.advanceUntil(() =>
+      harness.steps.some(({ actions }) => actions.some(isLeaseLost)),
+    );
+    const during = harness.orders().length;
+    const outageEnd = harness.clock.monotonicMilliseconds() + 120_000;
+    await harness.advanceUntil(() => harness.clock.monotonicMilliseconds() >= outageEnd);
+    expect([harness.orders().length - during, during >= before]).toEqual([0, true]);
+    harness.store.faults.set({ outage: false });
+    await harness.advanceUntil(
+      () => harness.changes.configuration().rollouts[0]?.state === 'finished',
+    );
+    harness.task.release();
+    expect(new Set(harness.orders().map(({ token }) => token)).size).toEqual(2);
   });
 
   it('leaves alone what an operator changed or drained meanwhile', async () => {
-    const world = new World(4);
-    await world.startRollout();
-    await world.until(() => world.changes.configuration().drains.length > 0);
-    const [rollout] = world.changes.configuration().rollouts;
+    const harness = new OrderTaskHarness(4);
+    await harness.startRollout();
+    await harness.advanceUntil(() => harness.changes.configuration().drains.length > 0);
+    const [rollout] = harness.changes.configuration().rollouts;
     const halted = { ...rollout!, state: 'halted', resumesAs: 'running' };
-    await world.put({ case: 'rollout', value: halted });
-    await world.until(() => world.changes.configuration().drains.length === 0);
-    const later = world.clock.monotonicMilliseconds() + 300_000;
-    await world.until(() => world.clock.monotonicMilliseconds() >= later);
-    world.task.release();
-    expect(world.changes.configuration().rollouts[0]?.state).toEqual('halted');
-    const versions = [...world.engines.values()].map(({ state }) => state.versions.join());
+    await harness.put({ case: 'rollout', value: halted });
+    await harness.advanceUntil(() => harness.changes.configuration().drains.length === 0);
+    const later = harness.clock.monotonicMilliseconds() + 300_000;
+    await harness.advanceUntil(() => harness.clock.monotonicMilliseconds() >= later);
+    harness.task.release();
+    expect(harness.changes.configuration().rollouts[0]?.state).toEqual('halted');
+    const versions = [...harness.engines.values()].map(({ state }) => state.versions.join());
     expect(versions.sort()).toEqual(['1', '1', '1', '2']);
   });
 });
--- a/src/orders/OrderTask.ts
+++ b/src/orders/OrderTask.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what is decided for one pool in one data centre: the platform's calls, the engines' calls,
- * the changes of the configuration. Nothing of it lies on a request's way.
+ * Runs the decisions for one pool in one data centre and carries out their actions: calls to the platform's
+ * store, calls to the engines and changes of the configuration. None of it is on the path of a request.
  */
 import { match } from 'ts-pattern';
 
@@ -23,7 +23,7 @@
 import type { ChangeEnd, OrderEnd, RolloutAction } from './rolloutTypes.js';
 import { RunnerUpstreams } from './RunnerUpstreams.js';
 
-/** A wall clock that ran this much further than the monotonic one shows a suspended instance, in ms. */
+/** If the wall clock gains this much on the monotonic clock, the instance was suspended; in milliseconds. */
 const SUSPENSION_MILLISECONDS = 2_000;
 
 /** Options of an {@link OrderTask}. */
@@ -33,9 +33,9 @@
   fleet: FleetView;
   store: PlatformStore;
   changes: ConfigurationChanges;
-  /** Makes the connection to a runner. */
+  /** Creates the connection to the runner at an address. */
   upstreamOf: (address: string) => Upstream;
-  /** After this an order that was not answered counts as unknown, in milliseconds. */
+  /** An order without an answer for this long has an unknown result; in milliseconds. */
   longestOrderMilliseconds: number;
   clock: Clock;
   log: Log;
@@ -60,7 +60,7 @@
     .exhaustive();
 }
 
-/** One pool's task. */
+/** Task that holds one pool's lease, if it can, and brings the pool's runners to the wanted state. */
 export class OrderTask extends DecisionTask<OrderMessage, OrderAction> {
   private readonly options: OrderTaskOptions;
 
@@ -70,13 +70,14 @@
 
   private changeNumber = 0;
 
-  /** Wall clock minus monotonic clock, as last seen. */
+  /** Wall clock minus monotonic clock at the last check, in milliseconds. */
   private clockOffset: number;
 
-  private shown = '';
+  /** Rank, fencing and picture at the last review, as JSON. */
+  private lastReviewed = '';
 
   /**
-   * @param options - the pool and everything that is asked for it.
+   * @param options - the pool, the options of its decisions, and the services that its actions use.
    */
   constructor(options: OrderTaskOptions) {
     const { decisions, clock, record } = options;
@@ -89,20 +90,20 @@
     this.options = options;
     this.leaseStore = new LeaseStore({ store: options.store, key: decisions.lease.key });
     this.upstreams = new RunnerUpstreams({ upstreamOf: options.upstreamOf });
-    this.clockOffset = this.offset();
+    this.clockOffset = this.measureClockOffset();
   }
 
-  /** Looks at the fleet again; to be called after each change of it, and from time to time. */
+  /** Passes the view of the fleet to the decisions. Has to be called after each change and periodically. */
   review(): void {
     this.checkClocks();
     const { fleet, pool } = this.options;
     const picture = poolPicture(fleet, pool);
     const rank = takesPart(fleet) && picture ? candidateRank(fleet, pool) : -1;
     const checked = fleet.service(pool.service)?.checksFencing ?? false;
-    // Most changes of the fleet concern other pools.
+    // Skips unchanged pictures: most changes of the fleet concern other pools.
     const shown = JSON.stringify([rank, checked, picture]);
-    if (shown === this.shown) return;
-    this.shown = shown;
+    if (shown === this.lastReviewed) return;
+    this.lastReviewed = shown;
     this.send({ kind: 'lease_fencing', checked });
     this.send({ kind: 'lease_rank', rank });
     if (!picture) return;
@@ -110,7 +111,7 @@
     this.send({ kind: 'pool', picture });
   }
 
-  /** Gives the lease back and ends; calls under way are left to their own timeouts. */
+  /** Releases the lease and stops. Calls in progress end by their own timeouts. */
   release(): void {
     this.send({ kind: 'release' });
     this.stop();
@@ -177,9 +178,10 @@
   }
 
   /**
-   * The check before the order: between the decision and this line the process may have been paused for
-   * longer than the lease had left. One would see an old holder's order at an engine that the new holder
-   * already works on. After this line only the write to the socket remains.
+   * Sends an order unless the lease has expired. Between the decision and this check the process may have
+   * been paused for longer than the lease was still valid; without the check, an engine would receive an
+   * order of the old holder while the new holder already works on it. After the check only the write to the
+   * socket remains.
    */
   private async sendOrder({
     runnerId,
@@ -212,7 +214,7 @@
       comment: action.rollout?.reason ?? `roll-out of ${pool.service} in ${pool.dataCentre}`,
       edits,
     };
-    // A change that never ended would keep the roll-out waiting for it.
+    // Errors become results too: the roll-out waits for the result of each change.
     const end = await changes
       .change(change)
       .then(changeEnd)
@@ -221,18 +223,18 @@
   }
 
   /**
-   * The monotonic clock of Linux stands while an instance is suspended: a holder would wake up and find its
-   * lease still valid. The wall clock shows the gap. A clock that was set forward looks the same and costs
-   * one lease.
+   * Detects that the instance was suspended. The monotonic clock of Linux stands still during a suspension,
+   * so that a holder would resume with a lease that looks valid. The wall clock shows the gap. A wall clock
+   * that was set forward looks the same and costs one lease.
    */
   private checkClocks(): void {
-    const offset = this.offset();
+    const offset = this.measureClockOffset();
     const jumped = offset - this.clockOffset >= SUSPENSION_MILLISECONDS;
     this.clockOffset = offset;
     if (jumped) this.send({ kind: 'clock_jumped' });
   }
 
-  private offset(): number {
+  private measureClockOffset(): number {
     return this.clock.wallMilliseconds() - this.clock.monotonicMilliseconds();
   }
 }
--- a/src/orders/RolloutDecisions.spec.ts
+++ b/src/orders/RolloutDecisions.spec.ts
@@ -24,9 +24,9 @@
   });
 
   it('gives no order to a runner before its requests have ended', () => {
-    // Symptom: answers are cut in the middle during a roll-out. Sequence: a runner is drained, its load
-    // report is older than the drain and says "idle", the version is unloaded under requests that had
-    // just arrived. Cause: a lagging report was taken for the present.
+    // Guards against answers that are cut off during a roll-out: a runner is drained, its load report is older
+    // than the drain and shows no requests, and the version is unloaded under requests that had just arrived.
+    // A load report lags and does not show the present.
     const pool = new TestPool({ faults: healthy(4), busyMilliseconds: 30_000 });
     pool.run(HOUR, () => pool.orders.length > 0);
     const [first] = pool.orders;
@@ -35,7 +35,8 @@
     expect(engine?.busyUntil ?? 0).toBeGreaterThan(30_000);
   });
 
-  // The others load well while a silent one is waited for; a version that fails is met at once.
+  // While the roll-out waits for an unresponsive engine, it still changes others; a failing load halts it
+  // sooner.
   const halting: [string, EngineFault, string, number][] = [
     ['refuses', 'refuses', 'a: r01: refused an order: no', 5],
     ['loses its load', 'load_vanishes', 'a: r01: did not load 2 in 3 attempts', 5],
@@ -43,9 +44,9 @@
   ];
   for (const [name, fault, reason, untouchedAtLeast] of halting) {
     it(`halts itself when an engine ${name}, and takes no further one`, () => {
-      // Symptom: a bad version takes one engine after the other out of service.
-      // Sequence: each engine unloads the good version, fails to load the bad one, and the next is taken.
-      // Cause: the failures were counted by nobody.
+      // Guards against a bad version that takes one engine after the other out of service: each engine unloads
+      // the good version and fails to load the bad one, and the next engine is drained. The failures have to be
+      // counted.
       const faults = healthy(8);
       faults[1] = fault;
       const pool = new TestPool({ faults });
@@ -64,8 +65,8 @@
   }
 
   it('goes on when an answer is lost or an engine dies', () => {
-    // Symptom: a roll-out stands still for ever. Sequence: an order's answer is lost, or the engine dies
-    // while it loads. Cause: the order was neither repeated nor given up.
+    // Guards against a roll-out that never ends: the answer to an order is lost, or the engine dies while it
+    // loads. The order has to be repeated or given up.
     for (const fault of ['answers_lost', 'dies'] as const) {
       const faults = healthy(8);
       faults[0] = fault;
@@ -75,7 +76,7 @@
     }
   });
 
-  it('takes nothing when so much is away elsewhere that capacity would suffer', () => {
+  it('drains nothing when too many runners are unavailable in other data centres', () => {
     const elsewhere = { runners: 4, unavailable: 3 };
     const pool = new TestPool({ faults: healthy(8), elsewhere });
     pool.run(10 * MINUTE);
@@ -83,16 +84,16 @@
   });
 
   it('does not empty a data centre although the service as a whole could spare it', () => {
-    // Symptom: all callers of one data centre are refused during a roll-out. Sequence: a quarter of forty
-    // runners may be away, the data centre has four of them, all four are drained at once.
-    // Cause: the share was counted over the whole service only.
+    // Guards against refusing all callers of one data centre during a roll-out: a quarter of forty runners may
+    // be unavailable, the data centre has four of them, and all four are drained at once. The share has to
+    // limit each data centre as well as the whole service.
     const elsewhere = { runners: 36, unavailable: 0 };
     const pool = new TestPool({ faults: healthy(4), elsewhere });
     pool.run(HOUR, () => pool.rollout.state !== 'running');
     expect([pool.rollout.state, pool.mostAway]).toEqual(['finished', 1]);
   });
 
-  it('waits for its data centre, and takes it back when the roll-out is turned round', () => {
+  it('waits for the turn of its data centre, and restores the old version during a roll-back', () => {
     const rollout = { dataCentres: ['b', 'a'] };
     const pool = new TestPool({ faults: healthy(4), rollout });
     pool.run(5 * MINUTE);
--- a/src/orders/RolloutDecisions.ts
+++ b/src/orders/RolloutDecisions.ts
@@ -1,7 +1,7 @@
 /**
- * Brings the runners of one pool in one data centre to what the configuration wants, by steps that keep
- * capacity. Acts only under the pool's lease, and repeats itself safely: orders are desired states, and
- * what it needs to remember is in the configuration (drains, the roll-out) and in the runners.
+ * Brings the runners of one pool in one data centre to the state that the configuration wants, in steps that
+ * keep capacity. Acts only under the pool's lease. Its actions are safe to repeat: orders are desired states,
+ * and all state that must survive is in the configuration (drains, the roll-out) and in the runners.
  */
 import { match } from 'ts-pattern';
 
@@ -22,16 +22,16 @@
 /** Options of {@link RolloutDecisions}. */
 export interface RolloutDecisionsOptions {
   timings?: Partial<RolloutTimings>;
-  /** This pool's share of the weight store, in bytes a second. */
+  /** This pool's share of the weight store's rate, in bytes per second. */
   weightBytesPerSecond?: number;
-  /** Loads of this pool at once. */
+  /** Maximum number of concurrent loads in this pool. */
   concurrentLoads?: number;
 }
 
 const DEFAULT_WEIGHT_BYTES_PER_SECOND = 1_000_000_000;
 const DEFAULT_CONCURRENT_LOADS = 2;
 
-/** One pool in one data centre. */
+/** Decides on state reads, orders and changes of the configuration for one pool in one data centre. */
 export class RolloutDecisions extends Decisions<RolloutMessage, RolloutAction> {
   private readonly timings: RolloutTimings;
 
@@ -43,19 +43,19 @@
 
   private readonly plan: ChangePlan;
 
-  private readonly works = new Map<string, RunnerWork>();
+  private readonly trackers = new Map<string, RunnerWork>();
 
   private picture: PoolPicture | undefined;
 
   private authority: Authority | undefined;
 
-  /** What the works were judged by, so that a new wish judges them again. */
-  private judgedBy = '';
+  /** Wanted state and roll-out state, as JSON, for which the runners were last classified. */
+  private classifiedFor = '';
 
   private wakeAt: number | undefined;
 
   /**
-   * @param options - times and the share of the weight store.
+   * @param options - timings and the pool's share of the weight store.
    */
   constructor({
     timings = {},
@@ -72,7 +72,7 @@
 
   override decide(now: number, message: RolloutMessage): readonly RolloutAction[] {
     this.outbox.begin();
-    this.take(now, message);
+    this.handle(now, message);
     this.act(now);
     return this.outbox.taken();
   }
@@ -81,32 +81,32 @@
     return this.wakeAt;
   }
 
-  private take(now: number, message: RolloutMessage): void {
+  private handle(now: number, message: RolloutMessage): void {
     match(message)
       .with({ kind: 'tick' }, () => {})
-      .with({ kind: 'authority' }, ({ authority }) => this.authorized(authority))
+      .with({ kind: 'authority' }, ({ authority }) => this.updateAuthority(authority))
       .with({ kind: 'pool' }, ({ picture }) => {
         this.picture = picture;
         this.outbox.setPool(picture);
       })
       .with({ kind: 'state_read' }, ({ call, runnerId, reading }) => {
-        const work = this.works.get(runnerId);
-        if (!work || work.stateCall !== call || !this.picture) return;
-        work.stateCall = undefined;
-        const silentBefore = work.silentSince !== undefined;
-        work.observe(now, reading, turnOf(this.picture).wanted);
-        work.readAt = now + work.readEvery;
-        if (reading.kind !== 'silent' || silentBefore) return;
+        const tracker = this.trackers.get(runnerId);
+        if (!tracker || tracker.stateCall !== call || !this.picture) return;
+        tracker.stateCall = undefined;
+        const wasUnresponsive = tracker.silentSince !== undefined;
+        tracker.observe(now, reading, turnOf(this.picture).wanted);
+        tracker.readAt = now + tracker.readEvery;
+        if (reading.kind !== 'silent' || wasUnresponsive) return;
         this.outbox.report('runnerSilent', { runner: runnerId, reason: reading.reason });
       })
       .with({ kind: 'load_read' }, ({ call, runnerId, reading }) => {
-        const work = this.works.get(runnerId);
-        if (!work || work.loadCall !== call) return;
-        work.loadCall = undefined;
-        work.weigh(now, reading);
+        const tracker = this.trackers.get(runnerId);
+        if (!tracker || tracker.loadCall !== call) return;
+        tracker.loadCall = undefined;
+        tracker.weigh(now, reading);
       })
       .with({ kind: 'order_ended' }, ({ call, runnerId, end }) =>
-        this.orders.ended(now, { runnerId, call, end, work: this.works.get(runnerId) }),
+        this.orders.ended(now, { runnerId, call, end, tracker: this.trackers.get(runnerId) }),
       )
       .with({ kind: 'change_ended' }, ({ call, end }) => {
         if (!this.plan.ended(now, call, end) || end.kind === 'accepted') return;
@@ -115,12 +115,12 @@
       .exhaustive();
   }
 
-  /** What was known under an earlier lease may have been changed by another holder since. */
-  private authorized(authority: Authority | undefined): void {
+  /** Forgets all runners when the lease changes, because another holder may have changed the runners since. */
+  private updateAuthority(authority: Authority | undefined): void {
     const same = authority?.token === this.authority?.token;
     this.authority = authority;
     if (same) return;
-    this.works.clear();
+    this.trackers.clear();
     this.pacer.reset();
     this.plan.reset();
   }
@@ -130,73 +130,73 @@
     const { authority, picture } = this;
     if (!authority || !picture || now >= authority.until) return;
     const turn = turnOf(picture);
-    this.seeRunners(now, picture, turn);
-    for (const work of this.works.values()) {
-      if (work.phase === 'outdated') this.showDifference(work, turn);
-      this.orders.pursue(now, work, turn.wanted, authority);
-      this.readWhereDue(now, work);
+    this.updateRunners(now, picture, turn);
+    for (const tracker of this.trackers.values()) {
+      if (tracker.phase === 'outdated') this.reportDifference(tracker, turn);
+      this.orders.pursue(now, tracker, turn.wanted, authority);
+      this.readIfDue(now, tracker);
     }
     this.changeConfiguration(now, picture, turn);
-    this.wakeAt = this.nextTime(now);
+    this.wakeAt = this.nextDueTime(now);
   }
 
-  private seeRunners(now: number, picture: PoolPicture, turn: Turn): void {
+  private updateRunners(now: number, picture: PoolPicture, turn: Turn): void {
     const { runners, revision, everywhereRevision } = picture;
-    // What an operator keeps from work, and what has left or died, is not ours to order about.
-    const ours = runners.filter(
+    // Leaves out runners that an operator has drained, and those that are leaving or down.
+    const managed = runners.filter(
       ({ state, drain }) => drain !== 'other' && state !== 'leaving' && state !== 'down',
     );
-    const present = new Map(ours.map((runner) => [runner.id, runner]));
-    for (const [id, { runner }] of this.works) {
+    const present = new Map(managed.map((runner) => [runner.id, runner]));
+    for (const [id, { runner }] of this.trackers) {
       if (present.get(id)?.incarnation === runner.incarnation) continue;
-      this.works.delete(id);
+      this.trackers.delete(id);
       this.pacer.end(id);
     }
     const { timings } = this;
-    for (const runner of ours) {
-      const work = this.works.get(runner.id) ?? new RunnerWork({ runner, timings, now });
-      this.works.set(runner.id, work);
-      work.see(runner, now, revision, everywhereRevision);
+    for (const runner of managed) {
+      const tracker = this.trackers.get(runner.id) ?? new RunnerWork({ runner, timings, now });
+      this.trackers.set(runner.id, tracker);
+      tracker.see(runner, now, revision, everywhereRevision);
     }
     const { state = '', resumesAs = '' } = picture.rollout ?? {};
-    const wish = JSON.stringify([turn.wanted, state, resumesAs]);
-    if (wish === this.judgedBy) return;
-    this.judgedBy = wish;
-    for (const work of this.works.values()) {
-      if (state !== 'halted') work.retry();
-      work.judge(turn.wanted);
+    const wantedKey = JSON.stringify([turn.wanted, state, resumesAs]);
+    if (wantedKey === this.classifiedFor) return;
+    this.classifiedFor = wantedKey;
+    for (const tracker of this.trackers.values()) {
+      if (state !== 'halted') tracker.retry();
+      tracker.judge(turn.wanted);
     }
   }
 
-  private showDifference(work: RunnerWork, { wanted }: Turn): void {
-    const current = work;
+  private reportDifference(tracker: RunnerWork, { wanted }: Turn): void {
+    const current = tracker;
     const state = this.picture?.rollout?.state;
-    const explained = state === 'running' || state === 'halted' || state === 'rolling_back';
-    if (explained || work.differenceReported) return;
+    const rolloutOpen = state === 'running' || state === 'halted' || state === 'rolling_back';
+    if (rolloutOpen || tracker.differenceReported) return;
     current.differenceReported = true;
-    const found = work.observed?.versions.join(',') ?? '';
-    const fields = { runner: work.runner.id, found, wanted: wanted.version };
+    const found = tracker.observed?.versions.join(',') ?? '';
+    const fields = { runner: tracker.runner.id, found, wanted: wanted.version };
     this.outbox.report('runnerDiffers', fields);
   }
 
-  private readWhereDue(now: number, work: RunnerWork): void {
-    const current = work;
-    const { id: runnerId } = work.runner;
-    if (now < work.readAt || work.orderCall !== undefined) return;
-    if (work.stateCall === undefined) {
+  private readIfDue(now: number, tracker: RunnerWork): void {
+    const current = tracker;
+    const { id: runnerId } = tracker.runner;
+    if (now < tracker.readAt || tracker.orderCall !== undefined) return;
+    if (tracker.stateCall === undefined) {
       const call = this.outbox.nextCall();
       current.stateCall = call;
       this.outbox.push({ kind: 'read_state', call, runnerId });
     }
-    current.readAt = now + work.readEvery;
-    if (work.phase !== 'draining' || work.loadCall !== undefined) return;
+    current.readAt = now + tracker.readEvery;
+    if (tracker.phase !== 'draining' || tracker.loadCall !== undefined) return;
     const call = this.outbox.nextCall();
     current.loadCall = call;
     this.outbox.push({ kind: 'read_load', call, runnerId });
   }
 
   private changeConfiguration(now: number, picture: PoolPicture, turn: Turn): void {
-    const change = this.plan.next(now, picture, turn, [...this.works.values()]);
+    const change = this.plan.next(now, picture, turn, [...this.trackers.values()]);
     if (!change) return;
     const call = this.outbox.nextCall();
     this.plan.began(call);
@@ -204,15 +204,16 @@
     for (const { event, fields } of change.reports) this.outbox.report(event, fields);
   }
 
-  private nextTime(now: number): number | undefined {
-    // A runner with an order under way is read when that has ended; its time may be past by then.
-    const times = [...this.works.values()]
+  private nextDueTime(now: number): number | undefined {
+    // Leaves out runners with an order in progress: they are read after it has ended, and their time for the
+    // next read may already have passed.
+    const times = [...this.trackers.values()]
       .filter(({ orderCall }) => orderCall === undefined)
       .map(({ readAt }) => readAt);
-    const waits = this.pacer.nextTime(now);
-    if (waits !== undefined) times.push(waits);
-    const wish = this.plan.nextTime(now);
-    if (wish !== undefined) times.push(wish);
+    const nextLoadAt = this.pacer.nextTime(now);
+    if (nextLoadAt !== undefined) times.push(nextLoadAt);
+    const nextChangeAt = this.plan.nextTime(now);
+    if (nextChangeAt !== undefined) times.push(nextChangeAt);
     return times.length > 0 ? Math.max(now, Math.min(...times)) : undefined;
   }
 }
--- a/src/orders/RolloutOutbox.ts
+++ b/src/orders/RolloutOutbox.ts
@@ -1,10 +1,10 @@
 /**
- * The actions of the message that is being decided, and the numbers of their calls.
+ * Collects the actions that result from the current message, and numbers their calls.
  */
 import type { PoolPicture } from './poolTypes.js';
 import type { RolloutAction, RolloutReport } from './rolloutTypes.js';
 
-/** Shared by the parts of a pool's roll-out decisions. */
+/** Collector of actions, shared by the parts of a pool's roll-out decisions. */
 export class RolloutOutbox {
   private actions: RolloutAction[] = [];
 
@@ -12,35 +12,35 @@
 
   private pool: Pick<PoolPicture, 'service' | 'dataCentre'> = { service: '', dataCentre: '' };
 
-  /** Begins a message. */
+  /** Discards the actions of the previous message. */
   begin(): void {
     this.actions = [];
   }
 
-  /** @returns The actions of the message. */
+  /** @returns The actions of the current message. */
   taken(): readonly RolloutAction[] {
     return this.actions;
   }
 
-  /** @param pool - named in every report. */
+  /** @param pool - the pool that every log event names. */
   setPool({ service, dataCentre }: PoolPicture): void {
     this.pool = { service, dataCentre };
   }
 
-  /** @returns A number that no other call of this pool has. */
+  /** @returns A call number that is unique in this pool. */
   nextCall(): number {
     this.lastCall += 1;
     return this.lastCall;
   }
 
-  /** @param action - to be carried out. */
+  /** @param action - the action to carry out. */
   push(action: RolloutAction): void {
     this.actions.push(action);
   }
 
   /**
-   * @param event - of the log.
-   * @param fields - its details.
+   * @param event - name of the log event.
+   * @param fields - fields of the log event besides the pool.
    */
   report(event: RolloutReport, fields: Readonly<Record<string, string | number | boolean>>): void {
     this.actions.push({ kind: 'report', event, fields: { ...this.pool, ...fields } });
--- a/src/orders/RunnerOrders.ts
+++ b/src/orders/RunnerOrders.ts
@@ -1,5 +1,5 @@
 /**
- * Gives orders to the runners of a pool, one at a time each, and takes their ends.
+ * Sends orders to the runners of a pool, at most one at a time to each runner, and processes their results.
  */
 import { match } from 'ts-pattern';
 
@@ -17,17 +17,17 @@
 export interface RunnerOrdersOptions {
   timings: RolloutTimings;
   pacer: WeightPacer;
-  /** Takes orders and reports. */
+  /** Collects the orders and log events that result. */
   outbox: RolloutOutbox;
 }
 
-/** The end of an order. */
+/** An order that has ended, with its result. */
 export interface EndedOrder {
   readonly runnerId: string;
   readonly call: number;
   readonly end: OrderEnd;
-  /** Missing when the runner, or the lease, is gone. */
-  readonly work: RunnerWork | undefined;
+  /** Missing when the runner is gone, or was forgotten because the lease changed. */
+  readonly tracker: RunnerWork | undefined;
 }
 
 function describeOrder(order: UpstreamOrder): string {
@@ -40,7 +40,7 @@
     .exhaustive();
 }
 
-/** Used by the roll-out's decisions only. */
+/** Chooses, issues and completes the orders of a pool's runners. Used only by the roll-out decisions. */
 export class RunnerOrders {
   private readonly timings: RolloutTimings;
 
@@ -48,11 +48,11 @@
 
   private readonly outbox: RolloutOutbox;
 
-  /** What orders that have not ended were given under. */
-  private readonly issued = new Map<number, Authority>();
+  /** The authority under which each order in progress was issued, by call number. */
+  private readonly issuedUnder = new Map<number, Authority>();
 
   /**
-   * @param options - times, pace and where orders go.
+   * @param options - the timings, the pacing of loads, and the collector of orders.
    */
   constructor({ timings, pacer, outbox }: RunnerOrdersOptions) {
     this.timings = timings;
@@ -61,70 +61,76 @@
   }
 
   /**
-   * Gives the next order of a runner, if it needs one and may have it now.
+   * Issues the next order for a runner, if it needs one and may receive it now.
    *
-   * @param now - the time.
-   * @param work - the runner.
-   * @param wanted - what it is to become.
-   * @param authority - the lease under which orders go out.
+   * @param now - monotonic time in milliseconds.
+   * @param tracker - tracker of the runner.
+   * @param wanted - the state that the runner has to reach.
+   * @param authority - the lease under which the order is issued.
    */
-  pursue(now: number, work: RunnerWork, wanted: WantedState, authority: Authority): void {
-    const { phase, observed } = work;
-    this.trackLoad(now, work, wanted);
-    if (work.orderCall !== undefined || !observed) return;
+  pursue(now: number, tracker: RunnerWork, wanted: WantedState, authority: Authority): void {
+    const { phase, observed } = tracker;
+    this.trackLoad(now, tracker, wanted);
+    if (tracker.orderCall !== undefined || !observed) return;
     if (phase === 'changing') {
       const order = nextOrder(wanted, observed);
       if (order !== undefined && order !== 'loading') {
-        this.orderChange(now, work, order, wanted, authority);
+        this.orderVersionChange(now, tracker, order, wanted, authority);
       }
     }
     if (phase === 'settled') {
       const order = nextAdapterOrder(wanted, observed);
-      if (order !== undefined && order !== 'loading') this.order(now, work, order, authority);
+      if (order !== undefined && order !== 'loading')
+        this.issueOrder(now, tracker, order, authority);
     }
   }
 
-  /** A load that was found under way, by whomever it was ordered, counts against the weight store. */
-  private trackLoad(now: number, work: RunnerWork, wanted: WantedState): void {
-    const { id } = work.runner;
-    if (work.loadingSince === undefined) {
-      if (work.observed?.versions.includes(wanted.version)) this.pacer.end(id);
+  /** Counts each load in progress against the weight store, including one that an earlier holder ordered. */
+  private trackLoad(now: number, tracker: RunnerWork, wanted: WantedState): void {
+    const { id } = tracker.runner;
+    if (tracker.loadingSince === undefined) {
+      if (tracker.observed?.versions.includes(wanted.version)) this.pacer.end(id);
       return;
     }
     this.pacer.begin(now, id, wanted.weightBytes);
     const { loadSlowness, loadAllowanceMilliseconds } = this.timings;
     const expected = this.pacer.expectedMilliseconds(wanted.weightBytes);
     const longest = expected * loadSlowness + loadAllowanceMilliseconds;
-    if (now - work.loadingSince > longest) this.fail(work, 'the load takes too long');
+    if (now - tracker.loadingSince > longest) this.fail(tracker, 'the load takes too long');
   }
 
-  private orderChange(
+  private orderVersionChange(
     now: number,
-    work: RunnerWork,
+    tracker: RunnerWork,
     order: UpstreamOrder,
     wanted: WantedState,
     authority: Authority,
   ): void {
-    const { id } = work.runner;
+    const { id } = tracker.runner;
     if (order.kind === 'load_version') {
       if (!this.pacer.allows(now, id)) return;
       this.pacer.begin(now, id, wanted.weightBytes);
     }
-    this.order(now, work, order, authority);
+    this.issueOrder(now, tracker, order, authority);
   }
 
-  private order(now: number, work: RunnerWork, order: UpstreamOrder, authority: Authority): void {
-    const { id } = work.runner;
-    const attempts = work.countOrder(order);
+  private issueOrder(
+    now: number,
+    tracker: RunnerWork,
+    order: UpstreamOrder,
+    authority: Authority,
+  ): void {
+    const { id } = tracker.runner;
+    const attempts = tracker.countOrder(order);
     if (attempts > this.timings.orderAttempts) {
-      this.fail(work, `did not ${describeOrder(order)} in ${attempts - 1} attempts`);
+      this.fail(tracker, `did not ${describeOrder(order)} in ${attempts - 1} attempts`);
       return;
     }
     const call = this.outbox.nextCall();
-    const current = work;
+    const current = tracker;
     current.orderCall = call;
-    this.issued.set(call, authority);
-    // The next order waits for a reading that was asked for after this one ended.
+    this.issuedUnder.set(call, authority);
+    // The next order needs a state that was requested after this order ended.
     current.observed = undefined;
     current.stateCall = undefined;
     const { token: fencingToken, until: validUntil } = authority;
@@ -137,34 +143,35 @@
   }
 
   /**
-   * Takes the end of an order.
+   * Processes the result of an order.
    *
-   * @param now - the time.
-   * @param ended - which order, how, and the runner if it is still known.
+   * @param now - monotonic time in milliseconds.
+   * @param ended - the order, its result, and the runner's tracker if it still exists.
    */
-  ended(now: number, { runnerId, call, end, work }: EndedOrder): void {
-    const issued = this.issued.get(call);
-    this.issued.delete(call);
-    // The other of the two checks of the clock: an order that ended after its lease may have taken effect
-    // beside those of the next holder. It is a desired state, and that holder reads and repeats its own.
+  ended(now: number, { runnerId, call, end, tracker }: EndedOrder): void {
+    const issued = this.issuedUnder.get(call);
+    this.issuedUnder.delete(call);
+    // The second of the two clock checks; the first is made before sending. An order that ended after its
+    // lease expired may have taken effect alongside those of the next holder. This does no lasting harm: an
+    // order is a desired state, and the next holder reads the engines and repeats its own orders.
     if (issued && now >= issued.until && end.kind !== 'not_sent') {
       this.outbox.report('orderLate', { runner: runnerId, token: issued.token, outcome: end.kind });
     }
-    if (!work || work.orderCall !== call) return;
-    const current = work;
+    if (!tracker || tracker.orderCall !== call) return;
+    const current = tracker;
     current.orderCall = undefined;
     current.stateCall = undefined;
-    // Not at once: an engine may show an order's effect a little later, and one that refuses or fails at
-    // once would be asked and ordered again as fast as the network allows.
-    current.readAt = now + work.readEvery;
+    // Waits before the next read: an engine may show the effect of an order a little later, and an engine
+    // that refuses or fails immediately would be read and ordered again as fast as the network allows.
+    current.readAt = now + tracker.readEvery;
     const reason = 'message' in end ? end.message : '';
     this.outbox.report('orderEnded', { runner: runnerId, outcome: end.kind, reason });
-    if (end.kind === 'refused') this.fail(work, `refused an order: ${end.message}`);
+    if (end.kind === 'refused') this.fail(tracker, `refused an order: ${end.message}`);
   }
 
-  private fail(work: RunnerWork, reason: string): void {
-    work.fail(reason);
-    this.pacer.end(work.runner.id);
-    this.outbox.report('runnerFailed', { runner: work.runner.id, reason });
+  private fail(tracker: RunnerWork, reason: string): void {
+    tracker.fail(reason);
+    this.pacer.end(tracker.runner.id);
+    this.outbox.report('runnerFailed', { runner: tracker.runner.id, reason });
   }
 }
--- a/src/orders/RunnerUpstreams.ts
+++ b/src/orders/RunnerUpstreams.ts
@@ -1,10 +1,10 @@
 /**
- * Connections of a pool's order task to its runners, made when they are needed.
+ * Connections of a pool's order task to its runners, created on first use.
  */
 import type { FleetRunner } from '../fleet/FleetView.js';
 import type { Upstream } from '../upstreams/Upstream.js';
 
-/** Longest wait for a reading. */
+/** Timeout of a state or load read. */
 const READ_TIMEOUT_MILLISECONDS = 5_000;
 
 /** Options of {@link RunnerUpstreams}. */
@@ -17,7 +17,7 @@
   readonly upstream: Upstream;
 }
 
-/** At most one connection object a runner. */
+/** Keeps at most one connection for each runner and applies timeouts to calls. */
 export class RunnerUpstreams {
   private readonly upstreamOf: (address: string) => Upstream;
 
@@ -26,13 +26,13 @@
   private addresses: ReadonlyMap<string, string> = new Map();
 
   /**
-   * @param options - how a connection is made.
+   * @param options - creates the connection to an address.
    */
   constructor({ upstreamOf }: RunnerUpstreamsOptions) {
     this.upstreamOf = upstreamOf;
   }
 
-  /** @param runners - that exist; connections to others are closed. */
+  /** @param runners - all runners that exist. Connections to others are closed. */
   keep(runners: readonly FleetRunner[]): void {
     this.addresses = new Map(runners.map(({ id, record }) => [id, record.address]));
     for (const [runnerId, { address, upstream }] of this.connections) {
@@ -43,24 +43,26 @@
   }
 
   /**
-   * @param runnerId - whom to ask.
-   * @param question - the call.
-   * @param timeoutMilliseconds - longest wait.
-   * @returns The answer; rejects when there is none in time, or no such runner.
+   * Calls a runner.
+   *
+   * @param runnerId - ID of the runner.
+   * @param send - makes the call on the runner's connection.
+   * @param timeoutMilliseconds - longest wait for the answer.
+   * @returns The answer. Rejects if there is none in time, or if the runner is unknown.
    */
   async ask<Answer>(
     runnerId: string,
-    question: (upstream: Upstream) => Promise<Answer>,
+    send: (upstream: Upstream) => Promise<Answer>,
     timeoutMilliseconds = READ_TIMEOUT_MILLISECONDS,
   ): Promise<Answer> {
     const upstream = this.upstream(runnerId);
     let timer: NodeJS.Timeout | undefined;
-    const late = new Promise<never>((_, reject) => {
+    const timeout = new Promise<never>((_, reject) => {
       const giveUp = () => reject(new Error(`no answer in ${timeoutMilliseconds} ms`));
       timer = setTimeout(giveUp, timeoutMilliseconds);
     });
     try {
-      return await Promise.race([question(upstream), late]);
+      return await Promise.race([send(upstream), timeout]);
     } finally {
       clearTimeout(timer);
     }
@@ -76,7 +78,7 @@
     const known = this.connections.get(runnerId);
     if (known) return known.upstream;
     const address = this.addresses.get(runnerId);
-    if (address === undefined) throw new Error('the runner is not on the list');
+    if (address === undefined) throw new Error('the runner is not in the list of runners');
     const upstream = this.upstreamOf(address);
     this.connections.set(runnerId, { address, upstream });
     return upstream;
--- a/src/orders/RunnerWork.ts
+++ b/src/orders/RunnerWork.ts
@@ -1,5 +1,5 @@
 /**
- * One runner of a pool: what was seen of it and where it is in `rollout.chart.json`.
+ * Tracks one runner of a pool: its observed state and its phase in `rollout.chart.json`.
  */
 import { ChartInterpreter } from '../charts/ChartInterpreter.js';
 import type { UpstreamOrder, UpstreamState } from '../upstreams/Upstream.js';
@@ -11,10 +11,10 @@
 
 const interpreter = new ChartInterpreter<RunnerPhase, RunnerEvent>({ chart });
 
-/** Phases in which a runner is looked at often. */
+/** Phases in which a runner's state is read at the shorter interval. */
 const ACTIVE_PHASES: ReadonlySet<RunnerPhase> = new Set(['draining', 'changing', 'returning']);
 
-/** Phases in which a runner serves. */
+/** Phases in which a runner serves requests. */
 const SERVING_PHASES: ReadonlySet<RunnerPhase> = new Set(['settled', 'outdated']);
 
 /** Options of a {@link RunnerWork}. */
@@ -24,46 +24,47 @@
   now: number;
 }
 
-/** Kept by the holder of the pool's lease; a new holder starts from the runner's own words. */
+/** Tracks one runner for the holder of the pool's lease. A new holder starts from what the runner reports. */
 export class RunnerWork {
-  /** As the newest picture has it. */
+  /** The runner as shown in the newest picture of the pool. */
   runner: PoolRunner;
 
-  /** What the runner said last; missing until a reading that was asked for after the last order. */
+  /** Last reported state; missing until a state arrives that was requested after the last order ended. */
   observed: UpstreamState | undefined;
 
-  /** The next reading of its state. */
+  /** Monotonic time in milliseconds of the next read of the runner's state. */
   readAt: number;
 
-  /** The reading that waits for its answer. */
+  /** Call number of the state read in progress. */
   stateCall: number | undefined;
 
+  /** Call number of the load read in progress. */
   loadCall: number | undefined;
 
-  /** The order that waits for its end. */
+  /** Call number of the order in progress. */
   orderCall: number | undefined;
 
-  /** Whether operators were told that it serves something else outside of a roll-out. */
+  /** Whether the log already shows that the runner differs from the configuration without a roll-out. */
   differenceReported = false;
 
-  /** The order given last, and how often in a row. */
+  /** The last order as JSON, to count how often it was issued in a row. */
   private lastOrder = '';
 
-  private repeats = 0;
+  private consecutiveOrders = 0;
 
-  /** Since when it loads. */
+  /** Monotonic time since which a load has been in progress. */
   loadingSince: number | undefined;
 
-  /** Since when it does not answer. */
+  /** Monotonic time since which the runner has been unresponsive. */
   silentSince: number | undefined;
 
-  /** Since when it is drained for the roll-out. */
+  /** Monotonic time since which the runner has been drained for the roll-out. */
   drainedSince: number | undefined;
 
-  /** Since when the drain is in force on every daemon. */
+  /** Monotonic time since which the drain has been in force on every daemon. */
   drainInForceAt: number | undefined;
 
-  /** Why it failed. */
+  /** Reason for the phase `failed`. */
   failure = '';
 
   private current: RunnerPhase = interpreter.initial();
@@ -73,7 +74,7 @@
   private drainRevision = 0;
 
   /**
-   * @param options - which runner, and the times.
+   * @param options - the runner, the timings and the current time.
    */
   constructor({ runner, timings, now }: RunnerWorkOptions) {
     this.runner = runner;
@@ -81,18 +82,18 @@
     this.readAt = now;
   }
 
-  /** @returns Where the runner is. */
+  /** @returns The runner's phase in the state chart. */
   get phase(): RunnerPhase {
     return this.current;
   }
 
-  /** @returns Whether callers are served by it, as far as can be known. */
+  /** @returns Whether the runner is known to serve callers. */
   get available(): boolean {
     const { state, drain } = this.runner;
     return state === 'live' && drain === 'none' && SERVING_PHASES.has(this.current);
   }
 
-  /** @returns How long to wait between readings. */
+  /** @returns Interval between two reads of the runner's state, in milliseconds. */
   get readEvery(): number {
     const { activeReadMilliseconds, steadyReadMilliseconds } = this.timings;
     const active = ACTIVE_PHASES.has(this.current) || this.silentSince !== undefined;
@@ -100,42 +101,44 @@
   }
 
   /**
-   * @param runner - from a new picture.
-   * @param now - the time.
-   * @param revision - the picture's.
-   * @param everywhereRevision - the lowest in force anywhere.
+   * Takes over the runner from a new picture of the pool.
+   *
+   * @param runner - the runner as the picture shows it.
+   * @param now - monotonic time in milliseconds.
+   * @param revision - configuration revision of the picture.
+   * @param everywhereRevision - lowest configuration revision in force on any serving daemon.
    */
   see(runner: PoolRunner, now: number, revision: number, everywhereRevision: number): void {
     this.runner = runner;
     if (runner.drain !== 'rollout') {
       this.drainedSince = undefined;
       this.drainInForceAt = undefined;
-      this.go('drain_gone');
+      this.transition('drain_gone');
       return;
     }
     if (this.drainedSince === undefined) {
       this.drainedSince = now;
       this.drainRevision = revision;
       this.readAt = now;
-      this.go('drain_seen');
+      this.transition('drain_seen');
     }
     const waited = now - this.drainedSince >= this.timings.drainPatienceMilliseconds;
     if (everywhereRevision >= this.drainRevision || waited) this.drainInForceAt ??= now;
   }
 
   /**
-   * Takes a reading of the runner's state.
+   * Processes the result of a state read.
    *
-   * @param now - the time.
-   * @param reading - what it said.
-   * @param wanted - what it is to become.
+   * @param now - monotonic time in milliseconds.
+   * @param reading - the reported state, or that the runner did not answer.
+   * @param wanted - the state that the runner has to reach.
    */
   observe(now: number, reading: StateReading, wanted: WantedState): void {
     if (reading.kind === 'silent') {
       this.observed = undefined;
       this.silentSince ??= now;
       const patience = this.timings.silencePatienceMilliseconds;
-      if (now - this.silentSince >= patience) this.go('unreachable');
+      if (now - this.silentSince >= patience) this.transition('unreachable');
       return;
     }
     this.silentSince = undefined;
@@ -146,67 +149,69 @@
   }
 
   /**
-   * Places the runner by what it said last: after a reading, or when something else is wanted.
+   * Updates the phase by the last reported state, after a state read or when the wanted state changes.
    *
-   * @param wanted - what it is to become.
+   * @param wanted - the state that the runner has to reach.
    */
   judge(wanted: WantedState): void {
     const { observed } = this;
     if (!observed) return;
     const drained = this.runner.drain === 'rollout';
-    if (drained && this.current === 'unknown') this.go('drain_seen');
+    if (drained && this.current === 'unknown') this.transition('drain_seen');
     const found = matchOf(wanted, observed);
     if (found === 'other_model') {
       this.fail(`serves model ${observed.model}`);
       return;
     }
-    if (found === 'empty') this.go(drained ? 'idle' : 'empty');
-    // A drained runner differs until its last order; only one that nobody drained came back by itself.
-    if (found === 'differs' && !(drained && this.current === 'changing')) this.go('differs');
+    if (found === 'empty') this.transition(drained ? 'idle' : 'empty');
+    // A drained runner that is being changed differs until its last order. One that is not drained returned to
+    // service by itself.
+    if (found === 'differs' && !(drained && this.current === 'changing'))
+      this.transition('differs');
     if (found !== 'matches') return;
     const done = this.current !== 'changing' || nextOrder(wanted, observed) === undefined;
     if (!done) return;
     this.lastOrder = '';
     this.differenceReported = false;
-    this.go('matches');
-    if (!drained) this.go('drain_gone');
+    this.transition('matches');
+    if (!drained) this.transition('drain_gone');
   }
 
   /**
-   * Takes a reading of the load of a drained runner. It counts only when it was measured after the drain
-   * came into force: an older one says nothing of work that was on its way.
+   * Processes the load report of a drained runner. A report counts only if it was measured after the drain
+   * came into force: an older one does not include requests that were still on their way to the runner.
    *
-   * @param now - the time.
-   * @param reading - what it said.
+   * @param now - monotonic time in milliseconds.
+   * @param reading - the reported load, or that the runner did not answer.
    */
   weigh(now: number, reading: LoadReading): void {
     if (reading.kind === 'silent' || this.drainInForceAt === undefined) return;
     const measuredAt = now - reading.ageMilliseconds;
     const settledAt = this.drainInForceAt + this.timings.drainMarginMilliseconds;
     if (measuredAt < settledAt || reading.running + reading.queued > 0) return;
-    this.go('idle');
+    this.transition('idle');
   }
 
   /**
-   * Counts an order that is about to be given.
+   * Counts an order that is about to be issued.
    *
-   * @param order - what is wanted of the runner.
-   * @returns How often in a row it was given, this time included.
+   * @param order - the order.
+   * @returns How often it was issued in a row, including this time.
    */
   countOrder(order: UpstreamOrder): number {
     const text = JSON.stringify(order);
-    this.repeats = text === this.lastOrder ? this.repeats + 1 : 1;
+    this.consecutiveOrders = text === this.lastOrder ? this.consecutiveOrders + 1 : 1;
     this.lastOrder = text;
-    return this.repeats;
+    return this.consecutiveOrders;
   }
 
-  /** @param reason - why the runner will not become what is wanted. */
+  /** @param reason - why the runner cannot reach the wanted state. */
   fail(reason: string): void {
     this.failure = reason;
-    this.go('failed');
+    this.transition('failed');
   }
 
-  /** An operator goes on after a failure. */
+  /** Leaves the phase `failed`, after an operator resumed the roll-out or rolled it back. */
   retry(): void {
     if (this.current !== 'failed') return;
     this.failure = '';
@@ -214,10 +219,10 @@
     this.loadingSince = undefined;
     this.observed = undefined;
     this.readAt = 0;
-    this.go('retry');
+    this.transition('retry');
   }
 
-  private go(event: RunnerEvent): void {
+  private transition(event: RunnerEvent): void {
     this.current = interpreter.next(this.current, event).state;
   }
 }
--- a/src/orders/WeightPacer.ts
+++ b/src/orders/WeightPacer.ts
@@ -1,21 +1,21 @@
 /**
- * Paces the loading of weights to what the weight store gives.
+ * Limits the loading of model weights to the rate of the weight store.
  *
- * Without it all empty runners of a pool would load at once: each load would take as long as all together,
- * time out, and be ordered again.
+ * Without this limit all empty runners of a pool would load at once. Each load would take as long as all of
+ * them together, time out, and be ordered again.
  */
 
 /** Options of a {@link WeightPacer}. */
 export interface WeightPacerOptions {
-  /** Rate that this pool may take of the weight store, in bytes a second. */
+  /** This pool's share of the weight store's rate, in bytes per second. */
   bytesPerSecond: number;
-  /** Loads of this pool at once. */
+  /** Maximum number of concurrent loads in this pool. */
   concurrentLoads: number;
 }
 
 const MILLISECONDS_A_SECOND = 1000;
 
-/** One pool's share of the weight store. */
+/** Rate and concurrency limiter for the loads of one pool. */
 export class WeightPacer {
   private readonly bytesPerSecond: number;
 
@@ -26,7 +26,7 @@
   private nextAt = -Infinity;
 
   /**
-   * @param options - the rate and how many loads may run at once.
+   * @param options - the rate and the number of concurrent loads.
    */
   constructor({ bytesPerSecond, concurrentLoads }: WeightPacerOptions) {
     this.bytesPerSecond = bytesPerSecond;
@@ -34,9 +34,9 @@
   }
 
   /**
-   * @param now - monotonic milliseconds.
-   * @param runnerId - that is to load.
-   * @returns Whether it may begin now; a load that goes on may always be ordered again.
+   * @param now - monotonic time in milliseconds.
+   * @param runnerId - ID of the runner that is to load.
+   * @returns Whether the load may begin now. A load in progress may always be ordered again.
    */
   allows(now: number, runnerId: string): boolean {
     if (this.loads.has(runnerId)) return true;
@@ -44,11 +44,11 @@
   }
 
   /**
-   * A load begins, or was found under way.
+   * Registers a load that begins, or that was found in progress.
    *
-   * @param now - monotonic milliseconds.
-   * @param runnerId - that loads.
-   * @param bytes - of the weights.
+   * @param now - monotonic time in milliseconds.
+   * @param runnerId - ID of the runner that loads.
+   * @param bytes - size of the weights.
    */
   begin(now: number, runnerId: string, bytes: number): void {
     if (this.loads.has(runnerId)) return;
@@ -57,13 +57,13 @@
     this.nextAt = Math.max(now, this.nextAt) + duration;
   }
 
-  /** @param runnerId - whose load has ended, in whatever way. */
+  /** @param runnerId - ID of the runner whose load has ended, successfully or not. */
   end(runnerId: string): void {
     this.loads.delete(runnerId);
   }
 
   /**
-   * @param bytes - of the weights.
+   * @param bytes - size of the weights.
    * @returns How long a load takes at the full rate, in milliseconds.
    */
   expectedMilliseconds(bytes: number): number {
@@ -71,14 +71,14 @@
   }
 
   /**
-   * @param now - monotonic milliseconds.
-   * @returns When the rate allows the next load, or `undefined` when it does now.
+   * @param now - monotonic time in milliseconds.
+   * @returns Monotonic time at which the rate allows the next load, or `undefined` if it does so now.
    */
   nextTime(now: number): number | undefined {
     return this.nextAt > now ? this.nextAt : undefined;
   }
 
-  /** Forgets everything: another holder may have begun loads meanwhile. */
+  /** Forgets all loads, because another holder may have begun loads in the meantime. */
   reset(): void {
     this.loads.clear();
     this.nextAt = -Infinity;
--- a/src/orders/leaseTimings.ts
+++ b/src/orders/leaseTimings.ts
@@ -1,23 +1,23 @@
 /**
- * Times of a lease. They bound the platform's calls: those of a holder, of the first daemon in hash order
- * when it is not the holder, and of the second one; nobody else calls.
+ * Timings of a lease. They bound the rate of calls to the platform's store. Only the holder and the first two
+ * daemons in rendezvous order make calls.
  */
 
-/** All in milliseconds, but for the share. */
+/** Timings of a lease. */
 export interface LeaseTimings {
   /** How long the platform keeps a lease without renewal. */
   readonly timeToLiveMilliseconds: number;
-  /** Longest time that an order may be under way, from the call to its effect. */
+  /** Longest time from sending an order to its effect on the engine. */
   readonly longestOrderMilliseconds: number;
-  /** Part of the time to live by which clocks of this daemon and the platform may drift apart. */
+  /** Share of the time to live by which the clocks of this daemon and the platform may drift apart. */
   readonly clockDriftShare: number;
-  /** First wait after a failed call; doubles up to the time to live. */
+  /** First wait after a failed call; doubles with each failure, up to the time to live. */
   readonly retryMilliseconds: number;
-  /** After this a call that was not answered counts as failed. */
+  /** A call without an answer for this long counts as failed. */
   readonly callTimeoutMilliseconds: number;
 }
 
-/** Used where settings name nothing else. */
+/** Defaults where the settings give no value. */
 export const DEFAULT_LEASE_TIMINGS: LeaseTimings = {
   timeToLiveMilliseconds: 30_000,
   longestOrderMilliseconds: 15_000,
@@ -26,23 +26,24 @@
   callTimeoutMilliseconds: 5_000,
 };
 
-/** Renewals in one time to live: two may fail before the lease lapses. */
+/** Renewals per time to live: two may fail before the lease expires. */
 export const RENEWALS_PER_TIME_TO_LIVE = 3;
 
-/** Readings of the own key in one time to live: one may fail. */
+/** Reads of the own key per time to live: one may fail before the lease expires. */
 export const READINGS_PER_TIME_TO_LIVE = 2;
 
-/** How many times to live the second daemon in hash order waits between looks. */
+/** Interval, in times to live, at which the second daemon in rendezvous order reads the key. */
 export const STANDBY_TIMES_TO_LIVE = 3;
 
-/** Daemons in hash order that try for a lease; more would cost calls and add nothing. */
+/** Number of daemons in rendezvous order that try to acquire a lease. More would cost calls without benefit. */
 export const CANDIDATES = 2;
 
 /**
- * How long a new holder keeps still before engines that ignore the fencing token: the old holder's key may
- * have been taken away while its lease lived on, and its last order may still be under way.
+ * How long a new holder waits before it gives orders to engines that ignore the fencing token. The old
+ * holder's key may have been deleted while its lease remained valid, and its last order may still be on its
+ * way.
  *
- * @param timings - of the lease.
+ * @param timings - timings of the lease.
  * @returns Milliseconds from the moment at which the lease was acquired.
  */
 export function settlingMilliseconds(timings: LeaseTimings): number {
@@ -50,10 +51,10 @@
 }
 
 /**
- * The platform's calls for one lease, when nothing fails.
+ * Rate of calls to the platform for one lease when nothing fails.
  *
- * @param timings - of the lease.
- * @returns Calls a second of the holder and of those that stand by.
+ * @param timings - timings of the lease.
+ * @returns Calls per second of the holder and the standby daemons together.
  */
 export function leaseCallsPerSecond({ timeToLiveMilliseconds }: LeaseTimings): number {
   const ofHolder = RENEWALS_PER_TIME_TO_LIVE + READINGS_PER_TIME_TO_LIVE;
--- a/src/orders/leaseTypes.ts
+++ b/src/orders/leaseTypes.ts
@@ -1,5 +1,6 @@
 /**
- * Messages and actions of a lease's decisions: JSON data throughout.
+ * Messages into and actions out of the decisions about a lease. All of it is JSON data, so that sessions can
+ * be recorded.
  */
 import type { EventOf, StateOf } from '../charts/chartTypes.js';
 import type chart from './lease.chart.json';
@@ -10,43 +11,43 @@
 /** Events of `lease.chart.json`. */
 export type LeaseEvent = EventOf<typeof chart>;
 
-/** What a holder may act under. */
+/** A holder's permission to give orders, limited in time. */
 export interface Authority {
-  /** The fencing token. */
+  /** The fencing token: the modified revision of the lease's key. Each new holder has a higher one. */
   readonly token: number;
-  /** Monotonic milliseconds from which it is void. */
+  /** Monotonic time in milliseconds from which the permission is void. */
   readonly until: number;
 }
 
-/** What the lease's key holds. */
+/** The value of the lease's key in the store. */
 export interface LeaseClaim {
-  /** The daemon that wrote it; for people. */
+  /** Name and incarnation of the daemon that wrote the key, mainly for people who read it. */
   readonly holder: string;
-  /** Unique for each attempt, so that a daemon knows its own write after a lost answer. */
+  /** Unique for each attempt, so that a daemon recognizes its own write after the answer was lost. */
   readonly nonce: string;
 }
 
-/** What a read of the lease's key saw. */
+/** Result of a read of the lease's key. */
 export type LeaseReading =
   | {
       readonly kind: 'found';
       readonly claim: LeaseClaim;
-      /** The fencing token of whoever holds it. */
+      /** The fencing token of the current holder. */
       readonly modifiedRevision: number;
       readonly storeRevision: number;
     }
   | { readonly kind: 'absent'; readonly storeRevision: number }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** How the write of the lease's key ended. */
+/** Result of the write of the lease's key. */
 export type LeaseWriting =
   | { readonly kind: 'committed'; readonly revision: number }
   | Extract<LeaseReading, { kind: 'found' | 'absent' }>
-  /** It may have taken effect, or may yet. */
+  /** The answer was lost: the write may have taken effect, or may still do so. */
   | { readonly kind: 'unsure'; readonly reason: string }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** How a grant or a renewal ended. */
+/** Result of the grant or the renewal of a store lease. */
 export type LeaseTerm =
   | {
       readonly kind: 'granted';
@@ -56,28 +57,28 @@
   | { readonly kind: 'lost' }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** What a lease's decisions are told. `call` names the action that is answered. */
+/** Input of the decisions about a lease. `call` is the number of the action that is answered. */
 export type LeaseMessage =
   | { readonly kind: 'tick' }
-  /** This daemon's place in the hash order of those that may hold the lease, from 0; -1 for none. */
+  /** This daemon's place in the rendezvous order of possible holders, from 0; -1 if it is not one of them. */
   | { readonly kind: 'lease_rank'; readonly rank: number }
-  /** Whether the pool's engines refuse an old fencing token. */
+  /** Whether the pool's engines refuse orders with an outdated fencing token. */
   | { readonly kind: 'lease_fencing'; readonly checked: boolean }
   | { readonly kind: 'lease_read'; readonly call: number; readonly reading: LeaseReading }
   | { readonly kind: 'lease_term'; readonly call: number; readonly term: LeaseTerm }
   | { readonly kind: 'lease_written'; readonly call: number; readonly writing: LeaseWriting }
-  /** The wall clock ran on while the monotonic one stood: the instance was suspended. */
+  /** The wall clock advanced while the monotonic clock stood still: the instance was suspended. */
   | { readonly kind: 'clock_jumped' }
-  /** An engine refused this holder's token: there is a newer holder. */
+  /** An engine refused this holder's token, which shows that there is a newer holder. */
   | { readonly kind: 'fenced' }
-  /** A planned stop: gives the lease back. */
+  /** The daemon is stopping as planned and releases the lease. */
   | { readonly kind: 'release' };
 
-/** Log events that the decisions ask for; see ordersFeature.ts. */
+/** Names of the log events that the decisions write; defined in ordersFeature.ts. */
 export type LeaseReport =
   'leaseAcquired' | 'leaseHeld' | 'leaseLost' | 'leaseFailed' | 'leaseUnsure' | 'leaseReleased';
 
-/** What a lease's decisions ask for. */
+/** Output of the decisions about a lease. */
 export type LeaseAction =
   | { readonly kind: 'read_lease'; readonly call: number }
   | {
@@ -92,7 +93,7 @@
       readonly claim: LeaseClaim;
     }
   | { readonly kind: 'renew_lease'; readonly call: number; readonly leaseId: string }
-  /** Not answered: an unrevoked lease lapses by itself. */
+  /** Has no result message: a lease that could not be revoked expires by itself. */
   | { readonly kind: 'revoke_lease'; readonly leaseId: string }
   | {
       readonly kind: 'report';
--- a/src/orders/orderPlan.spec.ts
+++ b/src/orders/orderPlan.spec.ts
@@ -26,7 +26,7 @@
   return list.filter((each) => each !== item);
 }
 
-function obeyed(
+function stateAfter(
   state: UpstreamState,
   order: Exclude<ReturnType<typeof nextOrder>, 'loading' | undefined>,
 ): UpstreamState {
@@ -70,7 +70,7 @@
         for (let step = 0; step < 10; step += 1) {
           const order = nextOrder(WANTED, observed);
           if (order === undefined || order === 'loading') break;
-          observed = obeyed(observed, order);
+          observed = stateAfter(observed, order);
         }
         expect(observed).toEqual(REACHED);
       }
--- a/src/orders/orderPlan.ts
+++ b/src/orders/orderPlan.ts
@@ -1,25 +1,28 @@
 /**
- * Wanted against observed: which order brings a runner one step nearer. Every order is a desired state, so
- * that a repeat after a lost answer or by another holder changes nothing.
+ * Compares a runner's observed state with the wanted one and chooses the order that brings it one step closer.
+ * Orders are idempotent, because each describes a desired state: repeating one after a lost answer, or by
+ * another holder, changes nothing.
  */
 import type { UpstreamOrder, UpstreamState } from '../upstreams/Upstream.js';
 import type { WantedState } from './poolTypes.js';
 
-/** How a runner stands to what is wanted. */
+/** Result of comparing a runner's observed state with the wanted state. */
 export type RunnerMatch =
-  /** Version and role are as wanted. */
+  /** Has the wanted version and role. */
   | 'matches'
-  /** Serves another version, or in another role. */
+  /** Serves another version, more than one version, or in another role. */
   | 'differs'
-  /** Has no version loaded, so that nobody is served by it. */
+  /** Has no version loaded and therefore serves no requests. */
   | 'empty'
-  /** Serves another model altogether; no order helps. */
+  /** Serves another model, which no order can change. */
   | 'other_model';
 
 /**
- * @param wanted - by the configuration.
- * @param observed - as the runner said.
- * @returns How it stands.
+ * Compares the observed state of a runner with the wanted state.
+ *
+ * @param wanted - the state that the configuration wants.
+ * @param observed - the state that the runner reported.
+ * @returns The result of the comparison.
  */
 export function matchOf(wanted: WantedState, observed: UpstreamState): RunnerMatch {
   if (wanted.model !== '' && observed.model !== wanted.model) return 'other_model';
@@ -31,11 +34,11 @@
 }
 
 /**
- * The next order about adapters, which engines take while they serve.
+ * Chooses the next order that loads or unloads an adapter. Engines carry these out while they serve.
  *
- * @param wanted - by the configuration.
- * @param observed - as the runner said.
- * @returns As {@link nextOrder}.
+ * @param wanted - the state that the configuration wants.
+ * @param observed - the state that the runner reported.
+ * @returns The same as {@link nextOrder}.
  */
 export function nextAdapterOrder(
   wanted: WantedState,
@@ -51,10 +54,11 @@
 }
 
 /**
- * The next order of a runner that serves nobody: first room, then weights, then what sits on them.
+ * Chooses the next order for a runner that serves no requests: first unloads other versions to free memory,
+ * then loads the wanted version, then sets the role and the adapters.
  *
- * @param wanted - by the configuration.
- * @param observed - as the runner said.
+ * @param wanted - the state that the configuration wants.
+ * @param observed - the state that the runner reported.
  * @returns The order; `loading` while the runner loads; `undefined` when nothing is left to do.
  */
 export function nextOrder(
@@ -63,7 +67,7 @@
 ): UpstreamOrder | 'loading' | undefined {
   const { model, version } = wanted;
   if (observed.loading.length > 0) return 'loading';
-  // Accelerators seldom have room for two versions; the runner is drained, so that unloading costs nothing.
+  // Accelerators seldom have memory for two versions. The runner is drained, so unloading costs no capacity.
   const surplus = observed.versions.find((loaded) => version !== '' && loaded !== version);
   if (surplus !== undefined) return { kind: 'unload_version', model, version: surplus };
   if (version !== '' && !observed.versions.includes(version)) {
--- a/src/orders/orderTypes.ts
+++ b/src/orders/orderTypes.ts
@@ -1,11 +1,11 @@
 /**
- * Messages and actions of everything that is decided for one pool in one data centre.
+ * Messages and actions of all decisions for one pool in one data centre.
  */
 import type { LeaseAction, LeaseMessage } from './leaseTypes.js';
 import type { RolloutAction, RolloutMessage } from './rolloutTypes.js';
 
-/** What the decisions of a pool are told; the authority they work out themselves. */
+/** Input of a pool's decisions. The authority is left out, because the lease decisions provide it. */
 export type OrderMessage = LeaseMessage | Exclude<RolloutMessage, { kind: 'authority' }>;
 
-/** What the decisions of a pool ask for. */
+/** Output of a pool's decisions. */
 export type OrderAction = LeaseAction | RolloutAction;
--- a/src/orders/poolPicture.ts
+++ b/src/orders/poolPicture.ts
@@ -1,5 +1,5 @@
 /**
- * A pool in one data centre as the view of the fleet shows it.
+ * Builds the snapshot of a pool in one data centre from this daemon's view of the fleet.
  */
 import type { FleetRunner, FleetView } from '../fleet/FleetView.js';
 import type { Rollout, Service } from '../generated/baobabdock/v1/configuration_pb.js';
@@ -13,34 +13,34 @@
   WantedState,
 } from './poolTypes.js';
 
-/** A service's runners in one data centre. */
+/** Name of a pool: the runners of one service in one data centre. */
 export interface PoolName {
   readonly service: string;
   readonly dataCentre: string;
 }
 
-/** Start of the names of drains' authors that are roll-outs. */
+/** Prefix of the author of a drain that a roll-out has set. */
 const ROLLOUT_AUTHOR = 'rollout:';
 
 /**
- * @param rollout - a roll-out's name.
- * @returns The author of its drains.
+ * @param rollout - name of the roll-out.
+ * @returns The author that its drains name.
  */
 export function rolloutAuthor(rollout: string): string {
   return `${ROLLOUT_AUTHOR}${rollout}`;
 }
 
 /**
- * @param pool - which.
- * @returns The key of its lease at the platform.
+ * @param pool - the pool.
+ * @returns The key of the pool's lease in the store.
  */
 export function leaseKey({ service, dataCentre }: PoolName): string {
   return `leases/orders/${encodeURIComponent(service)}/${encodeURIComponent(dataCentre)}`;
 }
 
 /**
- * @param fleet - what this daemon believes.
- * @returns All pools of engines.
+ * @param fleet - this daemon's view of the fleet.
+ * @returns All engine pools, including those without runners that a roll-out names.
  */
 export function enginePools(fleet: FleetView): readonly PoolName[] {
   const { services, rollouts } = fleet.configuration();
@@ -57,12 +57,13 @@
 }
 
 /**
- * Says how near this daemon is to the lease of a pool: daemons of the pool's data centre come first, then
- * those of its region, then any; among equals hash order decides, the same on every daemon.
+ * Determines this daemon's rank among the possible holders of a pool's lease. These are the daemons of the
+ * pool's data centre; if there are none, those of its region; if there are none either, all daemons. They are
+ * sorted by rendezvous hashing, which gives the same order on every daemon.
  *
- * @param fleet - what this daemon believes.
- * @param pool - which.
- * @returns The place in the order, from 0; -1 when other daemons are nearer.
+ * @param fleet - this daemon's view of the fleet.
+ * @param pool - the pool.
+ * @returns The rank, from 0; -1 if this daemon is not a possible holder because other daemons are nearer.
  */
 export function candidateRank(fleet: FleetView, pool: PoolName): number {
   const alive = fleet.members().filter((member) => member.state === 'alive');
@@ -105,7 +106,7 @@
 
 function poolRunner(fleet: FleetView, runner: FleetRunner, service: string): PoolRunner {
   const drain = drainOf(fleet, runner, service);
-  // The view shows a drained runner as ejected; what it is besides is for its own words to tell.
+  // The view shows a drained runner as ejected. Its actual state follows from what it reports when read.
   const state = drain === 'rollout' && runner.state === 'ejected' ? 'live' : runner.state;
   return { id: runner.id, incarnation: Number(runner.record.incarnation), state, drain };
 }
@@ -116,9 +117,9 @@
 }
 
 /**
- * @param fleet - what this daemon believes.
- * @param pool - which.
- * @returns The pool, or `undefined` when its service is gone.
+ * @param fleet - this daemon's view of the fleet.
+ * @param pool - the pool.
+ * @returns Snapshot of the pool, or `undefined` if its service no longer exists.
  */
 export function poolPicture(fleet: FleetView, pool: PoolName): PoolPicture | undefined {
   const service = fleet.service(pool.service);
@@ -146,17 +147,17 @@
 }
 
 /**
- * @param fleet - what this daemon believes.
- * @param dataCentre - which.
- * @returns How many pools of engines share the data centre's weight store; at least 1.
+ * @param fleet - this daemon's view of the fleet.
+ * @param dataCentre - name of the data centre.
+ * @returns How many engine pools share the data centre's weight store; at least 1.
  */
 export function poolsSharingWeights(fleet: FleetView, dataCentre: string): number {
   return Math.max(1, enginePools(fleet).filter((pool) => pool.dataCentre === dataCentre).length);
 }
 
 /**
- * @param fleet - what this daemon believes.
- * @returns Whether this daemon takes part: one that leaves or was declared dead does not.
+ * @param fleet - this daemon's view of the fleet.
+ * @returns Whether this daemon may hold leases. A daemon that is leaving or was declared dead may not.
  */
 export function takesPart(fleet: FleetView): boolean {
   const self = fleet.self();
--- a/src/orders/poolTypes.ts
+++ b/src/orders/poolTypes.ts
@@ -1,21 +1,21 @@
 /**
- * What the holder of a pool's lease knows and wants of the pool: JSON data throughout.
+ * Observed and wanted state of a pool, as input of the roll-out decisions. All of it is JSON data.
  */
 import type { UpstreamState } from '../upstreams/Upstream.js';
 
-/** What the configuration wants of every runner of a pool. */
+/** The state that the configuration wants of every runner of a pool. */
 export interface WantedState {
   readonly model: string;
-  /** Empty: whatever is loaded. */
+  /** Wanted version; empty if any version will do. */
   readonly version: string;
   /** Size of that version's weights, in bytes; 0 when unknown. */
   readonly weightBytes: number;
   readonly adapters: readonly string[];
-  /** Empty: whatever the role is. */
+  /** Wanted role; empty if any role will do. */
   readonly role: '' | 'prefill' | 'decode' | 'mixed';
 }
 
-/** Who keeps a runner from new work. */
+/** Whether a runner is drained, and whether by the roll-out or by something else, such as an operator. */
 export type RunnerDrain = 'none' | 'rollout' | 'other';
 
 /** A runner of the pool in this data centre. */
@@ -26,27 +26,29 @@
   readonly drain: RunnerDrain;
 }
 
-/** A roll-out as the configuration has it. */
+/** Snapshot of a roll-out in the configuration. */
 export interface RolloutPicture {
   readonly name: string;
   readonly state: 'running' | 'halted' | 'rolling_back' | 'finished' | 'rolled_back';
+  /** State in which a halted roll-out continues; empty if it is not halted. */
   readonly resumesAs: string;
   readonly fromVersion: string;
   readonly toVersion: string;
-  /** Largest share of the service's runners that may be unavailable. */
+  /** Largest share of the service's runners that may be unavailable at once. */
   readonly maximumUnavailableShare: number;
+  /** Number of failed runners at which the roll-out halts. */
   readonly maximumFailures: number;
   readonly dataCentres: readonly string[];
   readonly finishedDataCentres: readonly string[];
 }
 
-/** The pool as this daemon sees it, from the configuration and the list of runners. */
+/** Snapshot of the pool as this daemon sees it, from the configuration and the list of runners. */
 export interface PoolPicture {
   readonly service: string;
   readonly dataCentre: string;
   /** Revision of the configuration. */
   readonly revision: number;
-  /** Lowest revision that any serving daemon has in force. */
+  /** Lowest configuration revision that is in force on any serving daemon. */
   readonly everywhereRevision: number;
   readonly model: string;
   readonly wantedVersion: string;
@@ -60,12 +62,12 @@
   readonly elsewhere: { readonly runners: number; readonly unavailable: number };
 }
 
-/** What a runner said of itself, or that it did not answer. */
+/** Result of a state read: the state that the runner reported, or `silent` if it did not answer. */
 export type StateReading =
   | { readonly kind: 'state'; readonly state: UpstreamState }
   | { readonly kind: 'silent'; readonly reason: string };
 
-/** How busy a runner said it is, or that it did not answer. */
+/** Result of a load read: the load that the runner reported, or `silent` if it did not answer. */
 export type LoadReading =
   | {
       readonly kind: 'load';
--- a/src/orders/rolloutEdits.ts
+++ b/src/orders/rolloutEdits.ts
@@ -1,6 +1,7 @@
 /**
- * Turns what a roll-out wants of the configuration into edits that take effect only where nothing else has
- * changed meanwhile: a holder that was paused, or another one, may want the same or the opposite.
+ * Converts a change planned by a roll-out into edits of the configuration. Each edit expects the revision
+ * that is in force here and fails if the entity has changed since: a holder that was paused, or another
+ * holder, may want the same change or the opposite.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -15,7 +16,7 @@
 import { rolloutAuthor } from './poolPicture.js';
 import type { RolloutAction, RolloutStep } from './rolloutTypes.js';
 
-/** Why the edits cannot be made. */
+/** Result when the edits cannot be made, with the reason. */
 export interface EditsRefused {
   readonly refused: string;
 }
@@ -45,7 +46,7 @@
   const lifted = lifts.flatMap((runnerId) => {
     const name = drainName({ kind: 'runner', id: runnerId });
     const current = changes.entity('drain', name);
-    // What an operator has drained meanwhile is the operator's to lift.
+    // Keeps a drain that an operator has set in the meantime: only the operator may remove it.
     if (current?.entity.case !== 'drain' || current.entity.value.requestedBy !== author) return [];
     const edit = { case: 'remove' as const, value: { kind: 'drain', name } };
     return create(EntityEditSchema, { edit, expectedRevision: current.changedRevision });
@@ -83,10 +84,12 @@
 }
 
 /**
- * @param changes - what is in force here.
- * @param pool - whose roll-out it is.
- * @param change - what the decisions want.
- * @returns The edits, or why there are none: the roll-out is not as the decisions saw it.
+ * Converts a planned change into edits.
+ *
+ * @param changes - gives the entities that are in force on this daemon.
+ * @param pool - the pool that is being rolled out.
+ * @param change - the change that the decisions ask for.
+ * @returns The edits, or the reason if nothing is left to change or the roll-out has changed since.
  */
 export function rolloutEdits(
   changes: ConfigurationChanges,
@@ -98,7 +101,7 @@
   if (!step) return edits.length > 0 ? edits : { refused: 'nothing is left to change' };
   const current = changes.entity('rollout', pool.service);
   if (current?.entity.case !== 'rollout' || !sameStep(current.entity.value, step)) {
-    return { refused: 'the roll-out has changed meanwhile' };
+    return { refused: 'the roll-out has changed in the meantime' };
   }
   const rollout = stepped(current.entity.value, step);
   edits.push(upsert({ case: 'rollout', value: rollout }, current.changedRevision));
--- a/src/orders/rolloutTimings.ts
+++ b/src/orders/rolloutTimings.ts
@@ -1,36 +1,36 @@
 /**
- * Times and limits of the work on runners.
+ * Timings and limits of the roll-out's work on runners.
  */
 
-/** All times in milliseconds. */
+/** Timings and limits of a roll-out. */
 export interface RolloutTimings {
-  /** Between readings of a runner on which nothing is done. */
+  /** Interval between state reads of a runner that is not being changed. */
   readonly steadyReadMilliseconds: number;
-  /** Between readings of a runner that is being changed. */
+  /** Interval between state reads of a runner that is being changed or is unresponsive. */
   readonly activeReadMilliseconds: number;
-  /** After this a drain counts as in force even if some daemon lags. */
+  /** After this time a drain counts as in force, even if a daemon has not confirmed its revision. */
   readonly drainPatienceMilliseconds: number;
-  /** Work that was on its way to the runner when the drain came into force has arrived by then. */
+  /** Time after a drain came into force within which requests already sent to the runner arrive. */
   readonly drainMarginMilliseconds: number;
-  /** Requests in progress that last longer halt the roll-out; they are not cut. */
+  /** Requests in progress that last longer than this halt the roll-out. They are not aborted. */
   readonly longestDrainMilliseconds: number;
-  /** After this a runner that does not answer counts as not available. */
+  /** An unresponsive runner counts as unavailable after this time. */
   readonly silencePatienceMilliseconds: number;
-  /** After this a runner that was taken and does not answer halts the roll-out. */
+  /** An unresponsive runner that was drained for the roll-out halts it after this time. */
   readonly longestSilenceMilliseconds: number;
-  /** A load may take this many times as long as its share of the weight store needs, ... */
+  /** A load may take this multiple of its duration at the pool's full rate from the weight store ... */
   readonly loadSlowness: number;
-  /** ... and this on top. */
+  /** ... plus this time. */
   readonly loadAllowanceMilliseconds: number;
-  /** Times in a row that the same order is given to a runner on which it shows no effect. */
+  /** How often the same order is issued in a row to a runner on which it has no effect. */
   readonly orderAttempts: number;
-  /** Wishes for the configuration are gathered for this long, since each change costs the platform. */
+  /** Changes of the configuration are batched for this long, because each costs the platform a write. */
   readonly gatherMilliseconds: number;
-  /** Before a change that failed is tried again. */
+  /** Wait before a failed change is retried. */
   readonly changeRetryMilliseconds: number;
 }
 
-/** Used where settings name nothing else. */
+/** Defaults where the settings give no value. */
 export const DEFAULT_ROLLOUT_TIMINGS: RolloutTimings = {
   steadyReadMilliseconds: 30_000,
   activeReadMilliseconds: 2_000,
--- a/src/orders/rolloutTurn.ts
+++ b/src/orders/rolloutTurn.ts
@@ -1,37 +1,37 @@
 /**
- * What a pool in one data centre is to become, and whether it may take runners out of service for it now.
+ * Determines the wanted state of a pool in one data centre, and whether runners may be drained for it now.
  */
 import { match } from 'ts-pattern';
 
 import type { PoolPicture, RolloutPicture, WantedState } from './poolTypes.js';
 
-/** A pool's part in the roll-out at this moment. */
+/** A pool's current part in the roll-out. */
 export interface Turn {
   readonly wanted: WantedState;
-  /** Whether runners that serve may be drained now. */
+  /** Whether serving runners may be drained now. */
   readonly mayTake: boolean;
-  /** Whether it is this data centre's turn, so that it reports when it is done. */
+  /** Whether the roll-out is working on this data centre, which then reports when it is finished. */
   readonly active: boolean;
 }
 
-interface Part {
+interface DataCentrePart {
   readonly version: string;
   readonly active: boolean;
 }
 
-/** The data centre at which the roll-out works; while rolling back the last one that it reached. */
-function activeDataCentre(rollout: RolloutPicture, back: boolean): string | undefined {
+/** The data centre that the roll-out is working on; during a roll-back the last one that it reached. */
+function activeDataCentre(rollout: RolloutPicture, rollingBack: boolean): string | undefined {
   const { dataCentres, finishedDataCentres } = rollout;
-  if (back) return finishedDataCentres.at(-1);
+  if (rollingBack) return finishedDataCentres.at(-1);
   return dataCentres.find((dataCentre) => !finishedDataCentres.includes(dataCentre));
 }
 
-function partOf(rollout: RolloutPicture, dataCentre: string, back: boolean): Part {
-  const active = activeDataCentre(rollout, back) === dataCentre;
+function partOf(rollout: RolloutPicture, dataCentre: string, rollingBack: boolean): DataCentrePart {
+  const active = activeDataCentre(rollout, rollingBack) === dataCentre;
   const reached = rollout.finishedDataCentres.includes(dataCentre);
-  // On the way back the active one is among those reached, and already goes to the old version.
-  const moved = back ? reached && !active : reached || active;
-  return { version: moved ? rollout.toVersion : rollout.fromVersion, active };
+  // During a roll-back the active data centre is one of those reached, and already returns to the old version.
+  const usesNewVersion = rollingBack ? reached && !active : reached || active;
+  return { version: usesNewVersion ? rollout.toVersion : rollout.fromVersion, active };
 }
 
 function wantedOf(picture: PoolPicture, version: string): WantedState {
@@ -40,22 +40,24 @@
 }
 
 /**
- * Capacity is taken only in a roll-out's turn: a difference outside of it, such as a runner that came up
- * with another version, is shown to operators and left alone, because data centres that each mended their
- * own at once could together take all of the service's capacity.
+ * Determines the wanted state of a pool and its part in the roll-out.
+ *
+ * Runners are drained only while the roll-out works on their data centre. A difference outside of that, such
+ * as a runner that started with another version, is reported to operators and otherwise left alone: if all
+ * data centres corrected their own runners at once, they could together use up the service's capacity.
  *
  * @param picture - the pool.
- * @returns What is wanted here and what may be done for it.
+ * @returns The wanted state and whether runners may be drained for it.
  */
 export function turnOf(picture: PoolPicture): Turn {
   const { rollout, dataCentre, wantedVersion } = picture;
-  const steady: Part = { version: wantedVersion, active: false };
+  const steady: DataCentrePart = { version: wantedVersion, active: false };
   if (!rollout) return { wanted: wantedOf(picture, steady.version), mayTake: false, active: false };
-  const back =
+  const rollingBack =
     rollout.state === 'rolling_back' ||
     (rollout.state === 'halted' && rollout.resumesAs === 'rolling_back');
   const part = match(rollout.state)
-    .with('running', 'rolling_back', 'halted', () => partOf(rollout, dataCentre, back))
+    .with('running', 'rolling_back', 'halted', () => partOf(rollout, dataCentre, rollingBack))
     .with('finished', 'rolled_back', () => steady)
     .exhaustive();
   const running = rollout.state === 'running' || rollout.state === 'rolling_back';
@@ -66,9 +68,9 @@
 /**
  * How many of a service's runners may be unavailable at once.
  *
- * @param runners - of the service, in all data centres.
- * @param share - as the roll-out says, above 0 and at most 1.
- * @returns At least one where there are several; none of a single one, unless the share is 1.
+ * @param runners - number of the service's runners in all data centres.
+ * @param share - largest unavailable share that the roll-out allows, above 0 and at most 1.
+ * @returns Number of runners: at least one of several, none of a single one unless the share is 1.
  */
 export function unavailableAllowance(runners: number, share: number): number {
   if (share >= 1) return runners;
@@ -77,11 +79,11 @@
 }
 
 /**
- * What the roll-out is once this data centre is done.
+ * Computes the state of the roll-out after a data centre is finished.
  *
- * @param rollout - running or rolling back.
- * @param dataCentre - that is done.
- * @returns Its next state, and the version that the service wants from then on where that is settled.
+ * @param rollout - a roll-out that is running or rolling back.
+ * @param dataCentre - the data centre that is finished.
+ * @returns The next state, and the service's wanted version if the roll-out ends with it.
  */
 export function afterDataCentre(
   rollout: RolloutPicture,
--- a/src/orders/rolloutTypes.ts
+++ b/src/orders/rolloutTypes.ts
@@ -1,5 +1,6 @@
 /**
- * Messages and actions of a pool's roll-out decisions: JSON data throughout.
+ * Messages into and actions out of a pool's roll-out decisions. All of it is JSON data, so that sessions can be
+ * recorded.
  */
 import type { EventOf, StateOf } from '../charts/chartTypes.js';
 import type { OrderResult, UpstreamOrder } from '../upstreams/Upstream.js';
@@ -7,35 +8,35 @@
 import type { LoadReading, PoolPicture, RolloutPicture, StateReading } from './poolTypes.js';
 import type chart from './rollout.chart.json';
 
-/** States of `rollout.chart.json`: where one runner is. */
+/** States of `rollout.chart.json`: the phase of one runner. */
 export type RunnerPhase = StateOf<typeof chart>;
 
 /** Events of `rollout.chart.json`. */
 export type RunnerEvent = EventOf<typeof chart>;
 
-/** How an order ended, or that it was held back because the lease had run out. */
+/** Result of an order; `not_sent` if it was not sent because the lease had expired. */
 export type OrderEnd = OrderResult | { readonly kind: 'not_sent' };
 
-/** How a change of the configuration ended. */
+/** Result of a change of the configuration. */
 export type ChangeEnd =
   | { readonly kind: 'accepted'; readonly revision: number }
-  /** Nothing, or something unknown, was changed; the next picture tells. */
+  /** Nothing was changed, or it is unknown what was; the next picture of the pool shows it. */
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** A change of the roll-out itself. */
+/** A change of the state of the roll-out itself. */
 export interface RolloutStep {
-  /** What the decision saw; another state at the platform refuses the change. */
+  /** The state on which the decision was based. The change is refused if the platform has another one. */
   readonly before: Pick<RolloutPicture, 'state' | 'finishedDataCentres'>;
   readonly after: Pick<RolloutPicture, 'state' | 'finishedDataCentres'>;
   readonly reason: string;
-  /** What the service wants from now on, where the roll-out settles that. */
+  /** The service's new wanted version, if the roll-out ends with this step. */
   readonly wantedVersion?: string;
 }
 
-/** What the roll-out decisions are told. `call` names the action that is answered. */
+/** Input of the roll-out decisions. `call` is the number of the action that is answered. */
 export type RolloutMessage =
   | { readonly kind: 'tick' }
-  /** The lease is held, or missing when it is not. */
+  /** Authority under the lease; missing while the lease is not held. */
   | { readonly kind: 'authority'; readonly authority?: Authority }
   | { readonly kind: 'pool'; readonly picture: PoolPicture }
   | {
@@ -58,7 +59,7 @@
     }
   | { readonly kind: 'change_ended'; readonly call: number; readonly end: ChangeEnd };
 
-/** Log events that the decisions ask for; see ordersFeature.ts. */
+/** Names of the log events that the decisions write; defined in ordersFeature.ts. */
 export type RolloutReport =
   | 'orderGiven'
   | 'orderEnded'
@@ -71,7 +72,7 @@
   | 'dataCentreFinished'
   | 'changeFailed';
 
-/** What the roll-out decisions ask for. */
+/** Output of the roll-out decisions. */
 export type RolloutAction =
   | { readonly kind: 'read_state'; readonly call: number; readonly runnerId: string }
   | { readonly kind: 'read_load'; readonly call: number; readonly runnerId: string }
@@ -81,7 +82,7 @@
       readonly runnerId: string;
       readonly order: UpstreamOrder;
       readonly fencingToken: number;
-      /** Monotonic milliseconds; the order must not be sent at or after it. */
+      /** Monotonic time in milliseconds from which the order must not be sent. */
       readonly validUntil: number;
     }
   | {
--- a/src/orders/testLeaseWorld.ts
+++ b/src/orders/testLeaseWorld.ts
@@ -1,34 +1,35 @@
 /**
- * Several daemons, one platform key and one engine in virtual time, with faults: for tests.
+ * Simulation of several daemons, one key in the platform's store and one engine, in virtual time with injected
+ * faults. For tests.
  */
 
 import { LeaseDecisions } from './LeaseDecisions.js';
 import type { Authority, LeaseAction, LeaseClaim, LeaseMessage } from './leaseTypes.js';
 import type { LeaseTimings } from './leaseTimings.js';
 
-/** What happens to one call to the platform. */
+/** Delays and loss of one call to the platform. */
 export interface CallFate {
-  /** Milliseconds until it reaches the platform, and until its answer is back. */
-  readonly there: number;
-  readonly back: number;
+  /** Milliseconds until the call reaches the platform, and from there until its answer is back. */
+  readonly requestDelay: number;
+  readonly answerDelay: number;
   readonly lost: 'nothing' | 'request' | 'answer';
 }
 
-/** Everything that goes wrong in one run; times in milliseconds of the world. */
+/** All faults of one run; times in milliseconds of virtual time. */
 export interface LeaseFaults {
-  /** Taken one by one, then from the start again. */
-  readonly fates: readonly CallFate[];
+  /** Used for one call after the other, then from the start again. */
+  readonly callFaults: readonly CallFate[];
   readonly pauses: readonly { daemon: number; at: number; length: number }[];
   readonly outages: readonly { at: number; length: number }[];
-  /** Somebody deletes the key by hand. */
+  /** Times at which the key is deleted by hand. */
   readonly deletions: readonly number[];
-  /** For each daemon how fast its clock goes. */
+  /** Rate of each daemon's clock; 1 is exact. */
   readonly clockRates: readonly number[];
-  /** Milliseconds that orders take to the engine, taken one by one. */
+  /** Milliseconds until an order reaches the engine, used for one order after the other. */
   readonly orderDelays: readonly number[];
 }
 
-/** An order as the engine met it. */
+/** An order with the times at which it was sent and reached the engine. */
 export interface MetOrder {
   readonly daemon: number;
   readonly token: number;
@@ -49,7 +50,7 @@
   wake: number;
 }
 
-function failureOf(action: LeaseAction): LeaseMessage | undefined {
+function unansweredCall(action: LeaseAction): LeaseMessage | undefined {
   const failed = { kind: 'failed', reason: 'no answer' } as const;
   if (action.kind === 'read_lease')
     return { kind: 'lease_read', call: action.call, reading: failed };
@@ -63,11 +64,11 @@
   return undefined;
 }
 
-/** Between two orders of a holder, in milliseconds. */
-const ORDER_EVERY = 700;
+/** Interval between two orders of a holder. */
+const ORDER_INTERVAL_MILLISECONDS = 700;
 
-/** How long a caller waits for an answer that does not come, in milliseconds. */
-const CALL_TIMEOUT = 4000;
+/** Time after which a call without an answer fails. */
+const CALL_TIMEOUT_MILLISECONDS = 4000;
 
 /** Options of a {@link LeaseWorld}. */
 export interface LeaseWorldOptions {
@@ -77,12 +78,12 @@
   timings?: Partial<LeaseTimings>;
 }
 
-/** Runs until a given time; everything is decided by the options. */
+/** Deterministic simulation: the same options give the same run. */
 export class LeaseWorld {
-  /** Orders in the order of their sending. */
+  /** All orders, sorted by the time of sending. */
   readonly orders: MetOrder[] = [];
 
-  /** For each token the daemon that had it. */
+  /** The daemon that used each fencing token, by token. */
   readonly holders = new Map<number, number>();
 
   now = 0;
@@ -105,7 +106,7 @@
   private counter = 0;
 
   /**
-   * @param options - how many daemons, and what goes wrong.
+   * @param options - the number of daemons and the faults.
    */
   constructor({ daemons, faults, checksFencing, timings = {} }: LeaseWorldOptions) {
     this.faults = faults;
@@ -116,9 +117,9 @@
       wake: Infinity,
     }));
     for (const { daemon, at, length } of faults.pauses)
-      this.later(at, () => this.pause(daemon, length));
+      this.schedule(at, () => this.pause(daemon, length));
     for (const at of faults.deletions) {
-      this.later(at, () => {
+      this.schedule(at, () => {
         this.key = undefined;
         this.revision += 1;
       });
@@ -126,11 +127,11 @@
     this.daemons.forEach((_, daemon) => {
       this.tell(daemon, { kind: 'lease_fencing', checked: checksFencing });
       this.tell(daemon, { kind: 'lease_rank', rank: daemon });
-      this.later(ORDER_EVERY, () => this.giveOrder(daemon));
+      this.schedule(ORDER_INTERVAL_MILLISECONDS, () => this.giveOrder(daemon));
     });
   }
 
-  /** @param until - milliseconds of the world. */
+  /** @param until - virtual time in milliseconds at which to stop. */
   run(until: number): void {
     for (;;) {
       this.queue.sort((a, b) => a.at - b.at || a.order - b.order);
@@ -144,23 +145,27 @@
   }
 
   /**
-   * @param daemon - its number.
-   * @param message - what it is told, now.
+   * Delivers a message now, or when the daemon's pause ends.
+   *
+   * @param daemon - number of the daemon.
+   * @param message - the message.
    */
   tell(daemon: number, message: LeaseMessage): void {
     const { decisions, pausedUntil } = this.at(daemon);
     if (this.now < pausedUntil) {
-      this.later(pausedUntil, () => this.tell(daemon, message));
+      this.schedule(pausedUntil, () => this.tell(daemon, message));
       return;
     }
     const actions = decisions.decide(this.clockOf(daemon), message);
     for (const action of actions) this.perform(daemon, action);
-    this.arm(daemon);
+    this.scheduleWake(daemon);
   }
 
   /**
-   * @param daemon - its number.
-   * @param length - of the pause, in milliseconds from now.
+   * Pauses a daemon from now on.
+   *
+   * @param daemon - number of the daemon.
+   * @param length - length of the pause in milliseconds.
    */
   pause(daemon: number, length: number): void {
     const paused = this.at(daemon);
@@ -168,15 +173,15 @@
   }
 
   /**
-   * @param daemon - its number.
-   * @returns What it believes that it may act under, by its own clock.
+   * @param daemon - number of the daemon.
+   * @returns Its authority by its own clock, or `undefined` if it has none.
    */
   authorityOf(daemon: number): Authority | undefined {
     const { authority } = this.at(daemon).decisions;
     return authority && this.clockOf(daemon) < authority.until ? authority : undefined;
   }
 
-  /** @returns The numbers of the daemons that believe to hold the lease. */
+  /** @returns Numbers of the daemons that hold the lease by their own clocks. */
   believers(): number[] {
     return this.daemons.flatMap((_, daemon) => (this.authorityOf(daemon) ? daemon : []));
   }
@@ -191,27 +196,30 @@
     return this.now * this.at(daemon).rate;
   }
 
-  private later(at: number, run: () => void): void {
+  private schedule(at: number, run: () => void): void {
     this.counter += 1;
     this.queue.push({ at: Math.max(at, this.now), order: this.counter, run });
   }
 
-  private arm(daemon: number): void {
+  private scheduleWake(daemon: number): void {
     const armed = this.at(daemon);
     const wake = armed.decisions.nextWake();
     if (wake === undefined) return;
-    // Decisions that ask to be woken at once, again and again, would keep a core busy with nothing.
-    if (wake <= this.clockOf(daemon)) throw new Error('It asks to be woken at once.');
+    // Decisions that ask again and again to be woken immediately would keep a core busy without doing anything.
+    if (wake <= this.clockOf(daemon))
+      throw new Error('The decisions ask to be woken immediately, although they have just run.');
     const at = Math.max(this.now, wake / armed.rate) + 1;
     armed.wake = at;
-    this.later(at, () => {
+    this.schedule(at, () => {
       if (armed.wake === at) this.tell(daemon, { kind: 'tick' });
     });
   }
 
   private giveOrder(daemon: number): void {
     const { pausedUntil } = this.at(daemon);
-    this.later(Math.max(this.now + ORDER_EVERY, pausedUntil), () => this.giveOrder(daemon));
+    this.schedule(Math.max(this.now + ORDER_INTERVAL_MILLISECONDS, pausedUntil), () =>
+      this.giveOrder(daemon),
+    );
     if (this.now < pausedUntil) return;
     const authority = this.authorityOf(daemon);
     if (!authority) return;
@@ -227,43 +235,47 @@
     if (action.kind === 'report') return;
     this.onCall(action.kind);
     this.counter += 1;
-    const { fates } = this.faults;
-    const fate = fates[this.counter % fates.length] ?? { there: 1, back: 1, lost: 'nothing' };
-    const arrival = this.now + fate.there;
+    const { callFaults } = this.faults;
+    const callFault = callFaults[this.counter % callFaults.length] ?? {
+      requestDelay: 1,
+      answerDelay: 1,
+      lost: 'nothing',
+    };
+    const arrival = this.now + callFault.requestDelay;
     const sentAt = this.now;
-    this.later(arrival, () => {
-      const refused = fate.lost === 'request' || this.isDown();
-      const answer = refused ? undefined : this.effect(action);
-      const heard = fate.lost === 'nothing' && !refused;
-      const at = heard ? arrival + fate.back : sentAt + CALL_TIMEOUT;
-      const message = heard ? answer : failureOf(action);
-      if (message) this.later(at, () => this.tell(daemon, message));
+    this.schedule(arrival, () => {
+      const refused = callFault.lost === 'request' || this.isOutage();
+      const answer = refused ? undefined : this.applyCall(action);
+      const answered = callFault.lost === 'nothing' && !refused;
+      const at = answered ? arrival + callFault.answerDelay : sentAt + CALL_TIMEOUT_MILLISECONDS;
+      const message = answered ? answer : unansweredCall(action);
+      if (message) this.schedule(at, () => this.tell(daemon, message));
     });
   }
 
-  private isDown(): boolean {
+  private isOutage(): boolean {
     return this.faults.outages.some(({ at, length }) => this.now >= at && this.now < at + length);
   }
 
   private expire(): void {
     for (const [leaseId, until] of this.leases) {
       if (this.now < until) continue;
-      this.drop(leaseId);
+      this.removeLease(leaseId);
     }
   }
 
-  private drop(leaseId: string): void {
+  private removeLease(leaseId: string): void {
     this.leases.delete(leaseId);
     if (this.key?.leaseId !== leaseId) return;
     this.key = undefined;
     this.revision += 1;
   }
 
-  private effect(action: LeaseAction): LeaseMessage | undefined {
+  private applyCall(action: LeaseAction): LeaseMessage | undefined {
     this.expire();
     const { key, revision: storeRevision } = this;
     if (action.kind === 'revoke_lease') {
-      this.drop(action.leaseId);
+      this.removeLease(action.leaseId);
       return undefined;
     }
     if (action.kind === 'read_lease') {
--- a/src/orders/testPool.ts
+++ b/src/orders/testPool.ts
@@ -1,5 +1,6 @@
 /**
- * A pool of engines in virtual time, with the configuration and the faults of a roll-out: for tests.
+ * Simulation of a pool of engines and its configuration in virtual time, with injected faults. For tests of
+ * roll-outs.
  */
 import type { UpstreamOrder, UpstreamState } from '../upstreams/Upstream.js';
 import type { PoolPicture, PoolRunner, RolloutPicture } from './poolTypes.js';
@@ -7,11 +8,14 @@
 import type { RolloutAction, RolloutMessage } from './rolloutTypes.js';
 
 const SECOND = 1000;
-const LOAD_TIME = 5 * SECOND;
-const REPORT_LAG = 5 * SECOND;
+const LOAD_MILLISECONDS = 5 * SECOND;
+const REPORT_LAG_MILLISECONDS = 5 * SECOND;
 const GIB = 2 ** 30;
 
-/** How an engine misbehaves. */
+/**
+ * Fault of a simulated engine: it refuses to load version 2, ends the load without the version, carries orders
+ * out but loses their answers, does not answer while drained, or dies during the load.
+ */
 export type EngineFault = 'none' | 'refuses' | 'load_vanishes' | 'answers_lost' | 'silent' | 'dies';
 
 /** One engine of the pool. */
@@ -27,9 +31,9 @@
 /** Options of a {@link TestPool}. */
 export interface TestPoolOptions {
   faults: readonly EngineFault[];
-  /** Milliseconds that requests in progress still take when an engine is drained. */
+  /** Milliseconds that requests in progress still take after an engine is drained. */
   busyMilliseconds?: number;
-  /** Milliseconds for each message. */
+  /** Milliseconds until the answer of an engine arrives. */
   delayMilliseconds?: number;
   rollout?: Partial<RolloutPicture>;
   elsewhere?: PoolPicture['elsewhere'];
@@ -37,7 +41,7 @@
   concurrentLoads?: number;
 }
 
-/** One data centre `a` of a service; steps through time by whole hundreds of milliseconds. */
+/** Simulates data centre `a` of a service. Virtual time advances in steps of 100 milliseconds. */
 export class TestPool {
   readonly engines: TestEngine[];
 
@@ -45,10 +49,10 @@
 
   readonly reports: string[] = [];
 
-  /** Most engines that were away at once, whoever took them. */
+  /** Largest number of engines that were unavailable at once, for whatever reason. */
   mostAway = 0;
 
-  /** Most engines that loaded at once. */
+  /** Largest number of engines that loaded at once. */
   mostLoading = 0;
 
   now = 0;
@@ -57,7 +61,7 @@
 
   wantedVersion = '1';
 
-  /** What the roll-out said of its last step. */
+  /** Reason that the roll-out gave for its last step. */
   lastReason = '';
 
   readonly decisions: RolloutDecisions;
@@ -71,7 +75,7 @@
   private queue: { at: number; run: () => void }[] = [];
 
   /**
-   * @param options - the engines and their faults.
+   * @param options - the engines' faults and the options of the roll-out.
    */
   constructor(options: TestPoolOptions) {
     this.options = options;
@@ -97,13 +101,13 @@
     };
     const { weightBytesPerSecond = GIB, concurrentLoads = 4 } = options;
     this.decisions = new RolloutDecisions({ weightBytesPerSecond, concurrentLoads });
-    this.tell({ kind: 'authority', authority: { token: 7, until: Infinity } });
-    this.show();
+    this.send({ kind: 'authority', authority: { token: 7, until: Infinity } });
+    this.publishPicture();
   }
 
   /**
-   * @param milliseconds - how far to go.
-   * @param until - ends the run early.
+   * @param milliseconds - virtual time to run for.
+   * @param until - condition that ends the run early.
    */
   run(milliseconds: number, until: () => boolean = () => false): void {
     const end = this.now + milliseconds;
@@ -114,41 +118,42 @@
       for (const { run } of due) run();
       const wake = this.decisions.nextWake();
       if (wake !== undefined && wake <= this.now) this.wake();
-      this.measure();
+      this.recordExtremes();
     }
   }
 
-  /** Another daemon takes the lease over. */
+  /** Simulates that another daemon acquires the lease. */
   changeHolder(): void {
-    this.tell({ kind: 'authority' });
-    this.tell({ kind: 'authority', authority: { token: 8, until: Infinity } });
+    this.send({ kind: 'authority' });
+    this.send({ kind: 'authority', authority: { token: 8, until: Infinity } });
   }
 
-  /** @param change - of the roll-out, as an operator makes it. */
+  /** @param change - change of the roll-out, as an operator makes it. */
   steer(change: Partial<RolloutPicture>): void {
     this.rollout = { ...this.rollout, ...change };
     this.revision += 1;
-    this.show();
+    this.publishPicture();
   }
 
-  /** @returns Versions of all engines, in order. */
+  /** @returns Loaded versions of each engine. */
   versions(): string[] {
     return this.engines.map(({ state }) => state.versions.join('+'));
   }
 
-  /** Decisions that ask to be woken at once, again and again, would keep a core busy with nothing. */
+  /** Throws if the decisions ask to be woken immediately, which would keep a core busy without doing anything. */
   private wake(): void {
-    this.tell({ kind: 'tick' });
+    this.send({ kind: 'tick' });
     const wake = this.decisions.nextWake();
-    if (wake !== undefined && wake <= this.now) throw new Error('It asks to be woken at once.');
+    if (wake !== undefined && wake <= this.now)
+      throw new Error('The decisions ask to be woken immediately, although they have just run.');
   }
 
-  private tell(message: RolloutMessage): void {
+  private send(message: RolloutMessage): void {
     for (const action of this.decisions.decide(this.now, message)) this.perform(action);
   }
 
-  private show(): void {
-    this.tell({ kind: 'pool', picture: this.picture() });
+  private publishPicture(): void {
+    this.send({ kind: 'pool', picture: this.picture() });
   }
 
   private picture(): PoolPicture {
@@ -175,21 +180,21 @@
     };
   }
 
-  private measure(): void {
-    const away = this.engines.filter(
+  private recordExtremes(): void {
+    const unavailable = this.engines.filter(
       ({ id, dead, state }) => dead || this.drains.has(id) || state.versions.length === 0,
     );
-    this.mostAway = Math.max(this.mostAway, away.length);
+    this.mostAway = Math.max(this.mostAway, unavailable.length);
     const loading = this.engines.filter(({ state }) => state.loading.length > 0);
     this.mostLoading = Math.max(this.mostLoading, loading.length);
   }
 
-  private later(milliseconds: number, run: () => void): void {
+  private schedule(milliseconds: number, run: () => void): void {
     this.queue.push({ at: this.now + milliseconds, run });
   }
 
   private answer(message: RolloutMessage): void {
-    this.later(this.options.delayMilliseconds ?? 200, () => this.tell(message));
+    this.schedule(this.options.delayMilliseconds ?? 200, () => this.send(message));
   }
 
   private engine(runnerId: string): TestEngine {
@@ -204,24 +209,29 @@
       return;
     }
     if (action.kind === 'change') {
-      this.later(200, () => this.change(action));
+      this.schedule(200, () => this.change(action));
       return;
     }
     const { call, runnerId } = action;
     const engine = this.engine(runnerId);
-    const taken = this.drains.has(runnerId);
-    const silent = engine.dead || (engine.fault === 'silent' && taken);
+    const drained = this.drains.has(runnerId);
+    const silent = engine.dead || (engine.fault === 'silent' && drained);
     if (action.kind === 'read_state') {
       const reading = silent
         ? ({ kind: 'silent', reason: 'no answer' } as const)
         : ({ kind: 'state', state: engine.state } as const);
       this.answer({ kind: 'state_read', call, runnerId, reading });
     } else if (action.kind === 'read_load') {
-      // The report lags: it shows how busy the engine was a while ago.
-      const measuredAt = this.now - REPORT_LAG;
+      // Load reports lag: this one shows how busy the engine was some time ago.
+      const measuredAt = this.now - REPORT_LAG_MILLISECONDS;
       const busy = measuredAt >= engine.busyFrom && measuredAt < engine.busyUntil;
       const running = busy ? 1 : 0;
-      const reading = { kind: 'load', running, queued: 0, ageMilliseconds: REPORT_LAG } as const;
+      const reading = {
+        kind: 'load',
+        running,
+        queued: 0,
+        ageMilliseconds: REPORT_LAG_MILLISECONDS,
+      } as const;
       this.answer({ kind: 'load_read', call, runnerId, reading });
     } else this.order(engine, call, action.order);
   }
@@ -237,8 +247,8 @@
     if (load && fault === 'dies') {
       const dying = engine;
       dying.dead = true;
-      this.later(3 * SECOND, () => this.show());
-    } else this.obey(engine, order);
+      this.schedule(3 * SECOND, () => this.publishPicture());
+    } else this.carryOut(engine, order);
     const lost = fault === 'answers_lost' || engine.dead;
     const end = lost
       ? ({ kind: 'unknown', message: 'cut' } as const)
@@ -246,7 +256,7 @@
     this.answer({ kind: 'order_ended', call, runnerId, end });
   }
 
-  private obey(engine: TestEngine, order: UpstreamOrder): void {
+  private carryOut(engine: TestEngine, order: UpstreamOrder): void {
     const obeying = engine;
     const { state } = engine;
     if (order.kind === 'unload_version') {
@@ -257,7 +267,7 @@
     if (state.loading.length > 0 || state.versions.includes(order.version)) return;
     obeying.state = { ...state, loading: [order.version] };
     const vanishes = engine.fault === 'load_vanishes' && order.version === '2';
-    this.later(LOAD_TIME, () => {
+    this.schedule(LOAD_MILLISECONDS, () => {
       const { versions } = engine.state;
       const loaded = vanishes ? versions : [...versions, order.version];
       obeying.state = { ...engine.state, loading: [], versions: loaded };
@@ -284,7 +294,7 @@
       this.wantedVersion = rollout.wantedVersion ?? this.wantedVersion;
     }
     this.revision += 1;
-    this.tell({ kind: 'change_ended', call, end: { kind: 'accepted', revision: this.revision } });
-    this.later(SECOND, () => this.show());
+    this.send({ kind: 'change_ended', call, end: { kind: 'accepted', revision: this.revision } });
+    this.schedule(SECOND, () => this.publishPicture());
   }
 }
