--- a/src/orders/LeaseDecisions.spec.ts
+++ b/src/orders/LeaseDecisions.spec.ts
@@ -13,7 +13,7 @@
 const MINUTE = 60_000;
 
 const NO_FAULTS: LeaseFaults = {
-  fates: [{ there: 2, back: 2, lost: 'nothing' }],
+  callFaults: [{ requestDelay: 2, answerDelay: 2, lost: 'nothing' }],
   pauses: [],
   outages: [],
   deletions: [],
@@ -22,7 +22,7 @@
 };
 
 function callsWithOneLost(position: number, lost: CallFate['lost']): CallFate[] {
-  const calm: CallFate = { there: 2, back: 2, lost: 'nothing' };
+  const calm: CallFate = { requestDelay: 2, answerDelay: 2, lost: 'nothing' };
   return Array.from({ length: 40 }, (_, index) => (index === position ? { ...calm, lost } : calm));
 }
 
@@ -35,9 +35,9 @@
   );
 }
 
-const callFate: fc.Arbitrary<CallFate> = fc.record({
-  there: fc.integer({ min: 1, max: 3000 }),
-  back: fc.integer({ min: 1, max: 3000 }),
+const callFault: fc.Arbitrary<CallFate> = fc.record({
+  requestDelay: fc.integer({ min: 1, max: 3000 }),
+  answerDelay: fc.integer({ min: 1, max: 3000 }),
   lost: fc.oneof(
     { weight: 5, arbitrary: fc.constant('nothing' as const) },
     { weight: 1, arbitrary: fc.constantFrom('request' as const, 'answer' as const) },
@@ -47,7 +47,7 @@
 const time = fc.integer({ min: 0, max: 8 * MINUTE });
 
 const faults: fc.Arbitrary<LeaseFaults> = fc.record({
-  fates: fc.array(callFate, { minLength: 1, maxLength: 40 }),
+  callFaults: fc.array(callFault, { minLength: 1, maxLength: 40 }),
   pauses: fc.array(
     fc.record({
       daemon: fc.nat(2),
@@ -122,10 +122,10 @@
   it('acquires the lease whichever single call is lost', () => {
     for (const lost of ['answer', 'request'] as const) {
       for (let position = 0; position < 20; position += 1) {
-        const fates = callsWithOneLost(position, lost);
+        const callFaults = callsWithOneLost(position, lost);
         const simulation = new LeaseWorld({
           daemons: 1,
-          faults: { ...NO_FAULTS, fates },
+          faults: { ...NO_FAULTS, callFaults },
           checksFencing: true,
         });
         simulation.run(20_000);
--- a/src/orders/leaseTypes.ts
+++ b/src/orders/leaseTypes.ts
@@ -21,7 +21,7 @@
 
 /** The value of the lease's key in the store. */
 export interface LeaseClaim {
-  /** Name and incarnation of the daemon that wrote the key; also shown to operators. */
+  /** Name and incarnation of the daemon that wrote the key, mainly for people who read it. */
   readonly holder: string;
   /** Unique for each attempt, so that a daemon recognizes its own write after the answer was lost. */
   readonly nonce: string;
--- a/src/orders/testLeaseWorld.ts
+++ b/src/orders/testLeaseWorld.ts
@@ -10,15 +10,15 @@
 /** Delays and loss of one call to the platform. */
 export interface CallFate {
   /** Milliseconds until the call reaches the platform, and from there until its answer is back. */
-  readonly there: number;
-  readonly back: number;
+  readonly requestDelay: number;
+  readonly answerDelay: number;
   readonly lost: 'nothing' | 'request' | 'answer';
 }
 
 /** All faults of one run; times in milliseconds of virtual time. */
 export interface LeaseFaults {
   /** Used for one call after the other, then from the start again. */
-  readonly fates: readonly CallFate[];
+  readonly callFaults: readonly CallFate[];
   readonly pauses: readonly { daemon: number; at: number; length: number }[];
   readonly outages: readonly { at: number; length: number }[];
   /** Times at which the key is deleted by hand. */
@@ -235,15 +235,19 @@
     if (action.kind === 'report') return;
     this.onCall(action.kind);
     this.counter += 1;
-    const { fates } = this.faults;
-    const fate = fates[this.counter % fates.length] ?? { there: 1, back: 1, lost: 'nothing' };
-    const arrival = this.now + fate.there;
+    const { callFaults } = this.faults;
+    const callFault = callFaults[this.counter % callFaults.length] ?? {
+      requestDelay: 1,
+      answerDelay: 1,
+      lost: 'nothing',
+    };
+    const arrival = this.now + callFault.requestDelay;
     const sentAt = this.now;
     this.schedule(arrival, () => {
-      const refused = fate.lost === 'request' || this.isOutage();
+      const refused = callFault.lost === 'request' || this.isOutage();
       const answer = refused ? undefined : this.applyCall(action);
-      const answered = fate.lost === 'nothing' && !refused;
-      const at = answered ? arrival + fate.back : sentAt + CALL_TIMEOUT_MILLISECONDS;
+      const answered = callFault.lost === 'nothing' && !refused;
+      const at = answered ? arrival + callFault.answerDelay : sentAt + CALL_TIMEOUT_MILLISECONDS;
       const message = answered ? answer : unansweredCall(action);
       if (message) this.schedule(at, () => this.tell(daemon, message));
     });
