--- a/src/callers/AccountAuthentication.ts
+++ b/src/callers/AccountAuthentication.ts
@@ -1,5 +1,5 @@
 /**
- * Finds out which client account a request belongs to.
+ * Authenticates the requests of callers by the keys of their client accounts.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type { ClientAccount } from '../generated/baobabdock/v1/configuration_pb.js';
@@ -10,7 +10,7 @@
 
 const BEARER = /^Bearer +(\S+)$/iu;
 
-/** When a daemon that has no configuration yet should be asked again, in milliseconds. */
+/** Retry-After sent while this daemon has no configuration yet, in milliseconds. */
 const NO_CONFIGURATION_RETRY_MILLISECONDS = 1000;
 
 /** Options of {@link AccountAuthentication}. */
@@ -19,14 +19,14 @@
   log: Log;
 }
 
-/** Checks the keys of client accounts. */
+/** Maps an `Authorization` header to the client account whose key it carries. */
 export class AccountAuthentication {
   private readonly fleet: FleetView;
 
   private readonly log: Log;
 
   /**
-   * @param options - where accounts are found and failures are logged.
+   * @param options - the fleet with the configured accounts, and the log for rejected keys.
    */
   constructor({ fleet, log }: AccountAuthenticationOptions) {
     this.fleet = fleet;
@@ -36,8 +36,8 @@
   /**
    * Checks the `Authorization` header.
    *
-   * @param authorization - its value, if there is any.
-   * @returns The account.
+   * @param authorization - the value of the header; `undefined` when the request has none.
+   * @returns The account that the key belongs to.
    * @throws {@link CallerError} `unauthenticated`, or `not_run` while no configuration is known.
    */
   authenticate(authorization: string | undefined): ClientAccount {
@@ -45,16 +45,19 @@
     const key = BEARER.exec(authorization ?? '')?.[1];
     const name = key === undefined ? undefined : accountOfKey(key);
     if (key === undefined || name === undefined) {
-      throw this.refusal('send the header "Authorization: Bearer <account>.<secret>"');
+      throw this.unauthenticatedError('send the header "Authorization: Bearer <account>.<secret>"');
     }
     const account = this.fleet.clientAccount(name);
     const keyId = verifyKey(account?.keys, key);
     if (account && keyId !== undefined) return account;
     this.log.write(CALLER_EVENTS.unauthenticated, { accountKnown: account !== undefined });
-    throw this.refusal('the key is not valid');
+    throw this.unauthenticatedError('the key is not valid');
   }
 
-  /** A cold daemon knows no account. It must not tell a good caller that its key is bad. */
+  /**
+   * Rejects the request with a retriable error while no configuration is loaded. Without accounts a valid
+   * key would look invalid, and its caller would discard it.
+   */
   private checkConfigured(): void {
     if (this.fleet.configurationRevision() > 0) return;
     throw new CallerError({
@@ -64,7 +67,7 @@
     });
   }
 
-  private refusal(message: string): CallerError {
+  private unauthenticatedError(message: string): CallerError {
     return new CallerError({
       code: 'unauthenticated',
       message,
--- a/src/callers/Answer.ts
+++ b/src/callers/Answer.ts
@@ -1,29 +1,31 @@
 /**
- * How the events of a request become an HTTP answer.
+ * Base class of the writers that turn the events of a request into an HTTP answer.
  */
 import type { CallerEvent } from '../requests/requestTypes.js';
 import type { CallerError } from './CallerError.js';
 
-/** The event that a runner has begun. */
+/** First event of an answer: the runner sent its status and headers. */
 export type StartedEvent = Extract<CallerEvent, { kind: 'started' }>;
 
-/** A part of the answer. */
+/** Event with a part of the answer's body. */
 export type ChunkEvent = Extract<CallerEvent, { kind: 'chunk' }>;
 
-/** One form of an answer. Calls come in order and wait for each other. */
+/** Writes one answer in one format. Calls come in order; each one is awaited before the next. */
 export abstract class Answer {
   /**
-   * @param event - a part of the answer.
+   * Writes a part of the answer.
+   *
+   * @param event - the event with the bytes.
    */
   abstract chunk(event: ChunkEvent): Promise<void>;
 
-  /** Ends the whole answer in a way that no cut answer can end. */
+  /** Ends a complete answer with a marker or length that a truncated answer cannot have. */
   abstract completed(): Promise<void>;
 
   /**
-   * Ends an answer that cannot be completed, so that the caller cannot take it for a whole one.
+   * Ends an answer that cannot be completed, so that the caller cannot mistake it for a complete one.
    *
-   * @param error - why.
+   * @param error - why the answer failed.
    */
   abstract failed(error: CallerError): Promise<void>;
 }
--- a/src/callers/BindingRoute.ts
+++ b/src/callers/BindingRoute.ts
@@ -1,5 +1,5 @@
 /**
- * `POST /locate/binding`: a binding for one non-idempotent request.
+ * Route `POST /locate/binding`: issues a binding, which a caller needs for one non-idempotent request.
  */
 import { accountOf } from './accountOf.js';
 import { CallerError } from './CallerError.js';
@@ -8,7 +8,7 @@
 
 const CREATED = 201;
 
-/** Hands out bindings. */
+/** Issues bindings to callers. */
 export class BindingRoute extends CallerRoute {
   override readonly name = 'binding';
 
--- a/src/callers/BodyAnswer.ts
+++ b/src/callers/BodyAnswer.ts
@@ -1,5 +1,5 @@
 /**
- * An answer that is an ordinary body: of a plain service, or of an engine without streaming.
+ * Writes an answer as an ordinary HTTP body: for a plain service, or for an engine without streaming.
  */
 import type { ChunkEvent, StartedEvent } from './Answer.js';
 import { Answer } from './Answer.js';
@@ -10,16 +10,16 @@
 /** Options of a {@link BodyAnswer}. */
 export interface BodyAnswerOptions {
   exchange: Exchange;
-  /** The runner's head; status and headers go on. */
+  /** Status and headers of the runner's answer; they are forwarded to the caller. */
   started: StartedEvent;
   /**
-   * Bytes that are held back until the answer is whole, so that a failure still gets its own status and
-   * error; a longer answer goes on as it comes.
+   * Number of bytes that are buffered until the answer is complete, so that a failure can still be answered
+   * with its own status and error. An answer longer than this is forwarded as it arrives.
    */
   holdBackBytes?: number;
 }
 
-/** Holds back the beginning, then passes on part by part. */
+/** Buffers the beginning of the answer, then forwards the rest part by part. */
 export class BodyAnswer extends Answer {
   private readonly exchange: Exchange;
 
@@ -27,12 +27,12 @@
 
   private readonly holdBackBytes: number;
 
-  private held: Uint8Array[] = [];
+  private heldParts: Uint8Array[] = [];
 
   private heldBytes = 0;
 
   /**
-   * @param options - the exchange, the runner's head and how much to hold back.
+   * @param options - the exchange, the status and headers of the runner, and how much to buffer.
    */
   constructor({ exchange, started, holdBackBytes = 0 }: BodyAnswerOptions) {
     super();
@@ -46,9 +46,9 @@
       await this.exchange.writer.write(data);
       return;
     }
-    this.held.push(data);
+    this.heldParts.push(data);
     this.heldBytes += data.byteLength;
-    if (this.heldBytes > this.holdBackBytes) await this.passOn();
+    if (this.heldBytes > this.holdBackBytes) await this.flushHeldParts();
   }
 
   override async completed(): Promise<void> {
@@ -57,17 +57,17 @@
       return;
     }
     const headers = Object.fromEntries(answerHead(this.started));
-    await this.exchange.send(this.started.status, Buffer.concat(this.held), headers);
+    await this.exchange.send(this.started.status, Buffer.concat(this.heldParts), headers);
   }
 
-  /** After the head has left, only a cut connection tells the caller that the rest is missing. */
+  /** Once the status is sent, only closing the connection shows the caller that the rest is missing. */
   override async failed(error: CallerError): Promise<void> {
     await this.exchange.fail(error);
   }
 
-  private async passOn(): Promise<void> {
+  private async flushHeldParts(): Promise<void> {
     this.exchange.writeHead(this.started.status, answerHead(this.started));
-    for (const part of this.held) await this.exchange.writer.write(part);
-    this.held = [];
+    for (const part of this.heldParts) await this.exchange.writer.write(part);
+    this.heldParts = [];
   }
 }
--- a/src/callers/BodyBudget.ts
+++ b/src/callers/BodyBudget.ts
@@ -1,8 +1,9 @@
 /**
- * Counts the bytes of all bodies that are held at once.
+ * Limits the memory that the request bodies of all requests in progress occupy together.
  *
- * Without it each body may be within its limit and all of them together still fill the memory of a small
- * instance: the daemon would be killed with every stream it carries. A caller then sees `overloaded`.
+ * Without this limit, bodies that are each within their own limit could together fill the memory of a small
+ * instance, and the daemon would be killed with every stream it carries. A request that exceeds the budget
+ * is rejected with `overloaded`.
  */
 export class BodyBudget {
   private readonly maximumBytes: number;
@@ -10,22 +11,22 @@
   private heldBytes = 0;
 
   /**
-   * @param options - the limit in bytes.
+   * @param options - the limit for all bodies together, in bytes.
    */
   constructor({ maximumBytes }: { maximumBytes: number }) {
     this.maximumBytes = maximumBytes;
   }
 
-  /** @returns Bytes that are held now. */
+  /** @returns The bytes that are reserved now. */
   get held(): number {
     return this.heldBytes;
   }
 
   /**
-   * Takes room for bytes that have arrived.
+   * Reserves memory for bytes that have arrived.
    *
-   * @param bytes - how many.
-   * @returns Whether there was room; nothing is taken otherwise.
+   * @param bytes - the number of bytes.
+   * @returns `true` when the bytes are reserved; `false`, without any reservation, when they exceed the budget.
    */
   take(bytes: number): boolean {
     if (this.heldBytes + bytes > this.maximumBytes) return false;
@@ -34,7 +35,9 @@
   }
 
   /**
-   * @param bytes - how many are no longer held.
+   * Releases reserved bytes.
+   *
+   * @param bytes - the number of bytes that are no longer in memory.
    */
   give(bytes: number): void {
     this.heldBytes -= bytes;
--- a/src/callers/CallerError.ts
+++ b/src/callers/CallerError.ts
@@ -1,15 +1,15 @@
 /**
- * Errors as callers see them: one JSON form, one HTTP status for each code.
+ * Errors in answers to callers: one JSON format, and one HTTP status for each error code.
  */
 import VError from 'verror';
 
 import type { Finding } from '../findings/Findings.js';
 import type { CallerEvent, OutcomeCode } from '../requests/requestTypes.js';
 
-/** The event that ends a request which has no whole answer. */
+/** Last event of a request that has no complete answer. */
 export type FailedEvent = Extract<CallerEvent, { kind: 'failed' }>;
 
-/** 499 is not registered, but it is what proxies commonly use for a request that its caller gave up. */
+/** 499 is not a registered status, but proxies commonly use it for a request that its caller cancelled. */
 const CALLER_CLOSED_REQUEST = 499;
 
 const STATUS_BY_CODE: Readonly<Record<OutcomeCode, number>> = {
@@ -36,18 +36,19 @@
 
 const MILLISECONDS_IN_SECOND = 1000;
 
-/** More findings than a person reads are counted, not listed. */
+/** Findings beyond this number are only counted in the answer, because nobody reads a longer list. */
 const MAXIMUM_LISTED_FINDINGS = 50;
 
-/** What is known of an error. */
+/** Content of a {@link CallerError}. */
 export interface CallerErrorOptions {
   code: OutcomeCode;
   message: string;
-  /** Where the code's own status is too coarse, for example 405. */
+  /** HTTP status, where the default status of the code is too general; for example 405. */
   status?: number;
   /**
-   * Whether the request provably did not run. Errors that arise before a request is handed to its owner
-   * are of this kind, but see `Exchange.fail` for bound requests.
+   * Whether the request provably did not run. When missing, the answer says "not run", because such errors
+   * arise before the request is handed to its owner; `Exchange` makes an exception for requests that may
+   * have run through an earlier attempt.
    */
   notRun?: boolean;
   retryAfterMilliseconds?: number;
@@ -59,12 +60,12 @@
   cause?: Error;
 }
 
-/** Thrown by handlers; answered as JSON. */
+/** Error that a route throws to answer its request with a JSON error document. */
 export class CallerError extends VError {
   readonly options: Readonly<CallerErrorOptions>;
 
   /**
-   * @param options - code, message and what helps the caller.
+   * @param options - the code, the message and the optional details for the caller.
    */
   constructor(options: CallerErrorOptions) {
     super({ cause: options.cause, name: 'CallerError' }, '%s', options.message);
@@ -78,9 +79,9 @@
 }
 
 /**
- * Turns the last event of a request into an error.
+ * Converts the failure event of a request into an error.
  *
- * @param event - as the owner of the request gave it.
+ * @param event - the event that the owner of the request sent.
  * @returns The error to answer with.
  */
 export function errorOfEvent(event: FailedEvent): CallerError {
@@ -89,10 +90,10 @@
 }
 
 /**
- * Writes the body of an error.
+ * Creates the JSON body of an error answer.
  *
- * @param error - what went wrong.
- * @param requestId - the request's id.
+ * @param error - the error to describe.
+ * @param requestId - the id of the request.
  * @param notRun - whether the request provably did not run.
  * @returns The JSON document.
  */
@@ -124,11 +125,11 @@
 }
 
 /**
- * Writes the headers that say when, and whether, to come back. `retry-after-ms` and `x-should-retry` are
- * what common clients of model engines read; without the latter they would retry each 5xx by themselves.
+ * Creates the headers that tell a caller whether and when to retry. Common clients of model engines read
+ * `retry-after-ms` and `x-should-retry`; without the latter they would retry every 5xx on their own.
  *
- * @param error - what went wrong.
- * @returns Headers of the answer.
+ * @param error - the error of the answer.
+ * @returns Headers for the answer.
  */
 export function retryHeaders(error: CallerError): Record<string, string> {
   const { retryAfterMilliseconds } = error.options;
--- a/src/callers/CallerGone.ts
+++ b/src/callers/CallerGone.ts
@@ -1,9 +1,9 @@
 /**
- * Thrown where an answer can no longer reach its caller.
+ * Error that is thrown when an answer can no longer reach its caller.
  */
 import VError from 'verror';
 
-/** The connection ended, or its reader stalled for too long. Nobody is left to answer. */
+/** The caller's connection ended, or was closed because the caller stopped reading; no answer can be sent. */
 export class CallerGone extends VError {
   constructor() {
     super({ name: 'CallerGone' }, 'the caller is gone');
--- a/src/callers/CallerMetrics.ts
+++ b/src/callers/CallerMetrics.ts
@@ -1,46 +1,48 @@
 /**
- * Where the callers' interface reports what it measured.
+ * Hook through which the callers' interface reports its measurements.
  */
 
-/** One request and its answer, measured. */
+/** Measurements of one finished request. */
 export interface AnsweredExchange {
-  /** Kind of path, see `matchRoute.ts`. */
+  /** Name of the route, see `matchRoute.ts`. */
   readonly route: string;
   readonly clientAccount?: string;
   readonly service?: string;
   readonly priority?: string;
-  /** HTTP status; 0 when the caller was gone before an answer. */
+  /** HTTP status; 0 when the caller disconnected before an answer was sent. */
   readonly status: number;
-  /** The error's code, also for errors in mid-stream; missing for whole answers. */
+  /** Error code, also for an error in the middle of a stream; missing for complete answers. */
   readonly code?: string;
-  /** From the end of the headers to the end of the answer. */
+  /** Time from the end of the request headers to the end of the answer. */
   readonly durationMilliseconds: number;
-  /** From the end of the headers to the first byte of the answer's body. */
+  /** Time from the end of the request headers to the sending of the answer's headers. */
   readonly firstByteMilliseconds?: number;
 }
 
-/** What a scrape returns. */
+/** Response to a metrics scrape. */
 export interface MetricsPage {
   readonly contentType: string;
   readonly text: string;
 }
 
-/** Collects measurements. */
+/** Receives measurements and renders them for a scrape. */
 export abstract class CallerMetrics {
   /**
-   * @param exchange - a finished request; must not throw.
+   * Records a finished request. Implementations must not throw.
+   *
+   * @param exchange - the measurements of the request.
    */
   abstract answered(exchange: AnsweredExchange): void;
 
   /**
-   * Writes the page for `GET /metrics`.
+   * Renders the page for `GET /metrics`.
    *
-   * @returns The page, or `undefined` when there is none.
+   * @returns The page, or `undefined` when metrics are not collected.
    */
   abstract page(): MetricsPage | undefined;
 }
 
-/** Collects nothing. */
+/** Implementation that discards all measurements. */
 export class NoCallerMetrics extends CallerMetrics {
   override answered(): void {}
 
--- a/src/callers/CallerRoute.ts
+++ b/src/callers/CallerRoute.ts
@@ -1,27 +1,27 @@
 /**
- * What answers one kind of path.
+ * Base class of the request handlers, one for each route.
  */
 import type { Exchange } from './Exchange.js';
 
-/** Answers exchanges of one kind. */
+/** Handles the requests of one route. */
 export abstract class CallerRoute {
-  /** Name in logs and metrics. */
+  /** Name of the route in logs and metrics. */
   abstract readonly name: string;
 
-  /** Whether the route answers without a client account's key. */
+  /** Whether the route can be called without a client account's key. */
   readonly open: boolean = false;
 
-  /** Whether it answers while the daemon drains: nothing new starts through it. */
+  /** Whether the route stays available while the daemon drains, because it starts no new work. */
   readonly whileDraining: boolean = false;
 
-  /** Whether a request on this route is about one that was sent before and may have run. */
+  /** Whether requests on this route refer to an earlier request, which may have run. */
   readonly aboutEarlierRequest: boolean = false;
 
   /**
    * Answers one request.
    *
-   * @param exchange - the request, its account known unless the route is open.
-   * @throws `CallerError` to be answered as such, `CallerGone` when nobody is left.
+   * @param exchange - the request; it is authenticated unless the route needs no key.
+   * @throws `CallerError` for an error to send to the caller, `CallerDisconnected` when the connection ended.
    */
   abstract answer(exchange: Exchange): Promise<void>;
 }
--- a/src/callers/CallerServer.faults.spec.ts
+++ b/src/callers/CallerServer.faults.spec.ts
@@ -14,7 +14,7 @@
 const CHUNK = Buffer.alloc(MEBIBYTE / 16, 'x');
 const PLAIN = '/services/sample-warehouse/boards';
 
-/** A promise that the spec resolves. */
+/** A promise that the spec resolves by calling `fire`. */
 class Signal {
   fire = (): void => {};
 
@@ -30,13 +30,13 @@
   return { kind: 'failed', code, notRun, message: 'as scripted', resumable: true };
 }
 
-const answers = (...events: CallerEvent[]): RequestScript =>
+const scriptOf = (...events: CallerEvent[]): RequestScript =>
   async function* script() {
     yield* events;
   };
 
-/** Holds the first request until the signal, and answers all others at once. */
-function heldAtFirst({ requests }: TestServer, release: Signal): RequestScript {
+/** Delays the answer to the first request until the signal, and answers all others immediately. */
+function delayFirstRequest({ requests }: TestServer, release: Signal): RequestScript {
   return async function* held() {
     if (requests.seen.length === 1) await release.fired;
     yield startedBy();
@@ -54,9 +54,8 @@
   afterEach(() => test.stop());
 
   it('slows the runner to the pace of a reader and cuts one that stalls', async () => {
-    // Symptom: a daemon's memory grew until it was killed, with all its streams.
-    // Sequence: a caller asks for a long answer and stops reading; the runner goes on generating.
-    // Cause: chunks were written without waiting for the connection to take them.
+    // Guards against a daemon whose memory grows until it is killed with all its streams. A caller requests a long answer
+    // and stops reading while the runner keeps generating; without backpressure all chunks stay in memory.
     await start({ stallTimeoutMilliseconds: 100 });
     let produced = 0;
     test.requests.script = async function* endless(_request, signal) {
@@ -75,14 +74,13 @@
     await until(() => test.log.of(CALLER_EVENTS.callerGone).length > 0);
     expect(test.log.of(CALLER_EVENTS.callerStalled).length).toEqual(1);
     expect(test.requests.signals[0]?.aborted).toEqual(true);
-    // What the two ends of a loopback connection buffer, and not the whole answer.
+    // The limit covers what the two ends of a loopback connection buffer, but not the complete answer.
     expect(produced < 64 * MEBIBYTE).toEqual(true);
   });
 
-  it('tells the owner of a request when its caller has gone', async () => {
-    // Symptom: runners generated answers that nobody read.
-    // Sequence: a caller closes its connection while its request waits in a queue.
-    // Cause: nothing is written while a request waits, so that the closed connection did not show.
+  it('aborts a request when its caller disconnects', async () => {
+    // Guards against runners that generate answers nobody reads. A caller closes its connection while its request waits
+    // in a queue; nothing is written in that time, so no write error shows that the connection is closed.
     await start();
     test.requests.script = async function* queued(_request, signal) {
       await new Promise((resolve) => {
@@ -100,9 +98,9 @@
   });
 
   it('drains: refuses new requests, runs bound ones, finishes streams', async () => {
-    // Symptom: a planned stop cut answers in progress, and a reservation ran twice.
-    // Sequence: a daemon drains while a stream is open; a caller repeats a bound request there.
-    // Cause: all requests were refused as "not run", also those that only this daemon remembers.
+    // Guards against a planned stop that aborts answers in progress, and against a reservation that runs twice. A daemon
+    // drains while a stream is open, and a caller repeats a request with a binding there. Only this daemon knows whether
+    // the request ran, so rejecting it as "not run" would be wrong.
     await start();
     const release = new Signal();
     test.requests.script = async function* held() {
@@ -124,7 +122,7 @@
       expect(refused.headers.get('retry-after')).toEqual('1');
       expect(await errorOf(refused)).toEqual(expect.subset({ code: 'draining', not_run: true }));
     }
-    test.requests.script = answers(failed('outcome_unknown', false));
+    test.requests.script = scriptOf(failed('outcome_unknown', false));
     const bound = await test.fetch(PLAIN, { method: 'POST', headers: { 'x-binding': 'token' } });
     expect(await errorOf(bound)).toEqual(
       expect.subset({ code: 'outcome_unknown', not_run: false }),
@@ -139,19 +137,19 @@
   });
 
   it('never says "not run" of a bound request by itself', async () => {
-    // Symptom: a reservation ran twice.
-    // Sequence: the first sending runs, its answer is lost; the second meets a limit of this interface.
-    // Cause: the refusal was true of the second sending only, and the caller bound anew.
+    // Guards against a reservation that runs twice. The first attempt runs, but its answer is lost; the second attempt
+    // exceeds a limit of this interface. "Not run" would be true only of the second attempt, and the caller would get a
+    // new binding and repeat the request.
     await start({ maximumBodyBytes: 4 });
     const init = { method: 'POST', body: 'too long', headers: { 'x-binding': 'token' } };
     const error = await errorOf(await test.fetch(PLAIN, init));
     expect(error).toEqual(expect.subset({ code: 'request_too_large', not_run: false }));
   });
 
-  it('refuses beyond its limits with a time to come back', async () => {
+  it('rejects requests above the limit with Retry-After', async () => {
     await start({ maximumRequestsInProgress: 1 });
     const release = new Signal();
-    test.requests.script = heldAtFirst(test, release);
+    test.requests.script = delayFirstRequest(test, release);
     const first = test.fetch(PLAIN);
     await until(() => test.requests.seen.length > 0);
     const inProgress = await test.fetch(PLAIN);
@@ -161,7 +159,7 @@
     expect((await first).status).toEqual(200);
   });
 
-  it('tells a connection beyond the limit to come back', async () => {
+  it('answers a connection above the limit with 503 overloaded', async () => {
     await start({ maximumConnections: 1 });
     test.connect();
     const answer = await test.exchangeBytes(
@@ -174,7 +172,7 @@
   it('holds no more bodies at once than it may', async () => {
     await start({ maximumBufferedBodyBytes: 10 });
     const release = new Signal();
-    test.requests.script = heldAtFirst(test, release);
+    test.requests.script = delayFirstRequest(test, release);
     const post = () => test.fetch(PLAIN, { method: 'POST', body: '6bytes' });
     const first = post();
     await until(() => test.requests.seen.length > 0);
@@ -184,15 +182,15 @@
     expect((await post()).status).toEqual(200);
   });
 
-  const broken: { name: string; script: RequestScript; code: string }[] = [
+  const brokenRequests: { name: string; script: RequestScript; code: string }[] = [
     {
       name: 'fails in mid-stream',
-      script: answers(startedBy(), chunkOf('1', 'event-1'), failed('stream_cut', false)),
+      script: scriptOf(startedBy(), chunkOf('1', 'event-1'), failed('stream_cut', false)),
       code: 'stream_cut',
     },
     {
       name: 'ends without its last event',
-      script: answers(startedBy(), chunkOf('1', 'event-1')),
+      script: scriptOf(startedBy(), chunkOf('1', 'event-1')),
       code: 'outcome_unknown',
     },
     {
@@ -206,7 +204,7 @@
     },
   ];
 
-  const expectNoHalfAnswer = async (script: RequestScript, code: string): Promise<void> => {
+  const expectNoPartialAnswer = async (script: RequestScript, code: string): Promise<void> => {
     await start();
     test.requests.script = script;
     const stream = await (await test.chat(STREAMED)).text();
@@ -222,44 +220,42 @@
     await expect(body).toBeRejected();
   };
 
-  for (const { name, script, code } of broken) {
-    // Symptom: a salesperson read half a quotation as the whole one.
-    // Sequence: the answer has begun, then its runner is lost.
-    // Cause: the answer was ended as if it were whole.
+  for (const { name, script, code } of brokenRequests) {
+    // Guards against a truncated answer that looks complete: a salesperson read half a quotation as the whole one. The
+    // runner is lost after the answer has begun, and the answer must not be ended like a complete one.
     it(`gives no caller half an answer when a request ${name}`, () =>
-      expectNoHalfAnswer(script, code));
+      expectNoPartialAnswer(script, code));
   }
 
   it('passes on an engine’s refusal of a streamed request as it is', async () => {
     await start();
     const type: [string, string] = ['content-type', 'application/json'];
-    test.requests.script = answers(startedBy([type], 400), chunkOf('{"long":1}', '1'), COMPLETED);
+    test.requests.script = scriptOf(startedBy([type], 400), chunkOf('{"long":1}', '1'), COMPLETED);
     const response = await test.chat(STREAMED);
     expect([response.status, await response.text()]).toEqual([400, '{"long":1}']);
   });
 
   it('gives each line of a chunk its own field', async () => {
     await start();
-    test.requests.script = answers(startedBy(), chunkOf('{\n"a":\r\n1}', 'event-1'), COMPLETED);
+    test.requests.script = scriptOf(startedBy(), chunkOf('{\n"a":\r\n1}', 'event-1'), COMPLETED);
     expect(await (await test.chat(STREAMED)).text()).toEqual(
       'id: event-1\ndata: {\ndata: "a":\ndata: 1}\n\ndata: [DONE]\n\n',
     );
   });
 
-  it('answers a request without a binding by the binding', async () => {
+  it('answers a non-idempotent request without a binding with 428 and a binding', async () => {
     await start();
     const binding = { token: 'token', address: '127.0.0.1:801' };
     const event = { kind: 'failed', code: 'binding_required', notRun: true, message: '' } as const;
-    test.requests.script = answers({ ...event, binding });
+    test.requests.script = scriptOf({ ...event, binding });
     const response = await test.fetch(PLAIN, { method: 'POST' });
     expect(response.status).toEqual(428);
     expect(await errorOf(response)).toEqual(expect.subset({ not_run: true, binding }));
   });
 
-  it('does not call a good key bad before it knows the accounts', async () => {
-    // Symptom: callers threw away good keys after a daemon was restarted in an outage of the platform.
-    // Sequence: the daemon starts and has no configuration; a caller sends its request.
-    // Cause: an account that is not known yet was answered like one that does not exist.
+  it('does not reject a valid key before it has a configuration', async () => {
+    // Guards against callers that discard valid keys. A daemon restarted during an outage of the platform has no
+    // configuration yet; an account that it does not know yet must not be answered like one that does not exist.
     await start();
     test.fleet.revision = 0;
     const response = await test.fetch('/v1/models');
--- a/src/callers/CallerServer.input.spec.ts
+++ b/src/callers/CallerServer.input.spec.ts
@@ -27,7 +27,7 @@
   readonly init: RequestInit;
   readonly status: number;
   readonly code: string;
-  /** Fields of the findings, with line and column where there are any. */
+  /** Expected fields of the findings, with line and column where a finding has them. */
   readonly findings?: readonly string[];
 }
 
@@ -163,8 +163,8 @@
 
 const head = (lines: string) => `POST ${CHAT_PATH} HTTP/1.1\r\nhost: x\r\n${KEY}${lines}\r\n`;
 
-/** What is no request, or none that ends; each byte as it stands. */
-const BAD_BYTES = [
+/** Bytes that are not a valid request; sent as they are. */
+const MALFORMED_BYTES = [
   { name: 'no HTTP', bytes: 'GARBAGE\r\n\r\n', status: 400 },
   { name: 'TLS', bytes: '\u0016\u0003\u0001\u0002\u0000\u0001', status: 400 },
   { name: 'no host', bytes: `GET /v1/models HTTP/1.1\r\n${KEY}\r\n`, status: 400 },
@@ -190,15 +190,15 @@
   },
 ];
 
-/** What is waited for in vain. */
+/** Requests whose rest never arrives. */
 const UNFINISHED_BYTES = [
   { name: 'a connection without a byte', bytes: '' },
   { name: 'headers that stop', bytes: 'GET /health HTTP/1.1\r\nho' },
   { name: 'a body that stops', bytes: `${head('content-length: 9\r\n')}{` },
 ];
 
-/** Longer than what a mutilated length can swallow. */
-const MORE_GARBAGE = Buffer.alloc(64);
+/** Bytes sent after a corrupted request; more than a corrupted body length can consume. */
+const TRAILING_BYTES = Buffer.alloc(64);
 
 const STATUS_LINE = /HTTP\/1\.1 (\d{3}) /gu;
 
@@ -227,7 +227,7 @@
     });
   }
 
-  for (const { name, bytes, status } of BAD_BYTES) {
+  for (const { name, bytes, status } of MALFORMED_BYTES) {
     it(`answers ${name} by one clear error and ends the connection`, async () => {
       const answer = await test.exchangeBytes(bytes);
       expect(statusesOf(answer)).toEqual([status]);
@@ -237,10 +237,9 @@
     });
   }
 
-  it('answers what follows a request in its turn', async () => {
-    // Symptom: the answer to a good request ended in the text of an error.
-    // Sequence: a request waits for its answer; behind it, on the same connection, come bytes that are no HTTP.
-    // Cause: the error was written as soon as the bytes came, beside the answer in progress.
+  it('answers malformed input after a request only after the answer to that request', async () => {
+    // Guards against an answer that ends with the text of an error. While a request waits for its answer, bytes that are
+    // not HTTP arrive behind it on the same connection; their error must be written after that answer.
     const whole = `${head(`content-length: ${chat.length}\r\n`)}${chat}`;
     const answer = await test.exchangeBytes(`${whole}GARBAGE\r\n\r\n`);
     expect(statusesOf(answer)).toEqual([200, 400]);
@@ -248,7 +247,7 @@
   });
 });
 
-describe('CallerServer without patience', () => {
+describe('CallerServer timeouts', () => {
   const test = new TestServer({
     headerTimeoutMilliseconds: 200,
     bodyTimeoutMilliseconds: 200,
@@ -265,11 +264,11 @@
     });
   }
 
-  it('answers every mutilated request and goes on serving', async () => {
+  it('answers every corrupted request and keeps serving', async () => {
     const whole = Buffer.from(`${head(`content-length: ${chat.length}\r\n`)}${chat}`);
     const position = fc.nat(whole.length - 1);
     const change = fc.tuple(position, fc.uint8Array({ maxLength: 4 }), fc.nat(3));
-    const mutilated = fc
+    const corrupted = fc
       .array(change, { minLength: 1, maxLength: 3 })
       .map((changes) =>
         changes.reduce(
@@ -278,9 +277,9 @@
           whole,
         ),
       );
-    const samples = fc.sample(mutilated, { seed: 7, numRuns: 200 });
+    const samples = fc.sample(corrupted, { seed: 7, numRuns: 200 });
     const answers = await Promise.all(
-      samples.map((bytes) => test.exchangeBytes(Buffer.concat([bytes, MORE_GARBAGE]))),
+      samples.map((bytes) => test.exchangeBytes(Buffer.concat([bytes, TRAILING_BYTES]))),
     );
     expect(answers.filter((answer) => statusesOf(answer).length === 0)).toEqual([]);
     const health = 'GET /health HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n';
--- a/src/callers/CallerServer.ts
+++ b/src/callers/CallerServer.ts
@@ -1,5 +1,5 @@
 /**
- * Serves callers over HTTP: owns the listening socket, the connections and the requests on them.
+ * HTTP server for callers: owns the listening socket, the connections and the requests on them.
  */
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -31,22 +31,24 @@
 import { RequestDispatcher } from './RequestDispatcher.js';
 
 const LOOPBACK = '127.0.0.1';
-const TCP_PROBE_DELAY_MILLISECONDS = 30_000;
-const LONGEST_CONNECTION_CHECK_MILLISECONDS = 1000;
+/** Idle time of a connection before the first TCP keep-alive probe. */
+const TCP_KEEP_ALIVE_DELAY_MILLISECONDS = 30_000;
+/** Upper limit of the interval in which Node.js checks connections for timeouts. */
+const MAXIMUM_CONNECTION_CHECK_INTERVAL_MILLISECONDS = 1000;
 
-/** Connections beyond the limit that are still told so; further ones are closed at once. */
-const TOLD_EXCESS_CONNECTIONS = 64;
+/** Connections above the limit whose requests still get an error answer; further ones are closed at once. */
+const ANSWERED_EXCESS_CONNECTIONS = 64;
 
 /** Options of a {@link CallerServer}. */
 export interface CallerServerOptions {
   fleet: FleetView;
   requests: RequestPort;
   bindings: BindingIssuer;
-  /** Lets locate name the gate of a runner where the chat is warm. */
+  /** Finds the runners where a chat is warm, so that locate can return the daemon with the gate of one. */
   homes?: HomePort;
-  /** IP number to listen on. */
+  /** IP address to listen on. */
   host?: string;
-  /** TCP port to listen on; 0 takes a free one. */
+  /** TCP port to listen on; 0 selects a free one. */
   port?: number;
   log?: Log;
   clock?: Clock;
@@ -54,13 +56,13 @@
   settings?: CallersSettings;
 }
 
-/** Where a server listens. */
+/** Address and port that a server listens on. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** The task that serves callers. */
+/** Accepts connections of callers, dispatches their requests, and drains before a planned stop. */
 export class CallerServer {
   private readonly address: ListenAddress;
 
@@ -70,12 +72,12 @@
 
   private readonly server: Server;
 
-  private readonly exchanges = new Map<Duplex, Set<Exchange>>();
+  private readonly exchangesBySocket = new Map<Duplex, Set<Exchange>>();
 
-  /** Errors for input that came behind a request in progress. */
+  /** Errors for malformed input behind a request in progress; each is sent after the answer to that request. */
   private readonly malformed = new WeakMap<Duplex, CallerError>();
 
-  private readonly excess = new WeakSet<Duplex>();
+  private readonly excessSockets = new WeakSet<Duplex>();
 
   private connections = 0;
 
@@ -83,10 +85,10 @@
 
   private draining = false;
 
-  private onDrained: (() => void)[] = [];
+  private drainWaiters: (() => void)[] = [];
 
   /**
-   * @param options - what it serves from, and its limits.
+   * @param options - the parts that the server works with, its address and its settings.
    */
   constructor({
     fleet,
@@ -124,8 +126,8 @@
   /**
    * Starts to listen.
    *
-   * @returns The address, with the port that was taken.
-   * @throws When the address cannot be taken.
+   * @returns The address, with the actual port.
+   * @throws When the server cannot listen on the address.
    */
   async start(): Promise<ListenAddress> {
     const { address, port } = await listen(this.server, this.address);
@@ -134,10 +136,10 @@
   }
 
   /**
-   * Refuses new requests and lets those in progress finish. The socket stays open, so that a caller with
-   * an old answer of locate is told at once to locate again instead of waiting for a connection.
+   * Rejects new requests and lets those in progress finish. The socket stays open, so that a caller with an
+   * outdated locate answer is told immediately to locate again, instead of waiting for a connection.
    *
-   * @returns When no request is in progress any more.
+   * @returns A promise that resolves when no request is in progress.
    */
   async drain(): Promise<void> {
     if (!this.draining) {
@@ -146,13 +148,13 @@
     }
     if (this.inProgress > 0) {
       await new Promise<void>((resolve) => {
-        this.onDrained.push(resolve);
+        this.drainWaiters.push(resolve);
       });
     }
     this.context.log.write(CALLER_EVENTS.drained);
   }
 
-  /** Closes the socket and all connections; requests still in progress are cut. */
+  /** Closes the listening socket and all connections; requests still in progress are aborted. */
   async stop(): Promise<void> {
     if (!this.server.listening) return;
     const closed = new Promise<void>((resolve) => {
@@ -168,23 +170,23 @@
     const server = createServer({
       maxHeaderSize: settings.maximumHeaderBytes,
       headersTimeout: settings.headerTimeoutMilliseconds,
-      // The body has its own, more exact limit; this one is for bodies that nobody reads.
+      // Bodies that are read have their own, more exact limit; this one covers bodies that no route reads.
       requestTimeout: settings.headerTimeoutMilliseconds + settings.bodyTimeoutMilliseconds,
       connectionsCheckingInterval: Math.min(
         settings.headerTimeoutMilliseconds,
-        LONGEST_CONNECTION_CHECK_MILLISECONDS,
+        MAXIMUM_CONNECTION_CHECK_INTERVAL_MILLISECONDS,
       ),
       keepAliveTimeout: settings.keepAliveMilliseconds,
-      // A caller whose instance died sends no FIN; without probes its requests would look alive.
+      // A caller whose instance died sends no FIN; without keep-alive probes its connection would seem open.
       keepAlive: true,
-      keepAliveInitialDelay: TCP_PROBE_DELAY_MILLISECONDS,
-      // Checked by the dispatcher, which answers in the documented form.
+      keepAliveInitialDelay: TCP_KEEP_ALIVE_DELAY_MILLISECONDS,
+      // The dispatcher checks the header, so that its absence is answered in the documented format.
       requireHostHeader: false,
     });
-    // One more than allowed is read, so that too many show; Node.js would drop them without a word.
+    // One header more than allowed is read, so that an excess is detected; Node.js drops further ones silently.
     server.maxHeadersCount = settings.maximumHeaderCount + 1;
-    server.maxConnections = settings.maximumConnections + TOLD_EXCESS_CONNECTIONS;
-    server.on('connection', (socket) => this.admit(socket));
+    server.maxConnections = settings.maximumConnections + ANSWERED_EXCESS_CONNECTIONS;
+    server.on('connection', (socket) => this.trackConnection(socket));
     server.on('drop', () => this.context.log.write(CALLER_EVENTS.connectionLimit));
     server.on('request', (request, response) => {
       void this.serve(request, response, false);
@@ -195,18 +197,18 @@
     server.on('checkExpectation', (request, response) => {
       void this.serve(request, response, false);
     });
-    server.on('clientError', (error, socket) => this.answerMalformed(error, socket));
-    server.on('connect', (_request, socket) => this.refuseTunnel(socket));
+    server.on('clientError', (error, socket) => this.handleParserError(error, socket));
+    server.on('connect', (_request, socket) => this.rejectTunnel(socket));
     return server;
   }
 
-  private admit(socket: Socket): void {
+  private trackConnection(socket: Socket): void {
     this.connections += 1;
     socket.once('close', () => {
       this.connections -= 1;
     });
     if (this.connections <= this.context.settings.maximumConnections) return;
-    this.excess.add(socket);
+    this.excessSockets.add(socket);
     this.context.log.write(CALLER_EVENTS.connectionLimit);
   }
 
@@ -217,47 +219,48 @@
   ): Promise<void> {
     const { socket } = request;
     const exchange = new Exchange({ request, response, context: this.context, expectsContinue });
-    const onSocket = this.exchanges.get(socket) ?? new Set();
-    this.exchanges.set(socket, onSocket.add(exchange));
+    const onSocket = this.exchangesBySocket.get(socket) ?? new Set();
+    this.exchangesBySocket.set(socket, onSocket.add(exchange));
     this.inProgress += 1;
-    await this.dispatcher.dispatch(exchange, this.excess.has(socket));
+    await this.dispatcher.dispatch(exchange, this.excessSockets.has(socket));
     exchange.reader.release();
     this.inProgress -= 1;
     onSocket.delete(exchange);
-    if (onSocket.size === 0) this.quietSocket(socket);
+    if (onSocket.size === 0) this.handleIdleSocket(socket);
     reportExchange(exchange);
     if (this.inProgress > 0 || !this.draining) return;
-    for (const resolve of this.onDrained.splice(0)) resolve();
+    for (const resolve of this.drainWaiters.splice(0)) resolve();
   }
 
   /**
-   * Input that is no HTTP. It is answered in its turn: an answer written beside one in progress would be
-   * taken for a part of it. Where it is the body of a request that is malformed, the answer is the request's.
+   * Handles input that the HTTP parser rejects. If a body being read is malformed, the error becomes the
+   * answer to its request. Otherwise the error is sent after the answers in progress on the connection: if it
+   * were written earlier, the caller would read it as part of such an answer.
    */
-  private answerMalformed(error: Error, socket: Duplex): void {
+  private handleParserError(error: Error, socket: Duplex): void {
     const callerError = malformedError(error);
-    const onSocket = [...(this.exchanges.get(socket) ?? [])];
+    const onSocket = [...(this.exchangesBySocket.get(socket) ?? [])];
     if (this.malformed.has(socket)) return;
     this.context.log.write(CALLER_EVENTS.malformed, { error: error.message });
     if (onSocket.at(-1)?.reader.abandon(callerError)) return;
     this.malformed.set(socket, callerError);
-    if (onSocket.length === 0) this.writeRaw(socket, callerError);
+    if (onSocket.length === 0) this.writeRawError(socket, callerError);
   }
 
-  private quietSocket(socket: Duplex): void {
-    this.exchanges.delete(socket);
+  private handleIdleSocket(socket: Duplex): void {
+    this.exchangesBySocket.delete(socket);
     const malformed = this.malformed.get(socket);
-    if (malformed) this.writeRaw(socket, malformed);
+    if (malformed) this.writeRawError(socket, malformed);
   }
 
-  private refuseTunnel(socket: Duplex): void {
-    this.writeRaw(
+  private rejectTunnel(socket: Duplex): void {
+    this.writeRawError(
       socket,
       new CallerError({ code: 'invalid_request', status: 405, message: 'no tunnels here' }),
     );
   }
 
-  private writeRaw(socket: Duplex, error: CallerError): void {
+  private writeRawError(socket: Duplex, error: CallerError): void {
     const { lingerMilliseconds } = this.context.settings;
     writeRawAnswer(socket, error, { requestId: randomUUID(), lingerMilliseconds });
   }
--- a/src/callers/CancelRoute.ts
+++ b/src/callers/CancelRoute.ts
@@ -1,5 +1,5 @@
 /**
- * `DELETE /v1/requests/{id}`: cancels a request.
+ * Route `DELETE /v1/requests/{id}`: cancels a request in progress.
  */
 import { accountOf } from './accountOf.js';
 import { CallerError } from './CallerError.js';
@@ -9,7 +9,8 @@
 
 const ACCEPTED = 202;
 
-function decodeSafely(text: string): string {
+/** Decodes a percent-encoded id; malformed encoding is returned as it is, and matches no request. */
+function decodeRequestId(text: string): string {
   try {
     return decodeURIComponent(text);
   } catch {
@@ -17,7 +18,7 @@
   }
 }
 
-/** Cancels requests of the caller's own account. */
+/** Cancels a request that belongs to the caller's account. */
 export class CancelRoute extends CallerRoute {
   override readonly name = 'cancel';
 
@@ -27,7 +28,7 @@
 
   override async answer(exchange: Exchange): Promise<void> {
     const account = accountOf(exchange);
-    const requestId = decodeSafely(exchange.url?.pathname.slice(REQUESTS_PREFIX.length) ?? '');
+    const requestId = decodeRequestId(exchange.url?.pathname.slice(REQUESTS_PREFIX.length) ?? '');
     const known = await exchange.context.requests.cancel(account.name, requestId);
     if (!known) {
       throw new CallerError({
--- a/src/callers/ChatCompletionsRoute.ts
+++ b/src/callers/ChatCompletionsRoute.ts
@@ -1,5 +1,5 @@
 /**
- * `POST /v1/chat/completions`.
+ * Route `POST /v1/chat/completions`: runs a chat request on a model engine.
  */
 import type { Answer, StartedEvent } from './Answer.js';
 import { BodyAnswer } from './BodyAnswer.js';
@@ -18,7 +18,7 @@
 
 const OK = 200;
 
-/** A compressed answer of an engine could not be taken apart into its events. */
+/** Not forwarded, because a compressed answer of an engine could not be split into its events. */
 const DROPPED_HEADERS: ReadonlySet<string> = new Set(['accept-encoding']);
 
 const JSON_TYPE = /^application\/json\s*(?:;|$)/iu;
@@ -44,7 +44,7 @@
   return type === undefined || EVENT_STREAM_TYPE.test(type);
 }
 
-/** Calls of model engines by the form that their clients use. */
+/** Handles calls of model engines in the API format that their clients use. */
 export class ChatCompletionsRoute extends CallerRoute {
   override readonly name = 'chat_completions';
 
@@ -56,7 +56,7 @@
     const service = findEngine(exchange.context.fleet, account, chatRequest.model);
     exchange.note({ service: service.name });
     const chat = exchange.headers.chat ?? derivedChatName(chatRequest.opening);
-    // Tells a caller that named no chat by which name to locate its next request.
+    // A caller that sent no chat name uses this one to locate the daemon for its next request.
     exchange.response.setHeader(CALLER_HEADERS.chat, chat);
     await runRequest(exchange, {
       account,
@@ -81,7 +81,7 @@
     throw new CallerError({ code: 'invalid_request', message: 'the body cannot be read' });
   }
 
-  /** An engine may refuse a streamed request by an ordinary answer, for example a prompt too long for it. */
+  /** An engine may reject a streaming request with an ordinary answer, for example if the prompt is too long. */
   private chooseAnswer(exchange: Exchange, started: StartedEvent, streaming: boolean): Answer {
     if (streaming && isEventStream(started)) return new EventStreamAnswer(exchange, started);
     const holdBackBytes = exchange.context.settings.maximumBufferedAnswerBytes;
--- a/src/callers/EventStreamAnswer.ts
+++ b/src/callers/EventStreamAnswer.ts
@@ -1,5 +1,5 @@
 /**
- * An engine's answer as server-sent events. It is whole only with `data: [DONE]`.
+ * Writes an engine's answer as server-sent events. The answer is complete only if it ends with `data: [DONE]`.
  */
 import type { ChunkEvent, StartedEvent } from './Answer.js';
 import { Answer } from './Answer.js';
@@ -9,25 +9,25 @@
 
 const LINE_END = /\r\n|\r|\n/u;
 const FORBIDDEN_IN_ID = /[\r\n\0]/u;
-const DONE = 'data: [DONE]\n\n';
+const DONE_EVENT = 'data: [DONE]\n\n';
 
 /**
- * Frames one event. A line end within the data would end the field: what follows would be lost or read
- * as another field, so each line gets its own.
+ * Formats one event. A line break in the data would end the `data` field, and the text after it would be lost
+ * or parsed as another field; therefore each line gets its own `data` field.
  */
-function frame(data: string, fields: string): string {
+function formatEvent(data: string, fields: string): string {
   if (!LINE_END.test(data)) return `${fields}data: ${data}\n\n`;
   const lines = data.split(LINE_END).map((line) => `data: ${line}\n`);
   return `${fields}${lines.join('')}\n`;
 }
 
-/** Writes each chunk as one event with its id. */
+/** Writes each chunk as one server-sent event with its event id. */
 export class EventStreamAnswer extends Answer {
   private readonly exchange: Exchange;
 
   /**
-   * @param exchange - whose answer this is.
-   * @param started - the runner's head; its headers go on.
+   * @param exchange - the exchange to answer.
+   * @param started - status and headers of the runner's answer; the headers are forwarded.
    */
   constructor(exchange: Exchange, started: StartedEvent) {
     super();
@@ -42,18 +42,18 @@
   override async chunk({ data, eventId }: ChunkEvent): Promise<void> {
     const id = FORBIDDEN_IN_ID.test(eventId) ? '' : `id: ${eventId}\n`;
     const bytes = Buffer.from(data.buffer, data.byteOffset, data.byteLength);
-    await this.exchange.writer.write(frame(bytes.toString('utf8'), id));
+    await this.exchange.writer.write(formatEvent(bytes.toString('utf8'), id));
   }
 
   override async completed(): Promise<void> {
-    await this.exchange.writer.write(DONE);
+    await this.exchange.writer.write(DONE_EVENT);
     await this.exchange.writer.end();
   }
 
   override async failed(error: CallerError): Promise<void> {
     this.exchange.note({ code: error.options.code });
     const document = JSON.stringify(this.exchange.document(error));
-    await this.exchange.writer.write(frame(document, 'event: error\n'));
+    await this.exchange.writer.write(formatEvent(document, 'event: error\n'));
     await this.exchange.writer.end();
   }
 }
--- a/src/callers/Exchange.ts
+++ b/src/callers/Exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One request of a caller and its one answer.
+ * An exchange: one request of a caller and its answer.
  */
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -28,13 +28,13 @@
 const NOT_MODIFIED = 304;
 const REQUEST_TIMEOUT = 408;
 
-/** Only the path and the query of a request target count; the host is ours whatever it says. */
+/** Parses a request target. Only its path and query are used; a host in it is ignored. */
 function parseTarget(target: string): URL | undefined {
   const path = target.startsWith('/') ? `http://target${target}` : target;
   return URL.canParse(path) ? new URL(path) : undefined;
 }
 
-/** Owns the answer: it leaves once, whatever goes wrong. */
+/** Holds the state of one request and ensures that it is answered exactly once, also after errors. */
 export class Exchange {
   readonly request: IncomingMessage;
 
@@ -46,7 +46,7 @@
 
   readonly headers: CallerHeaders;
 
-  /** Mistakes so far; routes add theirs and report all together. */
+  /** Mistakes found in the request so far; routes add theirs, so that all are reported in one answer. */
   readonly findings = new Findings();
 
   readonly url: URL | undefined;
@@ -57,7 +57,7 @@
 
   readonly startedAt: number;
 
-  /** For logs and metrics. */
+  /** Details of the request for logs and metrics. */
   notes: ExchangeNotes = {};
 
   /** Whether the request carries a binding token. */
@@ -66,15 +66,16 @@
   private account: ClientAccount | undefined;
 
   /**
-   * Whether this request may have run through an earlier sending: it is bound, or it asks about another
-   * request. "Not run" would then be a guess, and a caller that believes it binds anew and runs twice.
+   * Whether the work may have run through an earlier attempt: the request carries a binding, or it refers to
+   * another request. Answering "not run" could then be false, and the caller would get a new binding and run
+   * a non-idempotent request twice.
    */
   private mayHaveRun: boolean;
 
   private readonly abortController = new AbortController();
 
   /**
-   * @param options - both ends of the request and what the exchange works with.
+   * @param options - the HTTP request and response, and the context shared by all exchanges.
    */
   constructor({ request, response, context, expectsContinue = false }: ExchangeOptions) {
     this.request = request;
@@ -105,64 +106,72 @@
     });
   }
 
-  /** @returns Aborted when the caller is gone before its whole answer. */
+  /** @returns A signal that is aborted when the caller disconnects before it has its complete answer. */
   get signal(): AbortSignal {
     return this.abortController.signal;
   }
 
-  /** @returns The method, in upper case as HTTP has it. */
+  /** @returns The HTTP method, in upper case. */
   get method(): string {
     return this.request.method ?? 'GET';
   }
 
   /**
-   * @param notes - what was learnt, for logs and metrics.
+   * Adds details for logs and metrics.
+   *
+   * @param notes - the details; a field that is already set is replaced.
    */
   note(notes: ExchangeNotes): void {
     this.notes = { ...this.notes, ...notes };
   }
 
-  /** @returns The account whose key the request carries, once that is checked. */
+  /** @returns The account that the request is authenticated for; `undefined` before authentication. */
   get clientAccount(): ClientAccount | undefined {
     return this.account;
   }
 
   /**
-   * @param account - to which the request belongs by its key.
+   * Sets the account after the key of the request was checked.
+   *
+   * @param account - the account that the key belongs to.
    */
   authenticated(account: ClientAccount): void {
     this.account = account;
   }
 
-  /** Notes that the request is about one that was sent before. */
+  /** Marks that the request refers to an earlier one, so that errors do not claim that nothing ran. */
   concernsEarlierRequest(): void {
     this.mayHaveRun = true;
   }
 
   /**
-   * Says what is left of the deadline: the time that a body took counts.
+   * Computes the time left until the deadline. The time spent on reading the body is subtracted.
    *
-   * @returns Milliseconds, zero or less when it has passed.
+   * @returns Milliseconds; zero or less when the deadline has passed.
    */
   deadlineLeft(): number {
     const { clock, settings } = this.context;
-    const asked = this.headers.deadlineMilliseconds ?? settings.defaultDeadlineMilliseconds;
-    const granted = Math.min(asked, settings.maximumDeadlineMilliseconds);
-    return Math.ceil(granted - (clock.monotonicMilliseconds() - this.startedAt));
+    const requestedMilliseconds =
+      this.headers.deadlineMilliseconds ?? settings.defaultDeadlineMilliseconds;
+    const allowedMilliseconds = Math.min(
+      requestedMilliseconds,
+      settings.maximumDeadlineMilliseconds,
+    );
+    return Math.ceil(allowedMilliseconds - (clock.monotonicMilliseconds() - this.startedAt));
   }
 
   /**
-   * Reads the body within all limits.
+   * Reads the body of the request, limited in size and time.
    *
-   * @returns The whole body.
-   * @throws {@link CallerError} for a limit, `CallerGone` when the connection ended.
+   * @returns The complete body.
+   * @throws {@link CallerError} when a limit is exceeded, `CallerDisconnected` when the connection ended.
    */
   async body(): Promise<Buffer> {
-    return this.reader.read(this.bodyTime());
+    return this.reader.read(this.bodyTimeLimit());
   }
 
   /**
-   * Throws when there is any finding.
+   * Rejects the request when any mistake was found in it.
    *
    * @throws {@link CallerError} with all findings.
    */
@@ -176,11 +185,11 @@
   }
 
   /**
-   * Sends the status and the headers. On a draining daemon the connection ends with this answer, so that
-   * the caller locates again instead of coming back here.
+   * Sends the status and the headers. On a draining daemon the connection is closed after this answer, so that
+   * the caller locates another daemon instead of reusing the connection.
    *
    * @param status - the HTTP status.
-   * @param headers - of the answer; several values stay apart.
+   * @param headers - headers of the answer; several values of a header are sent as separate lines.
    */
   writeHead(
     status: number,
@@ -195,11 +204,11 @@
   }
 
   /**
-   * Sends a whole JSON answer.
+   * Sends a complete JSON answer.
    *
    * @param status - the HTTP status.
-   * @param document - the body.
-   * @param headers - further headers.
+   * @param document - the value to send as the body.
+   * @param headers - additional headers.
    */
   async sendJson(
     status: number,
@@ -211,11 +220,11 @@
   }
 
   /**
-   * Sends a whole answer.
+   * Sends a complete answer.
    *
    * @param status - the HTTP status.
-   * @param body - all of it.
-   * @param headers - headers without the length.
+   * @param body - the complete body.
+   * @param headers - headers without `content-length`.
    */
   async send(
     status: number,
@@ -223,7 +232,7 @@
     headers: Readonly<Record<string, string | readonly string[]>>,
   ): Promise<void> {
     const bodyless = status === NO_CONTENT || status === NOT_MODIFIED;
-    // An answer to HEAD says the length that GET would have, which only a body tells.
+    // An answer to HEAD has the length that GET would have, which is unknown without a body.
     const unknown = bodyless || (this.method === 'HEAD' && body.byteLength === 0);
     const length = unknown ? {} : { 'content-length': String(body.byteLength) };
     this.writeHead(status, Object.entries({ ...headers, ...length }));
@@ -233,10 +242,10 @@
   }
 
   /**
-   * Answers with an error, or cuts the connection when an answer has begun: what follows the head of
-   * another answer would be taken for its body.
+   * Answers with an error. If the headers of another answer are already sent, the connection is closed instead,
+   * because the caller would read the error as part of that answer's body.
    *
-   * @param error - what went wrong.
+   * @param error - the error to send.
    */
   async fail(error: CallerError): Promise<void> {
     this.note({ code: error.options.code });
@@ -252,15 +261,20 @@
   }
 
   /**
-   * @param error - what went wrong.
-   * @returns The JSON document that says so.
+   * Creates the JSON document of an error.
+   *
+   * @param error - the error to describe.
+   * @returns The document, with the id of this request.
    */
   document(error: CallerError): object {
     return errorDocument(error, this.requestId, error.options.notRun ?? !this.mayHaveRun);
   }
 
-  /** The deadline ends the wait for a body as well: what then arrives is of no use any more. */
-  private bodyTime(): BodyTime {
+  /**
+   * Limits the reading of the body to the body timeout or the deadline, whichever is earlier. A body that
+   * arrives after the deadline is of no use.
+   */
+  private bodyTimeLimit(): BodyTime {
     const { bodyTimeoutMilliseconds } = this.context.settings;
     const left = Math.max(0, this.deadlineLeft());
     if (left <= bodyTimeoutMilliseconds) {
--- a/src/callers/HealthRoute.ts
+++ b/src/callers/HealthRoute.ts
@@ -1,5 +1,5 @@
 /**
- * `GET /health`: whether this daemon takes requests.
+ * Route `GET /health`: reports whether this daemon accepts requests.
  */
 import { CallerRoute } from './CallerRoute.js';
 import type { Exchange } from './Exchange.js';
@@ -7,7 +7,7 @@
 const OK = 200;
 const UNAVAILABLE = 503;
 
-/** For whoever watches the process; callers locate instead. */
+/** Health check for process supervision and monitoring; callers use locate instead. */
 export class HealthRoute extends CallerRoute {
   override readonly name = 'health';
 
@@ -19,8 +19,8 @@
     const { fleet, isDraining } = exchange.context;
     const configured = fleet.configurationRevision() > 0;
     const ready = configured && !isDraining();
-    const waiting = isDraining() ? 'draining' : 'without_configuration';
-    const document = { state: ready ? 'serving' : waiting };
+    const unavailableState = isDraining() ? 'draining' : 'without_configuration';
+    const document = { state: ready ? 'serving' : unavailableState };
     await exchange.sendJson(ready ? OK : UNAVAILABLE, document, { 'cache-control': 'no-store' });
   }
 }
--- a/src/callers/LocateDecisions.spec.ts
+++ b/src/callers/LocateDecisions.spec.ts
@@ -71,14 +71,13 @@
     for (let caller = 0; caller < 900; caller += 1) {
       first[idsOf({ daemons, spreadKey: `caller-${caller}` })[0] as '1' | '2'] += 1;
     }
-    // Weights 1.5 to 3: a third and two thirds, within what chance does to 900 callers.
+    // The weights are 1.5 and 3, so a third and two thirds of the 900 callers are expected, within random deviation.
     expect(first[1] > 240 && first[1] < 360).toEqual(true);
   });
 
   it('names an address elsewhere, and asks back sooner while the fleet is unsettled', () => {
-    // Symptom: after a data centre failed, its callers had nobody left to ask.
-    // Sequence: locate named four daemons of one data centre; its switch died.
-    // Cause: the nearest addresses filled the whole answer.
+    // Guards against an answer with addresses of one data centre only. The four nearest daemons filled the answer; when
+    // the switch of their data centre failed, the callers had no daemon left to ask.
     const near = ['1', '2', '3', '4', '5'].map((id) => daemon(id, 'r1'));
     const settled = locate({ daemons: [...near, daemon('6', 'r2')] });
     expect(settled.addresses.at(-1)?.daemonId).toEqual('6');
--- a/src/callers/LocateDecisions.ts
+++ b/src/callers/LocateDecisions.ts
@@ -1,40 +1,40 @@
 /**
- * Decides which addresses a caller uses, and for how long it keeps the answer.
+ * Decides which daemon addresses a caller should use, and for how long it may cache them.
  *
- * With a chat, the daemon that holds the gate of the chat's first runner comes first, so that the inner
- * hop is not paid. Without one, callers are spread over the entry daemons. A stale answer costs one hop,
- * never a wrong answer.
+ * If the caller names a chat, the daemon that holds the gate of the runner expected to serve it comes first,
+ * which saves a hop between daemons. Otherwise callers are spread over the daemons by weight. An outdated
+ * answer costs one hop, but never leads to a wrong result.
  */
 import { Decisions } from '../decisions/Decisions.js';
 import { weightedOrder } from '../routing/weightedOrder.js';
 import type { FirstRunner } from './firstRunner.js';
 
-/** A daemon as a caller could use it. */
+/** A daemon that callers may connect to. */
 export interface EntryDaemon {
   readonly id: string;
-  /** `host:port` for callers. */
+  /** Address for callers as `host:port`; empty when the daemon serves none. */
   readonly address: string;
   readonly region: string;
   readonly dataCentre: string;
   /** State in the membership: `alive`, `suspect`, `leaving`, `dead` or `left`. */
   readonly state: string;
-  /** Tokens of work at the gates that it holds. */
+  /** Work at the gates that the daemon holds, in tokens. */
   readonly load: number;
 }
 
-/** Asks for an answer. */
+/** Input of the decision. */
 export interface LocateMessage {
   readonly kind: 'locate';
-  /** Spreads callers: another key, another order. */
+  /** Key of the weighted order; different keys give different orders, which spreads the callers. */
   readonly spreadKey: string;
   readonly region: string;
   readonly dataCentre: string;
   readonly daemons: readonly EntryDaemon[];
-  /** With a chat: the runner that it would go to first, and the daemon that holds this runner's gate. */
+  /** If the caller names a chat: the runner expected to serve it, and the daemon that holds its gate. */
   readonly gate?: FirstRunner & { readonly daemonId: string };
 }
 
-/** Why a daemon stands where it stands. */
+/** Why a daemon has its position in the answer. */
 export type LocateReason = 'gate' | 'data_centre' | 'region' | 'elsewhere' | 'suspect';
 
 /** One address of the answer. */
@@ -44,20 +44,22 @@
   readonly reason: LocateReason;
 }
 
-/** The answer. */
+/** Result of the decision. */
 export interface LocateAction {
   readonly kind: 'answer';
-  /** The first is to be used; the others when it does not answer. */
+  /** Addresses by preference: a caller uses the next one when the one before does not respond. */
   readonly addresses: readonly LocatedAddress[];
+  /** How long the caller may cache the answer, in seconds. */
   readonly keepSeconds: number;
 }
 
 /** Options of {@link LocateDecisions}. */
 export interface LocateDecisionsOptions {
-  /** How long callers keep an answer, in seconds. */
+  /** How long callers may cache an answer, in seconds. */
   keepSeconds?: number;
-  /** The same while some daemon is suspect or leaving. */
+  /** The same while any daemon is suspect or leaving, in seconds; at most `keepSeconds`. */
   unsettledKeepSeconds?: number;
+  /** Largest number of addresses in one answer. */
   maximumAddresses?: number;
 }
 
@@ -66,21 +68,32 @@
 const DEFAULT_MAXIMUM_ADDRESSES = 4;
 
 /**
- * Loads come by gossip and lag. Weights that followed them freely would send every caller to the same
- * light daemon for the length of the lag: its load would swing. Only this range keeps the reaction mild.
+ * Range of the weights, and the weight of a daemon with the mean load. Loads are gossiped and therefore
+ * outdated by some time. With unlimited weights all callers would choose the same lightly loaded daemon until
+ * the next update, and its load would oscillate; the narrow range dampens this.
  */
 const LOWEST_WEIGHT = 1;
 const HIGHEST_WEIGHT = 4;
 const MEAN_WEIGHT = 2;
 
-const REASONS: readonly LocateReason[] = ['gate', 'data_centre', 'region', 'elsewhere', 'suspect'];
+/** Reasons by preference. */
+const REASONS_BY_PREFERENCE: readonly LocateReason[] = [
+  'gate',
+  'data_centre',
+  'region',
+  'elsewhere',
+  'suspect',
+];
 
-interface Placed {
+interface RankedDaemon {
   readonly daemon: EntryDaemon;
   readonly reason: LocateReason;
 }
 
-/** A suspect daemon is the last resort: it is likely gone, and a caller that tries it first waits in vain. */
+/**
+ * Classifies a daemon; `undefined` excludes it. A suspect daemon comes last, because it has probably failed and a
+ * caller that tries it first would wait for a timeout.
+ */
 function reasonOf(daemon: EntryDaemon, message: LocateMessage): LocateReason | undefined {
   if (daemon.state === 'suspect') return 'suspect';
   if (daemon.state !== 'alive') return undefined;
@@ -89,7 +102,7 @@
   return daemon.region === message.region ? 'region' : 'elsewhere';
 }
 
-/** Without any load all have the highest weight, which is as good as any common one. */
+/** Weighs a daemon inversely to its load. Daemons without load all have the highest weight. */
 function weightOf({ load }: EntryDaemon, meanLoad: number): number {
   if (load <= 0) return HIGHEST_WEIGHT;
   return Math.min(HIGHEST_WEIGHT, Math.max(LOWEST_WEIGHT, (MEAN_WEIGHT * meanLoad) / load));
@@ -100,6 +113,7 @@
   return alive.reduce((sum, { load }) => sum + load, 0) / Math.max(1, alive.length);
 }
 
+/** Groups the usable daemons by their reason; daemons without an address for callers are left out. */
 function groupByReason(message: LocateMessage): ReadonlyMap<LocateReason, readonly EntryDaemon[]> {
   const groups = new Map<LocateReason, EntryDaemon[]>();
   for (const daemon of message.daemons) {
@@ -111,15 +125,15 @@
   return groups;
 }
 
-/** One address is as spread as it can be. */
-function isSpread(kept: readonly Placed[]): boolean {
+/** Whether the daemons are in more than one data centre, or there are too few for that. */
+function spansDataCentres(kept: readonly RankedDaemon[]): boolean {
   const [first] = kept;
   return (
     kept.length < 2 || kept.some(({ daemon }) => daemon.dataCentre !== first?.daemon.dataCentre)
   );
 }
 
-/** Orders addresses; holds no state between messages. */
+/** Selects and orders addresses; holds no state between decisions. */
 export class LocateDecisions extends Decisions<LocateMessage, LocateAction> {
   private readonly keepSeconds: number;
 
@@ -128,7 +142,7 @@
   private readonly maximumAddresses: number;
 
   /**
-   * @param options - how long and how many.
+   * @param options - caching times and the number of addresses.
    */
   constructor({
     keepSeconds = DEFAULT_KEEP_SECONDS,
@@ -147,7 +161,7 @@
     return [
       {
         kind: 'answer',
-        addresses: this.choose(message).map(({ daemon, reason }) => ({
+        addresses: this.selectAddresses(message).map(({ daemon, reason }) => ({
           address: daemon.address,
           daemonId: daemon.id,
           reason,
@@ -158,32 +172,32 @@
   }
 
   /**
-   * When a data centre fails, an answer with addresses of only this one is worth nothing, and its caller
-   * has nobody left to ask. So the last address is elsewhere, where there is any.
+   * Selects the addresses by preference. If a data centre fails, a caller that only has addresses in this data
+   * centre has no daemon left to ask. Therefore the last address is in another data centre, if there is one.
    */
-  private choose(message: LocateMessage): readonly Placed[] {
+  private selectAddresses(message: LocateMessage): readonly RankedDaemon[] {
     const groups = groupByReason(message);
     const meanLoad = meanLoadOf(message.daemons);
-    const kept: Placed[] = [];
-    for (const reason of REASONS) {
-      const ordered = this.order(message.spreadKey, groups.get(reason) ?? [], meanLoad);
+    const kept: RankedDaemon[] = [];
+    for (const reason of REASONS_BY_PREFERENCE) {
+      const ordered = this.orderByWeight(message.spreadKey, groups.get(reason) ?? [], meanLoad);
       for (const daemon of ordered) {
         const isElsewhere = daemon.dataCentre !== kept[0]?.daemon.dataCentre;
         if (kept.length < this.maximumAddresses) kept.push({ daemon, reason });
         else if (isElsewhere) kept.splice(-1, 1, { daemon, reason });
-        if (kept.length >= this.maximumAddresses && isSpread(kept)) return kept;
+        if (kept.length >= this.maximumAddresses && spansDataCentres(kept)) return kept;
       }
     }
     return kept;
   }
 
-  /** Callers with other keys get another order, so that they spread by weight over equally good daemons. */
-  private order(
+  /** Orders daemons of equal preference by weight and key, which spreads callers with different keys over them. */
+  private orderByWeight(
     spreadKey: string,
-    equals: readonly EntryDaemon[],
+    candidates: readonly EntryDaemon[],
     meanLoad: number,
   ): readonly EntryDaemon[] {
-    const weighted = equals.map((daemon) => ({
+    const weighted = candidates.map((daemon) => ({
       ...daemon,
       accelerators: weightOf(daemon, meanLoad),
     }));
--- a/src/callers/LocateRoute.ts
+++ b/src/callers/LocateRoute.ts
@@ -1,5 +1,5 @@
 /**
- * `GET /locate`: which addresses to use, and for how long.
+ * Route `GET /locate`: tells a caller which daemon addresses to use, and for how long.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type { ClientAccount, Service } from '../generated/baobabdock/v1/configuration_pb.js';
@@ -21,6 +21,7 @@
 } from './LocateDecisions.js';
 import { findEngine, findService } from './serviceAccess.js';
 
+/** Retry-After sent when no daemon is known to be alive, in milliseconds. */
 const NO_DAEMON_RETRY_MILLISECONDS = 1000;
 
 function entryDaemon(member: Member): EntryDaemon {
@@ -34,8 +35,8 @@
   };
 }
 
-/** Finds the gate that a chat's next request would go to first. */
-async function gateOfChat(
+/** Finds the gate that the next request of a chat will probably be sent to. */
+async function findGateOfChat(
   { fleet, homes }: CallerContext,
   service: string,
   chat: string,
@@ -53,14 +54,14 @@
   return daemon && { ...first, daemonId: daemon.daemonId };
 }
 
-/** Tells callers where to go. */
+/** Answers with the addresses that {@link LocateDecisions} selects. */
 export class LocateRoute extends CallerRoute {
   override readonly name = 'locate';
 
   private readonly decisions: LocateDecisions;
 
   /**
-   * @param decisions - order the addresses.
+   * @param decisions - selects and orders the addresses.
    */
   constructor(decisions: LocateDecisions) {
     super();
@@ -71,24 +72,24 @@
     const account = accountOf(exchange);
     const query = exchange.url?.searchParams ?? new URLSearchParams();
     const chat = query.get('chat') ?? undefined;
-    const named = query.has('service') || query.has('model');
+    const namesService = query.has('service') || query.has('model');
     if (chat !== undefined && !isChatName(chat)) {
       exchange.findings.add({ field: 'chat' }, 'must be 1 to 200 printable ASCII characters');
     }
-    if (chat !== undefined && !named) {
+    if (chat !== undefined && !namesService) {
       exchange.findings.add({ field: 'service' }, 'or model must be named with a chat');
     }
     exchange.checkFindings();
-    const service = this.findTarget(exchange.context.fleet, account, query);
+    const service = this.findRequestedService(exchange.context.fleet, account, query);
     exchange.note({ service: service?.name, chat });
     const gate =
       service && chat !== undefined
-        ? await gateOfChat(exchange.context, service.name, fleetChatName(account.name, chat))
+        ? await findGateOfChat(exchange.context, service.name, fleetChatName(account.name, chat))
         : undefined;
-    await this.send(exchange, this.decide(exchange, gate), gate);
+    await this.sendAnswer(exchange, this.decideAddresses(exchange, gate), gate);
   }
 
-  private findTarget(
+  private findRequestedService(
     fleet: FleetView,
     account: ClientAccount,
     query: URLSearchParams,
@@ -99,7 +100,10 @@
     return model === null ? undefined : findEngine(fleet, account, model);
   }
 
-  private decide({ context, requestId }: Exchange, gate: LocateMessage['gate']): LocateAction {
+  private decideAddresses(
+    { context, requestId }: Exchange,
+    gate: LocateMessage['gate'],
+  ): LocateAction {
     const self = context.fleet.self();
     const [action] = this.decisions.decide(context.clock.monotonicMilliseconds(), {
       kind: 'locate',
@@ -117,7 +121,7 @@
     });
   }
 
-  private async send(
+  private async sendAnswer(
     exchange: Exchange,
     { addresses, keepSeconds }: LocateAction,
     gate: LocateMessage['gate'],
--- a/src/callers/MetricsRoute.ts
+++ b/src/callers/MetricsRoute.ts
@@ -1,5 +1,5 @@
 /**
- * `GET /metrics`: the scrape page, where the settings allow it here.
+ * Route `GET /metrics`: the metrics page, if the settings enable it on the callers' port.
  */
 import { CallerError } from './CallerError.js';
 import { CallerRoute } from './CallerRoute.js';
@@ -7,7 +7,7 @@
 
 const OK = 200;
 
-/** Passes on the page that the metrics hook writes. */
+/** Sends the page that `CallerMetrics` renders. */
 export class MetricsRoute extends CallerRoute {
   override readonly name = 'metrics';
 
--- a/src/callers/ModelsRoute.ts
+++ b/src/callers/ModelsRoute.ts
@@ -1,5 +1,5 @@
 /**
- * `GET /v1/models` and `GET /v1/models/{model}`.
+ * Routes `GET /v1/models` and `GET /v1/models/{model}`: the models that an account may call.
  */
 import type { ClientAccount, Service } from '../generated/baobabdock/v1/configuration_pb.js';
 import { accountOf } from './accountOf.js';
@@ -9,24 +9,24 @@
 import { MODELS_PATH } from './matchRoute.js';
 import { mayCall } from './serviceAccess.js';
 
-/** One model in the form that clients of model engines read. */
+/** One model in the JSON format that clients of model engines expect. */
 interface ModelDocument {
   readonly id: string;
   readonly object: 'model';
-  /** Clients require a time; when a model was made is not known here. */
+  /** Creation time. Clients require the field, but the time is not known here. */
   readonly created: 0;
   readonly owned_by: string;
-  /** The model that an adapter belongs to. */
+  /** For an adapter: the model that it belongs to. */
   readonly parent?: string;
 }
 
-function documentsOf({ model, firm, wantedAdapters }: Service): ModelDocument[] {
+function modelDocumentsOf({ model, firm, wantedAdapters }: Service): ModelDocument[] {
   const base = { object: 'model', created: 0, owned_by: firm } as const;
   const adapters = wantedAdapters.map((id) => ({ id, ...base, parent: model }));
   return [{ id: model, ...base }, ...adapters];
 }
 
-/** Lists what an account may call. */
+/** Lists the models and adapters that the caller's account may call. */
 export class ModelsRoute extends CallerRoute {
   override readonly name = 'models';
 
@@ -50,7 +50,7 @@
     const documents = context.fleet
       .configuration()
       .services.filter((service) => service.kind === 'engine' && mayCall(account, service))
-      .flatMap(documentsOf);
+      .flatMap(modelDocumentsOf);
     const byId = new Map(documents.map((document) => [document.id, document]));
     return [...byId.values()].sort((a, b) => (a.id < b.id ? -1 : 1));
   }
--- a/src/callers/PlainServiceRoute.ts
+++ b/src/callers/PlainServiceRoute.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of plain services: passed through with method, headers and body.
+ * Route of plain services: forwards requests with their method, headers and body.
  */
 import { accountOf } from './accountOf.js';
 import { BodyAnswer } from './BodyAnswer.js';
@@ -11,12 +11,12 @@
 import { findPlain, findService, isIdempotentMethod } from './serviceAccess.js';
 
 /**
- * Plain requests have no tokens, but loads are counted in them: each request counts as one, so that the
- * load of a plain runner is its number of requests.
+ * Token count of a plain request. Loads are measured in tokens, which plain requests do not have. Each
+ * request counts as one token, so that the load of a plain runner is its number of requests.
  */
 const TOKENS_PER_REQUEST = 1;
 
-/** Passes requests on by the path prefix of their service. */
+/** Forwards a request to the service whose path prefix matches. */
 export class PlainServiceRoute extends CallerRoute {
   override readonly name = 'plain';
 
@@ -37,13 +37,13 @@
     await runRequest(exchange, {
       account,
       service,
-      // Without a chat each request is spread by its own id.
+      // A request without a chat is placed by its own id, which spreads such requests over the runners.
       chat: exchange.headers.chat ?? exchange.requestId,
       idempotent: isIdempotentMethod(service, exchange.method),
       promptTokens: 0,
       maximumTokens: TOKENS_PER_REQUEST,
       headers: requestHeadersFor(exchange.request.rawHeaders, exchange.requestId),
-      // Unchanged, prefix included: links, redirects and the paths of cookies in the answer stay right.
+      // The path keeps the prefix, so that links, redirects and cookie paths in the answer stay valid.
       path: `${url.pathname}${url.search}`,
       body,
       streaming: false,
--- a/src/callers/RequestDispatcher.ts
+++ b/src/callers/RequestDispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Takes an exchange through its checks to its route, and sees that it gets exactly one answer.
+ * Checks a request, passes it to its route, and ensures that it gets exactly one answer.
  */
 import type { AccountAuthentication } from './AccountAuthentication.js';
 import type { CallerErrorOptions } from './CallerError.js';
@@ -14,8 +14,8 @@
 const METHOD_NOT_ALLOWED = 405;
 const HEADERS_TOO_LARGE = 431;
 
-/** Whoever sends such a request is not to be trusted with where the next one begins. */
-function malformed(options: CallerErrorOptions): CallerError {
+/** Creates an error that also closes the connection: after a malformed request the start of the next is uncertain. */
+function malformedRequestError(options: CallerErrorOptions): CallerError {
   return new CallerError({ ...options, headers: { connection: 'close' } });
 }
 
@@ -23,11 +23,11 @@
 export interface RequestDispatcherOptions {
   routes: Readonly<Record<RouteName, CallerRoute>>;
   authentication: AccountAuthentication;
-  /** Says whether one more request may start. */
+  /** Returns whether the number of requests in progress is within the limit. */
   hasRoom: () => boolean;
 }
 
-/** Holds the order of the checks. */
+/** Runs the checks in a fixed order (route, drain, authentication, load) and then the route. */
 export class RequestDispatcher {
   private readonly routes: Readonly<Record<RouteName, CallerRoute>>;
 
@@ -36,7 +36,7 @@
   private readonly hasRoom: () => boolean;
 
   /**
-   * @param options - routes and checks.
+   * @param options - the routes, the authentication and the load check.
    */
   constructor({ routes, authentication, hasRoom }: RequestDispatcherOptions) {
     this.routes = routes;
@@ -47,15 +47,15 @@
   /**
    * Answers one exchange; never throws.
    *
-   * @param exchange - the request.
-   * @param excessConnection - whether it came over a connection beyond the limit.
+   * @param exchange - the request to answer.
+   * @param excessConnection - whether its connection is above the connection limit.
    */
   async dispatch(exchange: Exchange, excessConnection: boolean): Promise<void> {
     try {
       const route = this.findRoute(exchange);
       exchange.note({ route: route.name });
       if (route.aboutEarlierRequest) exchange.concernsEarlierRequest();
-      this.check(exchange, route, excessConnection);
+      this.checkAdmission(exchange, route, excessConnection);
       await route.answer(exchange);
     } catch (error) {
       await this.answerError(exchange, error);
@@ -65,17 +65,23 @@
   private findRoute(exchange: Exchange): CallerRoute {
     const { url, request, context } = exchange;
     if (request.rawHeaders.length / 2 > context.settings.maximumHeaderCount) {
-      throw malformed({
+      throw malformedRequestError({
         code: 'request_too_large',
         status: HEADERS_TOO_LARGE,
         message: `more than ${context.settings.maximumHeaderCount} headers`,
       });
     }
     if (request.httpVersion === '1.1' && request.headers.host === undefined) {
-      throw malformed({ code: 'invalid_request', message: 'the header host is missing' });
+      throw malformedRequestError({
+        code: 'invalid_request',
+        message: 'the header host is missing',
+      });
     }
     if (!url) {
-      throw malformed({ code: 'invalid_request', message: 'the request target is no path' });
+      throw malformedRequestError({
+        code: 'invalid_request',
+        message: 'the request target is no path',
+      });
     }
     const found = matchRoute(exchange.method, url.pathname);
     if (typeof found === 'string') return this.routes[found];
@@ -87,10 +93,10 @@
     });
   }
 
-  private check(exchange: Exchange, route: CallerRoute, excessConnection: boolean): void {
+  private checkAdmission(exchange: Exchange, route: CallerRoute, excessConnection: boolean): void {
     if (route.open) return;
     const { settings, isDraining } = exchange.context;
-    // A bound request goes on: only this daemon knows whether it ran, and "draining" would hide that.
+    // A request with a binding is still accepted: only this daemon knows whether it ran, and "draining" would hide that.
     if (isDraining() && !route.whileDraining && !exchange.bound) {
       throw new CallerError({
         code: 'draining',
@@ -120,7 +126,7 @@
     }
   }
 
-  /** A fault of ours, possibly after the request was handed on: nothing is said about whether it ran. */
+  /** Error for a bug in this program. It may occur after the request was sent on, so it does not claim "not run". */
   private internalError(exchange: Exchange, thrown: unknown): CallerError {
     const cause = thrown instanceof Error ? thrown : new Error(String(thrown));
     exchange.context.log.write(CALLER_EVENTS.internal, {
--- a/src/callers/RequestReader.ts
+++ b/src/callers/RequestReader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the body of a caller's request, bounded in size, in time and together with all other bodies.
+ * Reads the body of a caller's request, limited in size, in time and by the budget of all bodies together.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -13,26 +13,29 @@
   response: ServerResponse;
   /** Whether the caller sends its body only after `100 Continue`. */
   expectsContinue: boolean;
+  /** Largest body, in bytes. */
   maximumBytes: number;
+  /** Budget shared by the bodies of all requests. */
   budget: BodyBudget;
-  /** When a caller refused for the budget should come back. */
+  /** Retry-After for a request rejected because of the budget, in milliseconds. */
   overloadRetryAfterMilliseconds: number;
-  /** How long an unread body is discarded after an early answer. */
+  /** How long the rest of an unread body is read and discarded after an early answer, in milliseconds. */
   lingerMilliseconds: number;
 }
 
-/** How long a body may take. */
+/** Time limit for a body to arrive. */
 export interface BodyTime {
+  /** The limit in milliseconds. */
   readonly milliseconds: number;
-  /** The error when it takes longer. */
+  /** Creates the error for a body that takes longer. */
   readonly error: () => CallerError;
 }
 
-/** Owns the reading side of one request. */
+/** Reads or discards the body of one request. */
 export class RequestReader {
   private readonly options: RequestReaderOptions;
 
-  private continued = false;
+  private continueSent = false;
 
   private heldBytes = 0;
 
@@ -41,7 +44,7 @@
   private abandoned = false;
 
   /**
-   * @param options - the request and its limits.
+   * @param options - the request, its response and the limits.
    */
   constructor(options: RequestReaderOptions) {
     this.options = options;
@@ -56,18 +59,18 @@
   }
 
   /**
-   * Reads the body whole.
+   * Reads the complete body.
    *
-   * @param time - how long it may take.
+   * @param time - the time limit.
    * @returns The body; it counts against the budget until {@link RequestReader.release}.
-   * @throws {@link CallerError} for a limit, {@link CallerGone} when the connection ended.
+   * @throws {@link CallerError} when a limit is exceeded, {@link CallerGone} when the connection ended.
    */
   async read(time: BodyTime): Promise<Buffer> {
     const { request, maximumBytes } = this.options;
-    if (Number(request.headers['content-length'] ?? 0) > maximumBytes) throw this.tooLarge();
+    if (Number(request.headers['content-length'] ?? 0) > maximumBytes) throw this.tooLargeError();
     if (!this.pending && request.readableEnded) return Buffer.alloc(0);
     if (request.destroyed) throw new CallerGone();
-    this.sayContinue();
+    this.sendContinue();
     try {
       return await this.collect(time);
     } finally {
@@ -76,14 +79,14 @@
   }
 
   /**
-   * Ends the reading of a body whose rest is malformed.
+   * Stops reading a body because the rest of it is malformed.
    *
-   * @param error - becomes the answer.
-   * @returns Whether a body was being read: the error then reaches whoever reads it.
+   * @param error - the error that the pending read throws.
+   * @returns Whether the error belongs to this body; `false` when no body was being read.
    */
   abandon(error: CallerError): boolean {
     if (this.abandoned) return true;
-    // A body that has arrived whole may not have been read yet; what is malformed then came behind it.
+    // A body that arrived completely may still be unread; the malformed input then came after it.
     if (!this.refuse || this.options.request.complete) return false;
     this.abandoned = true;
     this.refuse(error);
@@ -91,14 +94,14 @@
   }
 
   /**
-   * Reads and drops the rest of a body for a while. Closing a connection with unread bytes resets it, and
-   * the reset can overtake the answer: the caller would see a broken connection in place of its refusal.
+   * Reads and discards the rest of a body for a limited time. Closing a connection with unread bytes resets it,
+   * and the reset can overtake the answer: the caller would see a connection reset instead of the error.
    */
   async discard(): Promise<void> {
     const { request, expectsContinue, lingerMilliseconds } = this.options;
     if (!this.pending || request.destroyed) return;
-    // The caller waits for a word that never comes: it sends nothing that could be unread.
-    if (expectsContinue && !this.continued) return;
+    // The caller is waiting for `100 Continue` and has not sent a body, so there is nothing to discard.
+    if (expectsContinue && !this.continueSent) return;
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, lingerMilliseconds);
       const onEnd = (): void => {
@@ -111,15 +114,15 @@
     });
   }
 
-  /** Gives the body's bytes back to the budget. */
+  /** Releases the bytes of the body in the budget. */
   release(): void {
     this.options.budget.give(this.heldBytes);
     this.heldBytes = 0;
   }
 
-  private sayContinue(): void {
+  private sendContinue(): void {
     if (!this.options.expectsContinue) return;
-    this.continued = true;
+    this.continueSent = true;
     this.options.response.writeContinue();
   }
 
@@ -128,32 +131,32 @@
     return new Promise((resolve, reject) => {
       const parts: Buffer[] = [];
       let bytes = 0;
-      let settle = (): void => {};
+      let cleanUp = (): void => {};
       const refuse = (reason: Error): void => {
         request.pause();
-        settle();
+        cleanUp();
         reject(reason);
       };
       const onData = (part: Buffer): void => {
         bytes += part.byteLength;
         if (bytes > maximumBytes) {
-          refuse(this.tooLarge());
+          refuse(this.tooLargeError());
           return;
         }
         if (!budget.take(part.byteLength)) {
-          refuse(this.noRoom());
+          refuse(this.budgetExceededError());
           return;
         }
         this.heldBytes += part.byteLength;
         parts.push(part);
       };
       const onEnd = (): void => {
-        settle();
+        cleanUp();
         resolve(Buffer.concat(parts, bytes));
       };
       const onClose = (): void => refuse(new CallerGone());
       const timer = setTimeout(() => refuse(error()), milliseconds);
-      settle = () => {
+      cleanUp = () => {
         clearTimeout(timer);
         request.off('data', onData);
         request.off('end', onEnd);
@@ -166,14 +169,14 @@
     });
   }
 
-  private tooLarge(): CallerError {
+  private tooLargeError(): CallerError {
     return new CallerError({
       code: 'request_too_large',
       message: `the body is larger than ${this.options.maximumBytes} bytes`,
     });
   }
 
-  private noRoom(): CallerError {
+  private budgetExceededError(): CallerError {
     return new CallerError({
       code: 'overloaded',
       message: 'too many bodies are held at once',
--- a/src/callers/ResponseWriter.ts
+++ b/src/callers/ResponseWriter.ts
@@ -1,9 +1,10 @@
 /**
- * Writes an answer at the pace of its reader.
+ * Writes an answer with backpressure.
  *
- * A reader that is slower than the runner would otherwise fill this daemon's memory with what it has not
- * read: the process would grow with each slow caller until it is killed. Here a write waits until the
- * connection has taken what came before, and a reader that takes nothing for too long is cut.
+ * Without backpressure, the unread answer of a caller that reads more slowly than the runner writes would
+ * accumulate in this daemon's memory, and the process would grow with each slow caller until it is killed. A
+ * write therefore waits until the connection has accepted the bytes before it, and the connection of a caller
+ * that reads nothing for too long is closed.
  */
 import type { ServerResponse } from 'node:http';
 
@@ -12,12 +13,13 @@
 /** Options of a {@link ResponseWriter}. */
 export interface ResponseWriterOptions {
   response: ServerResponse;
+  /** How long a caller may read nothing before its connection is closed, in milliseconds. */
   stallTimeoutMilliseconds: number;
-  /** Called once when the reader is cut for its slowness. */
+  /** Called when the connection is closed because the caller reads nothing. */
   onStall?: () => void;
 }
 
-/** Owns the writing side of one answer. */
+/** Writes the body of one answer. */
 export class ResponseWriter {
   private readonly response: ServerResponse;
 
@@ -26,7 +28,7 @@
   private readonly onStall: () => void;
 
   /**
-   * @param options - the response and how long its reader may stall.
+   * @param options - the response, and the time after which a caller counts as stalled.
    */
   constructor({ response, stallTimeoutMilliseconds, onStall = () => {} }: ResponseWriterOptions) {
     this.response = response;
@@ -35,10 +37,10 @@
   }
 
   /**
-   * Writes bytes and waits until there is room for more.
+   * Writes bytes and waits until the connection accepts more.
    *
    * @param bytes - a part of the body.
-   * @throws {@link CallerGone} when the reader is gone or was cut.
+   * @throws {@link CallerGone} when the connection is closed.
    */
   async write(bytes: Uint8Array | string): Promise<void> {
     this.checkOpen();
@@ -48,9 +50,9 @@
   }
 
   /**
-   * Ends the answer and waits until the connection has taken all of it.
+   * Ends the answer and waits until the connection has accepted all of it.
    *
-   * @throws {@link CallerGone} when the reader is gone or was cut.
+   * @throws {@link CallerGone} when the connection is closed before that.
    */
   async end(): Promise<void> {
     this.checkOpen();
@@ -59,7 +61,7 @@
     await finished;
   }
 
-  /** Cuts the connection, so that half an answer cannot pass for a whole one. */
+  /** Closes the connection, so that the caller cannot mistake a partial answer for a complete one. */
   cut(): void {
     this.response.destroy();
   }
@@ -71,13 +73,13 @@
   private waitFor(event: 'drain' | 'finish'): Promise<void> {
     const { response } = this;
     return new Promise((resolve, reject) => {
-      let settle = (): void => {};
+      let cleanUp = (): void => {};
       const onEvent = (): void => {
-        settle();
+        cleanUp();
         resolve();
       };
       const onClose = (): void => {
-        settle();
+        cleanUp();
         if (response.writableFinished) resolve();
         else reject(new CallerGone());
       };
@@ -85,7 +87,7 @@
         this.onStall();
         response.destroy();
       }, this.stallTimeoutMilliseconds);
-      settle = () => {
+      cleanUp = () => {
         clearTimeout(timer);
         response.off(event, onEvent);
         response.off('close', onClose);
--- a/src/callers/StreamsRoute.ts
+++ b/src/callers/StreamsRoute.ts
@@ -1,5 +1,5 @@
 /**
- * `GET /v1/streams` with `Last-Event-ID`: the rest of a stream, through any daemon.
+ * Route `GET /v1/streams` with `Last-Event-ID`: resumes a stream, through any daemon.
  */
 import { accountOf } from './accountOf.js';
 import { CALLER_HEADERS } from './callerHeaders.js';
@@ -8,7 +8,7 @@
 import type { Exchange } from './Exchange.js';
 import { relayEvents } from './relayEvents.js';
 
-/** Continues streams. */
+/** Sends the events of a stream after the last one that the caller received. */
 export class StreamsRoute extends CallerRoute {
   override readonly name = 'streams';
 
--- a/src/callers/accountKeys.ts
+++ b/src/callers/accountKeys.ts
@@ -1,7 +1,7 @@
 /**
- * Keys of client accounts: `<account>.<secret>`, stored only as SHA-256 of salt and key.
+ * Creates and verifies the keys of client accounts: `<account>.<secret>`, stored only as SHA-256 of salt and key.
  *
- * A secret has 32 random bytes, so a fast hash is enough: there is no dictionary to try.
+ * A secret has 32 random bytes, so a fast hash is sufficient: dictionary attacks are not possible.
  */
 import { createHash, randomBytes, timingSafeEqual } from 'node:crypto';
 
@@ -9,43 +9,43 @@
 const SALT_BYTES = 16;
 const KEY_ID_BYTES = 6;
 
-/** A longer key is not hashed at all, so that a huge header costs nothing. */
+/** Longest key in characters. Longer ones are rejected without hashing, so that a huge header costs no CPU time. */
 const MAXIMUM_KEY_LENGTH = 512;
 
-/** A key as the configuration holds it. */
+/** A key as it is stored in the configuration: its id, and the salted hash. */
 export interface StoredKey {
   readonly keyId: string;
   readonly salt: Uint8Array;
   readonly digest: Uint8Array;
 }
 
-/** A new key: shown to the operator once, then only its hash remains. */
+/** A new key. The key itself is shown to the operator once; only its hash is stored. */
 export interface CreatedKey {
   readonly key: string;
   readonly stored: StoredKey;
 }
 
-/** Stands in for the keys of an account that does not exist; no key hashes to it. */
-const ABSENT_KEYS: readonly StoredKey[] = [
+/** Placeholder compared against when an account does not exist or has no keys; no key hashes to it. */
+const PLACEHOLDER_KEYS: readonly StoredKey[] = [
   { keyId: 'absent', salt: randomBytes(SALT_BYTES), digest: randomBytes(SECRET_BYTES) },
 ];
 
 /**
  * Hashes a key as the configuration stores it.
  *
- * @param salt - random bytes of this key.
- * @param key - the whole key, account included.
- * @returns 32 bytes.
+ * @param salt - the random salt of this key.
+ * @param key - the complete key, including the account name.
+ * @returns The hash, 32 bytes.
  */
 export function hashKey(salt: Uint8Array, key: string): Uint8Array {
   return createHash('sha256').update(salt).update(key, 'utf8').digest();
 }
 
 /**
- * Makes a new key for an account.
+ * Creates a new random key for an account.
  *
- * @param account - the account's name.
- * @returns The key to hand out and the hash to store.
+ * @param account - the name of the account.
+ * @returns The key to give to the account's owner, and the hash to store.
  */
 export function createKey(account: string): CreatedKey {
   const key = `${account}.${randomBytes(SECRET_BYTES).toString('base64url')}`;
@@ -55,9 +55,9 @@
 }
 
 /**
- * Reads the account's name out of a key. The secret holds no dot, so the last one separates.
+ * Extracts the account name from a key. The secret contains no dot, so the last dot is the separator.
  *
- * @param key - as the caller sent it.
+ * @param key - the key that the caller sent.
  * @returns The name, or `undefined` for anything that is not a key.
  */
 export function accountOfKey(key: string): string | undefined {
@@ -70,19 +70,19 @@
 /**
  * Checks a key against the stored ones.
  *
- * An early return would tell by its time which accounts exist and how much of a digest matches: a
- * stranger would see answers of differing latency. So every stored key is compared in constant time,
- * and an account without keys is checked against one that nothing matches.
+ * An early return would be a timing side channel: from the latency an attacker could learn which accounts exist
+ * and how much of a digest matches. Therefore every stored key is compared in constant time, and an account
+ * without keys is checked against a placeholder that no key matches.
  *
- * @param stored - the account's keys; empty or missing when the account does not exist.
- * @param key - as the caller sent it.
+ * @param stored - the keys of the account; empty or missing when the account does not exist.
+ * @param key - the key that the caller sent.
  * @returns The id of the matching key, or `undefined`.
  */
 export function verifyKey(
   stored: readonly StoredKey[] | undefined,
   key: string,
 ): string | undefined {
-  const candidates = stored && stored.length > 0 ? stored : ABSENT_KEYS;
+  const candidates = stored && stored.length > 0 ? stored : PLACEHOLDER_KEYS;
   let matching: string | undefined;
   for (const candidate of candidates) {
     const digest = hashKey(candidate.salt, key);
--- a/src/callers/answerHead.ts
+++ b/src/callers/answerHead.ts
@@ -1,13 +1,15 @@
 /**
- * The head of an answer that a runner gave.
+ * Headers of an answer that forwards a runner's answer.
  */
 import type { StartedEvent } from './Answer.js';
 import { CALLER_HEADERS } from './callerHeaders.js';
 import { answerHeadersFrom } from './forwardedHeaders.js';
 
 /**
- * @param started - the runner's head.
- * @returns Its headers for the caller, and who answered with how much in its cache.
+ * Creates the headers of the answer to the caller.
+ *
+ * @param started - status and headers of the runner's answer.
+ * @returns The runner's headers that are forwarded, the runner's id and its number of cached prompt tokens.
  */
 export function answerHead(started: StartedEvent): Map<string, string[]> {
   const headers = answerHeadersFrom(started.headers);
--- a/src/callers/callerRoutes.ts
+++ b/src/callers/callerRoutes.ts
@@ -1,5 +1,5 @@
 /**
- * All routes of the callers' interface.
+ * Creates all routes of the callers' interface.
  */
 import { BindingRoute } from './BindingRoute.js';
 import type { CallerRoute } from './CallerRoute.js';
@@ -16,8 +16,10 @@
 import { StreamsRoute } from './StreamsRoute.js';
 
 /**
- * @param settings - of the callers' interface.
- * @returns The route of each kind of path.
+ * Creates the routes.
+ *
+ * @param settings - the settings of the callers' interface.
+ * @returns The route for each route name.
  */
 export function createCallerRoutes(settings: CallersSettings): Record<RouteName, CallerRoute> {
   const decisions = new LocateDecisions({
--- a/src/callers/callersFeature.ts
+++ b/src/callers/callersFeature.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' interface: its settings and its log events, numbers 2000 to 2099.
+ * Settings and log events of the callers' interface; event numbers 2000 to 2099.
  */
 import { z } from 'zod';
 
@@ -102,89 +102,94 @@
     number: 2001,
     name: 'callers.draining',
     level: 'info',
-    text: 'New requests are refused as draining; those in progress finish.',
-    operatorAction: 'None; wait for 2002.',
+    text: 'The daemon is draining: new requests are rejected, those in progress finish.',
+    operatorAction: 'None; wait for event 2002.',
   }),
   drained: defineLogEvent({
     number: 2002,
     name: 'callers.drained',
     level: 'info',
-    text: 'No request of a caller is in progress any more.',
-    operatorAction: 'None; the process may end.',
+    text: 'The drain is complete: no request is in progress.',
+    operatorAction: 'None; the process can be stopped.',
   }),
   stopped: defineLogEvent({
     number: 2003,
     name: 'callers.stopped',
     level: 'info',
     text: 'The interface for callers is closed.',
-    operatorAction: 'None; if requests were cut, the drain was shorter than their deadlines.',
+    operatorAction:
+      'None; if requests were aborted, the drain time was shorter than their deadlines.',
   }),
   answered: defineLogEvent({
     number: 2010,
     name: 'callers.answered',
     level: 'info',
-    text: 'A request of a caller has its whole answer.',
-    operatorAction: 'None; the request id leads to the routing decision.',
+    text: 'A request was answered completely.',
+    operatorAction: 'None; find the routing decision by the request id.',
   }),
   refused: defineLogEvent({
     number: 2011,
     name: 'callers.refused',
     level: 'info',
-    text: 'A request of a caller ended in an error.',
-    operatorAction: 'Read the code; many overloaded or not_run in a row mean too few runners.',
+    text: 'A request ended with an error.',
+    operatorAction:
+      'Check the code; many overloaded or not_run errors mean that there are too few runners.',
   }),
   malformed: defineLogEvent({
     number: 2012,
     name: 'callers.malformed',
     level: 'info',
     text: 'A connection sent something that is not a well-formed HTTP request.',
-    operatorAction: 'None; many from one address suggest a broken or hostile caller.',
+    operatorAction: 'None; many events from one address suggest a faulty or malicious caller.',
   }),
   unauthenticated: defineLogEvent({
     number: 2013,
     name: 'callers.unauthenticated',
     level: 'info',
-    text: 'A request came without a valid key.',
-    operatorAction: 'Many for one account: check whether its key was replaced or is being guessed.',
+    text: 'A request was rejected because it has no valid key.',
+    operatorAction: 'If there are many, check whether a key was replaced or is being guessed.',
   }),
   callerGone: defineLogEvent({
     number: 2014,
     name: 'callers.gone',
     level: 'info',
-    text: 'A caller closed its connection before it had its answer.',
-    operatorAction: 'None; many suggest deadlines that are longer than the patience of callers.',
+    text: 'A caller closed its connection before its answer was complete.',
+    operatorAction:
+      'None; many events suggest that callers time out before the deadline of their requests.',
   }),
   callerStalled: defineLogEvent({
     number: 2015,
     name: 'callers.stalled',
     level: 'warn',
-    text: 'A caller left its answer unread for too long; its connection was cut.',
-    operatorAction: 'Many from one account: its reader is too slow; the streams can be resumed.',
+    text: 'A caller did not read its answer for too long; its connection was closed.',
+    operatorAction:
+      'If there are many for one account, its client reads too slowly; streams can be resumed.',
   }),
   connectionLimit: defineLogEvent({
     number: 2016,
     name: 'callers.connection_limit',
     level: 'warn',
-    text: 'More connections than allowed; the newest are refused.',
+    text: 'The connection limit is exceeded; new connections are rejected.',
     operatorAction: 'Raise maximumConnections or add daemons.',
   }),
   located: defineLogEvent({
     number: 2020,
     name: 'callers.located',
     level: 'debug',
-    text: 'A caller was told which addresses to use, and why in this order.',
+    text: 'A locate request was answered; the fields list the addresses in order, each with its reason.',
     operatorAction: 'None.',
   }),
   internal: defineLogEvent({
     number: 2030,
     name: 'callers.internal',
     level: 'error',
-    text: 'A handler of the interface for callers failed by a fault of the program.',
-    operatorAction: 'Report it with the line; the caller was answered with code internal.',
+    text: 'A route of the interface for callers failed because of a bug in the program.',
+    operatorAction:
+      'Report the bug with this log line; the caller got an error with code internal.',
   }),
 } as const;
 
-/** The callers' interface, as the program registers it. */
+/** Registration of the callers' interface as a feature of the program. */
 export const callersFeature = defineFeature({
   name: 'callers',
   settings: callersSettings,
--- a/src/callers/callersTypes.ts
+++ b/src/callers/callersTypes.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of the callers' interface share.
+ * Types that the parts of the callers' interface share.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type { Priority } from '../gates/gateTypes.js';
@@ -13,33 +13,33 @@
 import type { CallersSettings } from './callersFeature.js';
 import type { CallerMetrics } from './CallerMetrics.js';
 
-/** Given to each exchange and route. */
+/** Dependencies that all exchanges and routes share. */
 export interface CallerContext {
   readonly fleet: FleetView;
   readonly requests: RequestPort;
   readonly bindings: BindingIssuer;
-  /** Without it, locate knows no warm runners. */
+  /** Finds the runners where a chat is warm; if missing, locate treats every chat as cold. */
   readonly homes?: HomePort;
   readonly log: Log;
   readonly clock: Clock;
   readonly metrics: CallerMetrics;
   readonly settings: CallersSettings;
   readonly bodyBudget: BodyBudget;
-  /** @returns Whether the daemon is about to stop. */
+  /** @returns Whether the daemon is draining before a planned stop. */
   readonly isDraining: () => boolean;
 }
 
-/** What is learnt about a request on its way. */
+/** Details of a request, collected while it is handled, for logs and metrics. */
 export interface ExchangeNotes {
-  /** Kind of path. */
+  /** Name of the route. */
   readonly route?: string;
   readonly service?: string;
   readonly priority?: Priority;
-  /** The chat's name within the account. */
+  /** Name of the chat within the account. */
   readonly chat?: string;
   readonly runnerId?: string;
-  /** Code of the error in which the request ended. */
+  /** Code of the error that ended the request. */
   readonly code?: OutcomeCode;
-  /** Monotonic milliseconds. */
+  /** When the headers of the answer were sent, in milliseconds of the monotonic clock. */
   readonly firstByteAt?: number;
 }
--- a/src/callers/chatName.ts
+++ b/src/callers/chatName.ts
@@ -1,27 +1,27 @@
 /**
- * Names of chats. The account is part of the name: two accounts that both call a chat "1" must neither
- * share a place in the hash order nor each other's cached prefix.
+ * Creates the names of chats. The account is part of the name that the fleet uses: two accounts that both name
+ * a chat "1" must share neither a position in the hash order nor each other's cached prefix.
  */
 
-/** Marks a name that was made from the opening of a prompt. */
+/** Prefix of a name that was derived from the opening of a prompt. */
 const DERIVED_MARK = '~';
 
 /**
- * Makes the name of a chat that the caller did not name.
+ * Derives the name of a chat that the caller did not name.
  *
- * @param opening - hash of model and opening of the prompt.
- * @returns The name within the account; the caller may send it in later requests.
+ * @param opening - the hash of the model and the opening of the prompt.
+ * @returns The name within the account; the caller may send it with later requests.
  */
 export function derivedChatName(opening: string): string {
   return `${DERIVED_MARK}${opening}`;
 }
 
 /**
- * Makes the name by which the fleet knows a chat.
+ * Creates the name of a chat that is unique in the fleet.
  *
- * @param account - the client account.
- * @param chat - the chat's name within the account.
- * @returns The name that hashing takes.
+ * @param account - the name of the client account.
+ * @param chat - the name of the chat within the account.
+ * @returns The name that placement hashes.
  */
 export function fleetChatName(account: string, chat: string): string {
   return `${account}/${chat}`;
--- a/src/callers/chatRequest.ts
+++ b/src/callers/chatRequest.ts
@@ -1,6 +1,6 @@
 /**
- * The body of `POST /v1/chat/completions`, as far as this program reads it. Everything else in it is the
- * engine's business and goes there unchanged.
+ * Parses the fields of a `POST /v1/chat/completions` body that routing needs. All other fields are forwarded to the
+ * engine without a check.
  */
 import { createHash } from 'node:crypto';
 import { z } from 'zod';
@@ -8,16 +8,17 @@
 import type { Findings } from '../findings/Findings.js';
 import { parseJsonBody } from './jsonText.js';
 
-/** Bytes of prompt text that are taken for one token: about right for European languages, and cheap. */
+/** Estimated bytes of prompt text per token: roughly right for European languages, and cheap to compute. */
 const BYTES_PER_TOKEN = 4;
 
-/** What an image or sound in a prompt is taken to cost; its bytes would say far too much. */
+/** Estimated tokens of an image or sound in a prompt. An estimate by its bytes would be far too high. */
 const TOKENS_PER_MEDIA_PART = 512;
 
 const MAXIMUM_MODEL_LENGTH = 256;
 const MAXIMUM_MESSAGES = 100_000;
 const MAXIMUM_GENERATED_TOKENS = 10_000_000;
 const MAXIMUM_CHOICES = 128;
+/** Characters of the base64url hash that are kept. */
 const CHAT_HASH_LENGTH = 22;
 
 const contentPart = z.looseObject({ type: z.string(), text: z.string().optional() });
@@ -43,63 +44,64 @@
 type ChatBody = z.infer<typeof chatBody>;
 type ChatMessage = ChatBody['messages'][number];
 
-/** What routing needs to know of a chat request. */
+/** Fields of a chat request that routing needs. */
 export interface ChatRequest {
   readonly model: string;
   readonly streaming: boolean;
-  /** Estimate: a quarter of the prompt's bytes. */
+  /** Estimated tokens of the prompt: a quarter of its bytes, plus a constant for each image or sound. */
   readonly promptTokens: number;
+  /** Upper limit of the tokens to generate, for all choices together. */
   readonly maximumTokens: number;
-  /** Identifies the opening of the prompt; stays the same as the chat grows. */
+  /** Hash of the opening of the prompt; it does not change as the chat grows. */
   readonly opening: string;
 }
 
-function fieldOf(path: readonly PropertyKey[]): string {
+function formatFieldPath(path: readonly PropertyKey[]): string {
   const field = path
     .map((part) => (typeof part === 'number' ? `[${part}]` : `.${String(part)}`))
     .join('');
   return field === '' ? 'body' : field.replace(/^\./u, '');
 }
 
-function textOf({ content }: ChatMessage): string {
+function messageText({ content }: ChatMessage): string {
   if (typeof content === 'string') return content;
   return (content ?? []).map((part) => part.text ?? '').join('\n');
 }
 
-function mediaPartsOf({ content }: ChatMessage): number {
+function countMediaParts({ content }: ChatMessage): number {
   if (!Array.isArray(content)) return 0;
   return content.filter((part) => part.text === undefined).length;
 }
 
 /**
- * Hashes everything up to and including the first message of the user: the longest part that the first
- * request of a chat and all later ones have in common.
+ * Hashes the model and the messages up to and including the first one of the user. This is the longest part that
+ * the first request of a chat has in common with all later ones.
  */
 function hashOpening({ model, messages }: ChatBody): string {
-  const firstOfUser = messages.findIndex(({ role }) => role === 'user');
-  const opening = firstOfUser < 0 ? messages.slice(0, 1) : messages.slice(0, firstOfUser + 1);
+  const firstUserIndex = messages.findIndex(({ role }) => role === 'user');
+  const opening = firstUserIndex < 0 ? messages.slice(0, 1) : messages.slice(0, firstUserIndex + 1);
   const hash = createHash('sha256');
-  for (const part of [model, ...opening.flatMap((entry) => [entry.role, textOf(entry)])]) {
-    // The length keeps ["ab", "c"] and ["a", "bc"] apart.
+  for (const part of [model, ...opening.flatMap((entry) => [entry.role, messageText(entry)])]) {
+    // The length prefix gives ["ab", "c"] and ["a", "bc"] different hashes.
     hash.update(`${part.length}:`).update(part);
   }
   return hash.digest('base64url').slice(0, CHAT_HASH_LENGTH);
 }
 
 function estimatePromptTokens({ messages }: ChatBody, bodyBytes: number): number {
-  const mediaParts = messages.reduce((sum, entry) => sum + mediaPartsOf(entry), 0);
+  const mediaParts = messages.reduce((sum, entry) => sum + countMediaParts(entry), 0);
   if (mediaParts === 0) return Math.ceil(bodyBytes / BYTES_PER_TOKEN);
-  const textBytes = messages.reduce((sum, entry) => sum + Buffer.byteLength(textOf(entry)), 0);
+  const textBytes = messages.reduce((sum, entry) => sum + Buffer.byteLength(messageText(entry)), 0);
   return Math.ceil(textBytes / BYTES_PER_TOKEN) + mediaParts * TOKENS_PER_MEDIA_PART;
 }
 
 /**
- * Checks the body of a chat request and collects every mistake.
+ * Parses and validates the body of a chat request and collects every mistake.
  *
- * @param body - as received.
- * @param findings - receives the mistakes, with the path of their field.
- * @param defaultMaximumTokens - tokens to generate that are assumed without a limit in the body.
- * @returns What routing needs, or `undefined` after a finding.
+ * @param body - the bytes as received.
+ * @param findings - receives the mistakes, each with the path of its field.
+ * @param defaultMaximumTokens - the number of tokens to generate that is assumed if the body sets no limit.
+ * @returns The fields that routing needs, or `undefined` if there is a mistake.
  */
 export function readChatRequest(
   body: Uint8Array,
@@ -111,17 +113,17 @@
   const checked = chatBody.safeParse(value);
   if (!checked.success) {
     for (const issue of checked.error.issues) {
-      findings.add({ field: fieldOf(issue.path) }, issue.message);
+      findings.add({ field: formatFieldPath(issue.path) }, issue.message);
     }
     return undefined;
   }
   const { data } = checked;
-  const tokensOfChoice = data.max_completion_tokens ?? data.max_tokens ?? defaultMaximumTokens;
+  const tokensPerChoice = data.max_completion_tokens ?? data.max_tokens ?? defaultMaximumTokens;
   return {
     model: data.model,
     streaming: data.stream === true,
     promptTokens: estimatePromptTokens(data, body.byteLength),
-    maximumTokens: tokensOfChoice * (data.n ?? 1),
+    maximumTokens: tokensPerChoice * (data.n ?? 1),
     opening: hashOpening(data),
   };
 }
--- a/src/callers/firstRunner.ts
+++ b/src/callers/firstRunner.ts
@@ -1,49 +1,53 @@
 /**
- * Guesses the runner that the next request of a chat goes to first, as the placement of requests would.
+ * Predicts the runner that the placement of requests would choose first for the next request of a chat.
  *
- * Only a guess: loads are not looked at, and the placement may choose otherwise a moment later. A wrong
- * guess costs the request one hop.
+ * The prediction ignores loads, and the placement may choose another runner a moment later. A wrong prediction
+ * costs the request one hop.
  */
 import type { FleetRunner } from '../fleet/FleetView.js';
 import { weightedOrder } from '../routing/weightedOrder.js';
 
-/** What the guess is made from. */
+/** Input of the prediction. */
 export interface FirstRunnerQuestion {
-  /** The chat's name as the fleet knows it. */
+  /** Name of the chat, unique in the fleet. */
   readonly chat: string;
-  /** Where requests of this chat would enter. */
+  /** Region of the daemon that predicts. */
   readonly region: string;
+  /** Data centre of the daemon that predicts. */
   readonly dataCentre: string;
-  /** Runners of the service, in any state. */
+  /** All runners of the service, in any state. */
   readonly runners: readonly FleetRunner[];
-  /** Runners where the chat is warm, the most cached first. */
+  /** Ids of the runners where the chat is warm, those with the most cached tokens first. */
   readonly warm: readonly string[];
 }
 
-/** The guess and its ground. */
+/** The predicted runner and the reason. */
 export interface FirstRunner {
   readonly runnerId: string;
   readonly why: 'warm' | 'hash_order';
 }
 
+/** Distance of a runner: 0 in the same data centre, 1 in the same region, 2 elsewhere. */
 function distanceOf({ record }: FleetRunner, { region, dataCentre }: FirstRunnerQuestion): number {
   if (record.region !== region) return 2;
   return record.dataCentre === dataCentre ? 0 : 1;
 }
 
 /**
- * @param question - the chat and the runners.
- * @returns The most cached live runner, else the first live one in hash order among the nearest;
- *   `undefined` when none is live.
+ * Predicts the first runner of a chat.
+ *
+ * @param input - the chat, the location of this daemon and the runners.
+ * @returns The live runner with the most cached tokens, otherwise the first in hash order of the nearest live
+ *   runners; `undefined` when no runner is live.
  */
-export function firstRunner(question: FirstRunnerQuestion): FirstRunner | undefined {
-  const live = question.runners.filter(({ state }) => state === 'live');
-  const warm = question.warm.find((id) => live.some((runner) => runner.id === id));
+export function firstRunner(input: FirstRunnerQuestion): FirstRunner | undefined {
+  const live = input.runners.filter(({ state }) => state === 'live');
+  const warm = input.warm.find((id) => live.some((runner) => runner.id === id));
   if (warm !== undefined) return { runnerId: warm, why: 'warm' };
-  const nearest = Math.min(...live.map((runner) => distanceOf(runner, question)));
+  const nearest = Math.min(...live.map((runner) => distanceOf(runner, input)));
   const near = live
-    .filter((runner) => distanceOf(runner, question) === nearest)
+    .filter((runner) => distanceOf(runner, input) === nearest)
     .map(({ id, record }) => ({ id, accelerators: record.accelerators }));
-  const [first] = weightedOrder(question.chat, near, 1);
+  const [first] = weightedOrder(input.chat, near, 1);
   return first && { runnerId: first.id, why: 'hash_order' };
 }
--- a/src/callers/forwardedHeaders.ts
+++ b/src/callers/forwardedHeaders.ts
@@ -1,8 +1,8 @@
 /**
- * Which headers go on to a runner and which come back from it.
+ * Selects the headers that are forwarded to a runner and back to the caller.
  *
- * Headers of one connection must not reach the next one: a forwarded `Transfer-Encoding` or `Connection`
- * lets two ends disagree where a message stops, and one caller would read the rest of another's answer.
+ * Hop-by-hop headers must not be forwarded: with a forwarded `Transfer-Encoding` or `Connection`, two ends can
+ * disagree about where a message ends, and one caller would read the rest of another caller's answer.
  */
 import { validateHeaderName, validateHeaderValue } from 'node:http';
 
@@ -10,8 +10,8 @@
 import type { HeaderList } from '../http/connectionHeaders.js';
 import { CALLER_HEADERS } from './callerHeaders.js';
 
-/** Meant for this program; above all the account's key, which is no business of a runner. */
-const REQUEST_ONLY_HEADERS: ReadonlySet<string> = new Set([
+/** Request headers for this program only; above all the account's key, which a runner must not see. */
+const UNFORWARDED_REQUEST_HEADERS: ReadonlySet<string> = new Set([
   'authorization',
   'host',
   'content-length',
@@ -19,31 +19,36 @@
   ...Object.values(CALLER_HEADERS),
 ]);
 
-/** Written anew for the caller's connection. */
-const ANSWER_ONLY_HEADERS: ReadonlySet<string> = new Set([
+/** Answer headers of a runner that are replaced by those of this program's own answer. */
+const UNFORWARDED_ANSWER_HEADERS: ReadonlySet<string> = new Set([
   'date',
   'server',
   'content-length',
   ...Object.values(CALLER_HEADERS),
 ]);
 
-function namedByConnection(headers: HeaderList): ReadonlySet<string> {
+/** Names of the headers that a `Connection` header declares as hop-by-hop. */
+function connectionOptions(headers: HeaderList): ReadonlySet<string> {
   const values = headers.filter(([name]) => name.toLowerCase() === 'connection');
   const names = values.flatMap(([, value]) => value.split(','));
   return new Set(names.map((name) => name.trim().toLowerCase()));
 }
 
 function withoutHeaders(headers: HeaderList, dropped: ReadonlySet<string>): [string, string][] {
-  const named = namedByConnection(headers);
+  const hopByHopNames = connectionOptions(headers);
   return headers
     .map(([name, value]): [string, string] => [name.toLowerCase(), value])
-    .filter(([name]) => !HOP_BY_HOP_HEADERS.has(name) && !named.has(name) && !dropped.has(name));
+    .filter(
+      ([name]) => !HOP_BY_HOP_HEADERS.has(name) && !hopByHopNames.has(name) && !dropped.has(name),
+    );
 }
 
 /**
- * @param rawHeaders - names and values in turn, as Node.js received them.
- * @param requestId - goes on, so that the logs of caller, router and runner can be joined.
- * @param dropped - further names, in lower case, that stay here.
+ * Selects the headers of a request that are forwarded to the runner.
+ *
+ * @param rawHeaders - names and values alternating, as Node.js received them.
+ * @param requestId - the request id to forward, so that the logs of caller, router and runner can be correlated.
+ * @param dropped - names of additional headers not to forward, in lower case.
  * @returns Headers for the runner, names in lower case.
  */
 export function requestHeadersFor(
@@ -52,7 +57,10 @@
   dropped: ReadonlySet<string> = new Set(),
 ): HeaderList {
   return [
-    ...withoutHeaders(headerPairs(rawHeaders), new Set([...REQUEST_ONLY_HEADERS, ...dropped])),
+    ...withoutHeaders(
+      headerPairs(rawHeaders),
+      new Set([...UNFORWARDED_REQUEST_HEADERS, ...dropped]),
+    ),
     [CALLER_HEADERS.requestId, requestId],
   ];
 }
@@ -68,13 +76,15 @@
 }
 
 /**
- * @param headers - as the runner sent them. One that HTTP does not allow is left out: writing it would
- *   throw in the middle of the answer.
- * @returns Headers for the caller by name; several values stay apart, as `Set-Cookie` needs.
+ * Selects the headers of a runner's answer that are forwarded to the caller. A header that HTTP does not allow is
+ * dropped, because writing it would throw in the middle of the answer.
+ *
+ * @param headers - the headers that the runner sent.
+ * @returns Headers for the caller by name; several values are kept separate, as `Set-Cookie` requires.
  */
 export function answerHeadersFrom(headers: HeaderList): Map<string, string[]> {
   const byName = new Map<string, string[]>();
-  for (const [name, value] of withoutHeaders(headers, ANSWER_ONLY_HEADERS)) {
+  for (const [name, value] of withoutHeaders(headers, UNFORWARDED_ANSWER_HEADERS)) {
     if (!isWritable(name, value)) continue;
     byName.set(name, [...(byName.get(name) ?? []), value]);
   }
--- a/src/callers/jsonText.ts
+++ b/src/callers/jsonText.ts
@@ -1,25 +1,28 @@
 /**
- * Reads JSON from a caller's body; a syntax error is a finding with line and column.
+ * Parses JSON bodies of callers; a syntax error is reported with its line and column.
  */
 import { visit } from 'jsonc-parser';
 
 import type { Findings } from '../findings/Findings.js';
 
-/** The result of reading; `undefined` is never a JSON value. */
+/** A parsed JSON value; never `undefined`. */
 export type JsonValue = unknown;
 
-/** Looking for the place takes a second pass: a huge broken body would hold up everyone else. */
-const MAXIMUM_LOCATED_LENGTH = 1024 * 1024;
+/**
+ * Longest text, in characters, in which the position of a syntax error is searched. The search parses the text again,
+ * and with a huge malformed body it would block the event loop for all other requests.
+ */
+const MAXIMUM_LOCATED_CHARACTERS = 1024 * 1024;
 
-/** Both from 1. */
+/** Position in a text; both numbers start at 1. */
 interface LineAndColumn {
   readonly line: number;
   readonly column: number;
 }
 
-/** The parser of Node.js names no position for some errors, so another one finds it. */
-function placeOfError(text: string): LineAndColumn | undefined {
-  if (text.length > MAXIMUM_LOCATED_LENGTH) return undefined;
+/** Finds the position of a syntax error with a second parser: `JSON.parse` gives no position for some errors. */
+function locateSyntaxError(text: string): LineAndColumn | undefined {
+  if (text.length > MAXIMUM_LOCATED_CHARACTERS) return undefined;
   let place: LineAndColumn | undefined;
   const onError = (
     _code: number,
@@ -33,17 +36,17 @@
   try {
     visit(text, { onError }, { disallowComments: true, allowTrailingComma: false });
   } catch {
-    // It recurses: a text of nothing but brackets exhausts the stack, and is reported without a place.
+    // The parser is recursive: deeply nested brackets exhaust the stack. The error is then reported without a position.
   }
   return place;
 }
 
 /**
- * Parses a body.
+ * Parses a body as UTF-8 JSON.
  *
- * @param body - as received.
- * @param findings - receives the mistake.
- * @returns The value, or `undefined` after a finding.
+ * @param body - the bytes as received.
+ * @param findings - receives the mistake if the body cannot be parsed.
+ * @returns The value, or `undefined` if the body cannot be parsed.
  */
 export function parseJsonBody(body: Uint8Array, findings: Findings): JsonValue {
   let text: string;
@@ -56,7 +59,7 @@
   try {
     return JSON.parse(text) as JsonValue;
   } catch {
-    findings.add({ field: 'body', ...placeOfError(text) }, 'must be JSON');
+    findings.add({ field: 'body', ...locateSyntaxError(text) }, 'must be JSON');
     return undefined;
   }
 }
--- a/src/callers/matchRoute.ts
+++ b/src/callers/matchRoute.ts
@@ -1,14 +1,14 @@
 /**
- * Which kind of path a request is for.
+ * Matches the method and path of a request to a route.
  */
 
-/** Path of the list of models; one model follows after a slash. */
+/** Path of the list of models; the path of one model adds a slash and its id. */
 export const MODELS_PATH = '/v1/models';
 
-/** What a request's id follows in the path that cancels it. */
+/** Prefix of the path that cancels a request; the id of the request follows. */
 export const REQUESTS_PREFIX = '/v1/requests/';
 
-/** Kinds of paths. */
+/** Names of the routes. */
 export type RouteName =
   | 'chat_completions'
   | 'models'
@@ -26,44 +26,46 @@
   readonly matches: (pathname: string) => boolean;
 }
 
-/** A path of our own under another method. */
+/** Result for a known path that does not support the method of the request. */
 export interface WrongMethod {
   readonly allowed: readonly string[];
 }
 
-const equals =
+const equalsPath =
   (path: string) =>
   (pathname: string): boolean =>
     pathname === path;
 
-const READ = ['GET', 'HEAD'];
+const READ_METHODS = ['GET', 'HEAD'];
 
-const PATTERNS: readonly RoutePattern[] = [
-  { name: 'chat_completions', methods: ['POST'], matches: equals('/v1/chat/completions') },
+const ROUTE_PATTERNS: readonly RoutePattern[] = [
+  { name: 'chat_completions', methods: ['POST'], matches: equalsPath('/v1/chat/completions') },
   {
     name: 'models',
-    methods: READ,
+    methods: READ_METHODS,
     matches: (path) => path === MODELS_PATH || path.startsWith(`${MODELS_PATH}/`),
   },
-  { name: 'streams', methods: ['GET', 'POST'], matches: equals('/v1/streams') },
+  { name: 'streams', methods: ['GET', 'POST'], matches: equalsPath('/v1/streams') },
   {
     name: 'cancel',
     methods: ['DELETE'],
     matches: (path) => path.startsWith(REQUESTS_PREFIX) && path.length > REQUESTS_PREFIX.length,
   },
-  { name: 'locate', methods: READ, matches: equals('/locate') },
-  { name: 'binding', methods: ['POST'], matches: equals('/locate/binding') },
-  { name: 'health', methods: READ, matches: equals('/health') },
-  { name: 'metrics', methods: READ, matches: equals('/metrics') },
+  { name: 'locate', methods: READ_METHODS, matches: equalsPath('/locate') },
+  { name: 'binding', methods: ['POST'], matches: equalsPath('/locate/binding') },
+  { name: 'health', methods: READ_METHODS, matches: equalsPath('/health') },
+  { name: 'metrics', methods: READ_METHODS, matches: equalsPath('/metrics') },
 ];
 
 /**
- * @param method - in upper case.
- * @param pathname - without the query.
- * @returns The route, or the methods that the path has. A path that is not ours is a plain service's.
+ * Finds the route of a request. Any path that is not a fixed path of this interface belongs to a plain service.
+ *
+ * @param method - the HTTP method, in upper case.
+ * @param pathname - the path without the query.
+ * @returns The name of the route, or the allowed methods when the path does not support this one.
  */
 export function matchRoute(method: string, pathname: string): RouteName | WrongMethod {
-  const pattern = PATTERNS.find(({ matches }) => matches(pathname));
+  const pattern = ROUTE_PATTERNS.find(({ matches }) => matches(pathname));
   if (!pattern) return 'plain';
   return pattern.methods.includes(method) ? pattern.name : { allowed: pattern.methods };
 }
--- a/src/callers/rawAnswer.ts
+++ b/src/callers/rawAnswer.ts
@@ -1,12 +1,12 @@
 /**
- * Answers written to a bare socket, where Node.js could not make a request out of what arrived.
+ * Writes error answers directly to a socket when Node.js could not parse the input as a request.
  */
 import { STATUS_CODES } from 'node:http';
 import type { Duplex } from 'node:stream';
 
 import { CallerError, errorDocument, retryHeaders } from './CallerError.js';
 
-/** What Node.js says of input that it cannot parse. */
+/** Error that Node.js reports for input that it cannot parse. */
 interface ParserError extends Error {
   readonly code?: string;
 }
@@ -15,8 +15,10 @@
 const REQUEST_TIMEOUT = 408;
 
 /**
- * @param parserError - what Node.js reported.
- * @returns The error for the caller.
+ * Converts a parser error into an error for the caller.
+ *
+ * @param parserError - the error that Node.js reported.
+ * @returns The error to send to the caller.
  */
 export function malformedError({ code = '' }: ParserError): CallerError {
   if (code === 'HPE_HEADER_OVERFLOW') {
@@ -40,12 +42,13 @@
 }
 
 /**
- * Writes an answer and ends the connection. What still arrives is dropped for a while, because closing
- * with unread bytes resets the connection and the reset can overtake the answer.
+ * Writes an error answer and ends the connection. Further input is discarded for a limited time, because closing a
+ * connection with unread bytes resets it, and the reset can overtake the answer.
  *
- * @param socket - the caller's connection.
- * @param error - what to say.
- * @param options - id of the answer, and how long to linger in milliseconds.
+ * @param socket - the connection of the caller.
+ * @param error - the error to send.
+ * @param options - the request id to send, and how long to discard input before the socket is destroyed, in
+ *   milliseconds.
  */
 export function writeRawAnswer(
   socket: Duplex,
--- a/src/callers/relayEvents.ts
+++ b/src/callers/relayEvents.ts
@@ -1,6 +1,6 @@
 /**
- * Carries the events of a request into its answer, one at a time: the next event is asked for only when
- * the caller has taken the last, so that a slow caller slows its runner instead of filling memory.
+ * Writes the events of a request into its answer, one at a time. The next event is requested only after the last
+ * one is written to the caller, so that a slow caller slows down its runner instead of filling the memory.
  */
 import { match } from 'ts-pattern';
 
@@ -13,19 +13,19 @@
 const LOWEST_FINAL_STATUS = 200;
 const HIGHEST_STATUS = 599;
 
-/** Chooses the form of the answer when the runner's head is known. */
+/** Creates the answer once the status and headers of the runner are known. */
 export type ChooseAnswer = (started: StartedEvent) => Answer;
 
 function isFinalStatus(status: number): boolean {
   return Number.isInteger(status) && status >= LOWEST_FINAL_STATUS && status <= HIGHEST_STATUS;
 }
 
-/** A runner's answer without a usable head; it ran, so nothing more can be said. */
-function unusable(message: string): CallerError {
+/** Creates the error for an answer of a runner without a valid status; the request has run. */
+function unusableAnswerError(message: string): CallerError {
   return new CallerError({ code: 'upstream_error', message, notRun: false });
 }
 
-/** Puts the events of one request into one answer. */
+/** Writes the events of one request into one answer. */
 class EventRelay {
   private readonly exchange: Exchange;
 
@@ -40,16 +40,17 @@
     this.choose = choose;
   }
 
-  take(event: CallerEvent): Promise<void> {
+  handle(event: CallerEvent): Promise<void> {
     if (event.kind === 'chunk') {
-      if (!this.answer) return this.fail(unusable('the runner sent a body without a head'));
+      if (!this.answer)
+        return this.fail(unusableAnswerError('the runner sent a body without a head'));
       return this.answer.chunk(event);
     }
     return match(event)
       .with({ kind: 'started' }, (started) => this.start(started))
       .with({ kind: 'completed' }, async () => {
         this.ended = true;
-        if (!this.answer) return this.fail(unusable('the runner ended without a head'));
+        if (!this.answer) return this.fail(unusableAnswerError('the runner ended without a head'));
         return this.answer.completed();
       })
       .with({ kind: 'failed' }, (failed) => this.fail(errorOfEvent(failed)))
@@ -65,7 +66,7 @@
   private async start(started: StartedEvent): Promise<void> {
     if (this.answer) return undefined;
     if (!isFinalStatus(started.status)) {
-      return this.fail(unusable(`the runner answered with status ${started.status}`));
+      return this.fail(unusableAnswerError(`the runner answered with status ${started.status}`));
     }
     this.exchange.note({ runnerId: started.runnerId });
     this.answer = this.choose(started);
@@ -74,12 +75,12 @@
 }
 
 /**
- * Answers a request with what its owner sends.
+ * Answers a request with the events that its owner sends.
  *
- * @param exchange - the caller's request.
- * @param events - of the request, in order.
- * @param choose - the form of the answer.
- * @throws {@link CallerGone} when the caller is gone.
+ * @param exchange - the exchange to answer.
+ * @param events - the events of the request, in order.
+ * @param choose - creates the answer from the first event.
+ * @throws {@link CallerGone} when the caller has disconnected.
  */
 export async function relayEvents(
   exchange: Exchange,
@@ -89,12 +90,12 @@
   const relay = new EventRelay(exchange, choose);
   try {
     for await (const event of events) {
-      await relay.take(event);
+      await relay.handle(event);
       if (relay.ended) return;
     }
   } catch (error) {
     if (error instanceof CallerGone) throw error;
-    // The owner of requests promises not to throw. If it does, the request may be on a runner.
+    // The owner of the request must not throw. If it does, the request may already be running.
     const cause = error instanceof Error ? error : undefined;
     await relay.fail(
       new CallerError({
--- a/src/callers/reportExchange.ts
+++ b/src/callers/reportExchange.ts
@@ -1,16 +1,18 @@
 /**
- * The log line and the measurement of a finished request.
+ * Reports a finished request to the log and the metrics.
  */
 import { CALLER_EVENTS } from './callersFeature.js';
 import type { Exchange } from './Exchange.js';
 
-function eventOf(gone: boolean, code: string | undefined) {
+function logEventOf(gone: boolean, code: string | undefined) {
   if (gone) return CALLER_EVENTS.callerGone;
   return code === undefined ? CALLER_EVENTS.answered : CALLER_EVENTS.refused;
 }
 
 /**
- * @param exchange - a finished request.
+ * Writes the log line of a finished request and records its measurements.
+ *
+ * @param exchange - the finished request.
  */
 export function reportExchange(exchange: Exchange): void {
   const { context, notes, response, clientAccount } = exchange;
@@ -27,7 +29,7 @@
     durationMilliseconds,
     firstByteMilliseconds: firstByteAt === undefined ? undefined : firstByteAt - exchange.startedAt,
   });
-  context.log.write(eventOf(exchange.signal.aborted, code), {
+  context.log.write(logEventOf(exchange.signal.aborted, code), {
     requestId: exchange.requestId,
     route,
     clientAccount: clientAccount?.name,
--- a/src/callers/runRequest.ts
+++ b/src/callers/runRequest.ts
@@ -1,5 +1,5 @@
 /**
- * Hands a checked request to its owner and answers with what comes back.
+ * Passes a validated request to its owner and relays the answer.
  */
 import type { ClientAccount, Service } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { CallerRequest } from '../requests/requestTypes.js';
@@ -11,18 +11,18 @@
 import { relayEvents } from './relayEvents.js';
 import { grantPriority } from './serviceAccess.js';
 
-/** What a route knows of its request. */
+/** Details of a request that its route determines. */
 export interface RunRequestOptions {
   account: ClientAccount;
   service: Service;
-  /** The chat's name within the account. */
+  /** Name of the chat within the account. */
   chat: string;
-  /** Whether the request may be repeated unless the caller's header says otherwise. */
+  /** Whether the request is idempotent; the caller's header overrides this. */
   idempotent: boolean;
   promptTokens: number;
   maximumTokens: number;
   path: string;
-  /** Headers for the runner. */
+  /** Headers to forward to the runner. */
   headers: HeaderList;
   body: Uint8Array;
   streaming: boolean;
@@ -30,11 +30,11 @@
 }
 
 /**
- * Runs a request. The deadline that its owner gets is what reading the body has left of the caller's.
+ * Runs a request. Its owner gets the time that is left of the caller's deadline after the body was read.
  *
- * @param exchange - the caller's request, free of findings.
- * @param options - what its route knows of it.
- * @throws `CallerError` when the deadline has passed, `CallerGone` when the caller has.
+ * @param exchange - the validated exchange.
+ * @param options - the details that the route determined.
+ * @throws `CallerError` when the deadline has passed, `CallerDisconnected` when the caller has disconnected.
  */
 export async function runRequest(exchange: Exchange, options: RunRequestOptions): Promise<void> {
   const { account, service, chat, choose, idempotent, ...rest } = options;
--- a/src/callers/serviceAccess.ts
+++ b/src/callers/serviceAccess.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the service that a request is for and checks that the account may call it.
+ * Finds the service of a request and checks that the account may call it.
  */
 import type { FleetView } from '../fleet/FleetView.js';
 import type { ClientAccount, Service } from '../generated/baobabdock/v1/configuration_pb.js';
@@ -7,16 +7,18 @@
 import { PRIORITIES } from '../gates/gateTypes.js';
 import { CallerError } from './CallerError.js';
 
-/** Asked for when a request names no priority, and the most an account without a setting may have. */
+/** Priority of a request that names none, and the highest priority of an account that configures none. */
 const DEFAULT_PRIORITY: Priority = 'standard';
 
 /** Methods that HTTP defines as idempotent (RFC 9110, section 9.2.2), as far as services use them. */
 const IDEMPOTENT_METHODS: readonly string[] = ['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'];
 
 /**
- * @param account - who asks.
- * @param service - what it asks for.
- * @returns Whether it may call the service: one that it lists, or any of its firm when it lists none.
+ * Checks whether an account may call a service.
+ *
+ * @param account - the account of the request.
+ * @param service - the service to call.
+ * @returns Whether the account lists the service or, if it lists none, belongs to the same firm.
  */
 export function mayCall(account: ClientAccount, service: Service): boolean {
   if (account.services.length === 0) return account.firm === service.firm;
@@ -30,21 +32,23 @@
   });
 }
 
-/** Services that serve a model, the account's own firm first, then by name: the same on every daemon. */
+/** Engine services with a model: those of the account's firm first, then by name, so that all daemons agree. */
 function enginesFor(fleet: FleetView, account: ClientAccount, model: string): Service[] {
-  const foreign = (service: Service): number => (service.firm === account.firm ? 0 : 1);
+  const firmRank = (service: Service): number => (service.firm === account.firm ? 0 : 1);
   return fleet
     .configuration()
     .services.filter(({ kind }) => kind === 'engine')
     .filter((service) => service.model === model || service.wantedAdapters.includes(model))
-    .sort((a, b) => foreign(a) - foreign(b) || (a.name < b.name ? -1 : 1));
+    .sort((a, b) => firmRank(a) - firmRank(b) || (a.name < b.name ? -1 : 1));
 }
 
 /**
- * @param fleet - what is configured.
- * @param account - who asks.
- * @param model - the model, or one of its adapters, as callers name it.
- * @returns The service.
+ * Finds the engine service for a model.
+ *
+ * @param fleet - the fleet with the configured services.
+ * @param account - the account of the request.
+ * @param model - the name of a model or of one of its adapters.
+ * @returns The first service with the model that the account may call.
  * @throws {@link CallerError} `unknown_model` or `forbidden`.
  */
 export function findEngine(fleet: FleetView, account: ClientAccount, model: string): Service {
@@ -58,9 +62,11 @@
 }
 
 /**
- * @param fleet - what is configured.
- * @param account - who asks.
- * @param name - the service's name.
+ * Finds a service by its name.
+ *
+ * @param fleet - the fleet with the configured services.
+ * @param account - the account of the request.
+ * @param name - the name of the service.
  * @returns The service.
  * @throws {@link CallerError} `unknown_service` or `forbidden`.
  */
@@ -80,11 +86,11 @@
 }
 
 /**
- * Finds the plain service with the longest prefix of a path.
+ * Finds the plain service whose path prefix is the longest match of a path.
  *
- * @param fleet - what is configured.
- * @param pathname - the request's path, dot segments resolved.
- * @returns The service, or `undefined`.
+ * @param fleet - the fleet with the configured services.
+ * @param pathname - the path of the request, with dot segments resolved.
+ * @returns The service, or `undefined` when no prefix matches.
  */
 export function findPlain(fleet: FleetView, pathname: string): Service | undefined {
   return fleet
@@ -98,22 +104,27 @@
 }
 
 /**
- * @param account - who asks.
- * @param asked - the priority it asks for, if any.
- * @returns What it gets: never above the account's highest.
+ * Limits the priority of a request to the highest one that its account may use.
+ *
+ * @param account - the account of the request.
+ * @param requested - the priority that the request names.
+ * @returns The priority to use.
  */
 export function grantPriority(
   account: ClientAccount,
-  asked: Priority = DEFAULT_PRIORITY,
+  requested: Priority = DEFAULT_PRIORITY,
 ): Priority {
   const highest = PRIORITIES.find((name) => name === account.highestPriority) ?? DEFAULT_PRIORITY;
-  return PRIORITIES.indexOf(asked) < PRIORITIES.indexOf(highest) ? highest : asked;
+  return PRIORITIES.indexOf(requested) < PRIORITIES.indexOf(highest) ? highest : requested;
 }
 
 /**
+ * Checks whether a method of a plain service is idempotent by default. The service's configuration takes
+ * precedence over the definition of HTTP.
+ *
  * @param service - a plain service.
- * @param method - of the request.
- * @returns Whether such requests may be repeated unless the caller says otherwise.
+ * @param method - the HTTP method of the request.
+ * @returns Whether requests with this method may be repeated.
  */
 export function isIdempotentMethod(service: Service, method: string): boolean {
   const { idempotentMethods } = service;
--- a/src/callers/testFakes.ts
+++ b/src/callers/testFakes.ts
@@ -1,5 +1,5 @@
 /**
- * Fakes for the specs of the callers' interface: a fleet of fixed content and a scripted owner of requests.
+ * Fakes for the specs of the callers' interface: a fleet with fixed content and a scripted owner of requests.
  */
 import { create } from '@bufbuild/protobuf';
 
@@ -30,22 +30,23 @@
 import type { CreatedKey } from './accountKeys.js';
 import { hashKey } from './accountKeys.js';
 
-/** A key that is the same in each run, so that what a spec sends is, too. */
+/** Creates a key that is the same in every run, so that specs always send the same bytes. */
 function fixedKey(name: string): CreatedKey {
   const key = `${name}.${'k'.repeat(43)}`;
   const salt = Buffer.from(name);
   return { key, stored: { keyId: 'fixed', salt, digest: hashKey(salt, key) } };
 }
 
-/** Keys of the fake accounts. */
+/** Key of the account `litoral.showroom`. */
 export const LITORAL_KEY = fixedKey('litoral.showroom');
+/** Key of the account `punkt`. */
 export const PUNKT_KEY = fixedKey('punkt');
 
 function account(name: string, firm: string, key: CreatedKey, highestPriority: string) {
   return create(ClientAccountSchema, { name, firm, keys: [key.stored], highestPriority });
 }
 
-/** What the fake fleet has configured. */
+/** Configuration of the fake fleet. */
 export const FAKE_CONFIGURATION: Configuration = create(ConfigurationSchema, {
   clientAccounts: [
     account('litoral.showroom', 'litoral', LITORAL_KEY, 'urgent'),
@@ -146,31 +147,35 @@
   }
 }
 
-/** How the fake owner answers a request. */
+/** Generates the events with which the fake owner answers a request. */
 export type RequestScript = (
   request: CallerRequest,
   signal: AbortSignal,
 ) => AsyncIterable<CallerEvent>;
 
 /**
- * @param text - of the chunk.
- * @param eventId - its id.
- * @returns A chunk.
+ * Creates an event with a part of an answer.
+ *
+ * @param text - the text of the chunk.
+ * @param eventId - the id of the event.
+ * @returns The event.
  */
 export function chunkOf(text: string, eventId: string): CallerEvent {
   return { kind: 'chunk', data: Buffer.from(text), eventId };
 }
 
 /**
- * @param headers - of the runner's head.
- * @param status - of the runner's head.
- * @returns The head of an answer.
+ * Creates the first event of an answer, sent by `runner-1`.
+ *
+ * @param headers - the headers of the runner's answer.
+ * @param status - the status of the runner's answer.
+ * @returns The event.
  */
 export function startedBy(headers: readonly [string, string][] = [], status = 200): CallerEvent {
   return { kind: 'started', runnerId: 'runner-1', status, headers, cachedTokens: 7 };
 }
 
-/** The end of a whole answer. */
+/** Last event of a complete answer. */
 export const COMPLETED: CallerEvent = {
   kind: 'completed',
   promptTokens: 1,
@@ -178,7 +183,7 @@
   cachedTokens: 7,
 };
 
-/** An owner of requests that follows a script and keeps what it was given. */
+/** Fake owner of requests that answers by a script and records the requests it receives. */
 export class FakeRequests extends RequestPort {
   readonly seen: CallerRequest[] = [];
 
@@ -214,7 +219,7 @@
   }
 }
 
-/** Issues one and the same binding. */
+/** Issues the same binding for every request of an account. */
 export class FakeBindings extends BindingIssuer {
   override issue(clientAccount: string): IssuedBinding {
     return {
@@ -225,7 +230,7 @@
   }
 }
 
-/** Keeps log lines. */
+/** Log that keeps its lines in memory. */
 export class MemoryLog extends Log {
   readonly lines: { event: LogEvent; fields: LogFields }[] = [];
 
@@ -234,8 +239,10 @@
   }
 
   /**
-   * @param event - which event.
-   * @returns Its lines.
+   * Finds the lines of one log event.
+   *
+   * @param event - the log event.
+   * @returns The fields of each of its lines.
    */
   of(event: LogEvent): LogFields[] {
     return this.lines.filter((line) => line.event === event).map(({ fields }) => fields);
--- a/src/callers/testServer.ts
+++ b/src/callers/testServer.ts
@@ -1,5 +1,5 @@
 /**
- * Starts a callers' interface on a free loopback port for specs, and speaks to it by `fetch` and by bare
+ * Starts a callers' interface on a free loopback port for specs, and sends requests to it by `fetch` and over raw
  * sockets.
  */
 import type { Socket } from 'node:net';
@@ -12,7 +12,7 @@
 import { CallerServer } from './CallerServer.js';
 import { FakeBindings, FakeFleet, FakeRequests, LITORAL_KEY, MemoryLog } from './testFakes.js';
 
-/** A running server with its fakes. */
+/** A server with fake parts, and a client for it. */
 export class TestServer {
   readonly fleet = new FakeFleet();
 
@@ -27,7 +27,7 @@
   private readonly sockets: Socket[] = [];
 
   /**
-   * @param settings - that differ from the defaults.
+   * @param settings - the settings that differ from the defaults.
    */
   constructor(settings: Partial<CallersSettings> = {}) {
     this.server = new CallerServer({
@@ -49,7 +49,7 @@
     await this.server.stop();
   }
 
-  /** Sends a request with the key of a valid account unless its headers say otherwise. */
+  /** Sends a request with the key of a valid account, unless `init` has an `authorization` header. */
   fetch(path: string, init: RequestInit = {}): Promise<Response> {
     const headers = { authorization: `Bearer ${LITORAL_KEY.key}`, ...Object(init.headers) };
     return fetch(`http://127.0.0.1:${this.port}${path}`, { ...init, headers });
@@ -64,7 +64,7 @@
     });
   }
 
-  /** Opens a bare connection, closed with the server. */
+  /** Opens a raw TCP connection, which is closed when the server stops. */
   connect(): Socket {
     const socket = connect(this.port, '127.0.0.1');
     this.sockets.push(socket);
@@ -72,7 +72,7 @@
     return socket;
   }
 
-  /** Sends bytes and reads until the server ends the connection. */
+  /** Sends bytes over a new connection and reads until the server ends it. */
   async exchangeBytes(bytes: string | Uint8Array): Promise<string> {
     const socket = this.connect();
     socket.write(bytes);
@@ -80,7 +80,7 @@
   }
 }
 
-/** The part of an error that specs compare. */
+/** Fields of an error answer that specs compare. */
 export interface ErrorDocument {
   readonly error: {
     readonly code: string;
@@ -91,26 +91,29 @@
 }
 
 /**
- * @param response - an error answer.
- * @returns Its document.
+ * Reads the error document of an answer.
+ *
+ * @param response - the error answer.
+ * @returns The content of its `error` field.
  */
 export async function errorOf(response: Response): Promise<ErrorDocument['error']> {
   return ((await response.json()) as ErrorDocument).error;
 }
 
-/** A wait in vain ends here, so that a broken mechanism fails its spec instead of hanging it. */
-const LONGEST_WAIT_MILLISECONDS = 20_000;
+/** Timeout of {@link until}, so that a defect fails the spec instead of blocking it. */
+const WAIT_TIMEOUT_MILLISECONDS = 20_000;
 
 /**
- * Waits until something holds.
+ * Waits until a condition is true.
  *
- * @param holds - looked at between turns of the event loop.
- * @throws When it does not hold for so long that it never will.
+ * @param condition - the condition, checked in every turn of the event loop.
+ * @throws When the condition is still false after the timeout of 20 seconds.
  */
-export async function until(holds: () => boolean): Promise<void> {
-  const end = performance.now() + LONGEST_WAIT_MILLISECONDS;
-  while (!holds()) {
-    if (performance.now() > end) throw new Error(`waited in vain for ${String(holds)}`);
+export async function until(condition: () => boolean): Promise<void> {
+  const end = performance.now() + WAIT_TIMEOUT_MILLISECONDS;
+  while (!condition()) {
+    if (performance.now() > end)
+      throw new Error(`timed out waiting for the condition ${String(condition)}`);
     await new Promise<void>((resolve) => {
       setImmediate(resolve);
     });
