--- a/src/callers/LocateDecisions.spec.ts
+++ b/src/callers/LocateDecisions.spec.ts
@@ -86,7 +86,7 @@
   });
 });
 
-describe('firstRunner', () => {
+describe('predictFirstRunner', () => {
   const runner = (id: string, dataCentre: string, state: RunnerState = 'live'): FleetRunner => ({
     id,
     state,
--- a/src/callers/ResponseWriter.ts
+++ b/src/callers/ResponseWriter.ts
@@ -40,7 +40,7 @@
    * Writes bytes and waits until the connection accepts more.
    *
    * @param bytes - a part of the body.
-   * @throws {@link CallerGone} when the connection is closed.
+   * @throws {@link CallerDisconnected} when the connection is closed.
    */
   async write(bytes: Uint8Array | string): Promise<void> {
     this.checkOpen();
@@ -52,7 +52,7 @@
   /**
    * Ends the answer and waits until the connection has accepted all of it.
    *
-   * @throws {@link CallerGone} when the connection is closed before that.
+   * @throws {@link CallerDisconnected} when the connection is closed before that.
    */
   async end(): Promise<void> {
     this.checkOpen();
--- a/src/callers/relayEvents.ts
+++ b/src/callers/relayEvents.ts
@@ -80,7 +80,7 @@
  * @param exchange - the exchange to answer.
  * @param events - the events of the request, in order.
  * @param choose - creates the answer from the first event.
- * @throws {@link CallerGone} when the caller has disconnected.
+ * @throws {@link CallerDisconnected} when the caller has disconnected.
  */
 export async function relayEvents(
   exchange: Exchange,
