--- a/src/orders/rolloutEdits.ts
+++ b/src/orders/rolloutEdits.ts
@@ -101,7 +101,7 @@
   if (!step) return edits.length > 0 ? edits : { refused: 'nothing is left to change' };
   const current = changes.entity('rollout', pool.service);
   if (current?.entity.case !== 'rollout' || !sameStep(current.entity.value, step)) {
-    return { refused: 'the roll-out has changed in the meantime' };
+    return { refused: 'the roll-out has changed meanwhile' };
   }
   const rollout = stepped(current.entity.value, step);
   edits.push(upsert({ case: 'rollout', value: rollout }, current.changedRevision));
