--- a/src/callers/AccountAuthentication.ts
+++ b/src/callers/AccountAuthentication.ts
@@ -4,7 +4,7 @@
 import type { FleetView } from '../fleet/FleetView.js';
 import type { ClientAccount } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { Log } from '../logging/Log.js';
-import { accountOfKey, verifyKey } from './accountKeys.js';
+import { accountNameOfKey, verifyKey } from './accountKeys.js';
 import { CallerError } from './CallerError.js';
 import { CALLER_EVENTS } from './callersFeature.js';
 
@@ -43,7 +43,7 @@
   authenticate(authorization: string | undefined): ClientAccount {
     this.checkConfigured();
     const key = BEARER.exec(authorization ?? '')?.[1];
-    const name = key === undefined ? undefined : accountOfKey(key);
+    const name = key === undefined ? undefined : accountNameOfKey(key);
     if (key === undefined || name === undefined) {
       throw this.unauthenticatedError('send the header "Authorization: Bearer <account>.<secret>"');
     }
--- a/src/callers/Answer.ts
+++ b/src/callers/AnswerWriter.ts
@@ -11,21 +11,21 @@
 export type ChunkEvent = Extract<CallerEvent, { kind: 'chunk' }>;
 
 /** Writes one answer in one format. Calls come in order; each one is awaited before the next. */
-export abstract class Answer {
+export abstract class AnswerWriter {
   /**
    * Writes a part of the answer.
    *
    * @param event - the event with the bytes.
    */
-  abstract chunk(event: ChunkEvent): Promise<void>;
+  abstract writeChunk(event: ChunkEvent): Promise<void>;
 
   /** Ends a complete answer with a marker or length that a truncated answer cannot have. */
-  abstract completed(): Promise<void>;
+  abstract complete(): Promise<void>;
 
   /**
    * Ends an answer that cannot be completed, so that the caller cannot mistake it for a complete one.
    *
    * @param error - why the answer failed.
    */
-  abstract failed(error: CallerError): Promise<void>;
+  abstract fail(error: CallerError): Promise<void>;
 }
--- a/src/callers/BindingRoute.ts
+++ b/src/callers/BindingRoute.ts
@@ -1,7 +1,7 @@
 /**
  * Route `POST /locate/binding`: issues a binding, which a caller needs for one non-idempotent request.
  */
-import { accountOf } from './accountOf.js';
+import { requireAccount } from './requireAccount.js';
 import { CallerError } from './CallerError.js';
 import { CallerRoute } from './CallerRoute.js';
 import type { Exchange } from './Exchange.js';
@@ -14,7 +14,7 @@
 
   override async answer(exchange: Exchange): Promise<void> {
     const { bindings, settings } = exchange.context;
-    const issued = bindings.issue(accountOf(exchange).name);
+    const issued = bindings.issue(requireAccount(exchange).name);
     if (!issued) {
       throw new CallerError({
         code: 'overloaded',
--- a/src/callers/BodyAnswer.ts
+++ b/src/callers/BodyAnswer.ts
@@ -1,9 +1,9 @@
 /**
  * Writes an answer as an ordinary HTTP body: for a plain service, or for an engine without streaming.
  */
-import type { ChunkEvent, StartedEvent } from './Answer.js';
-import { Answer } from './Answer.js';
-import { answerHead } from './answerHead.js';
+import type { ChunkEvent, StartedEvent } from './AnswerWriter.js';
+import { AnswerWriter } from './AnswerWriter.js';
+import { answerHeaders } from './answerHeaders.js';
 import type { CallerError } from './CallerError.js';
 import type { Exchange } from './Exchange.js';
 
@@ -20,7 +20,7 @@
 }
 
 /** Buffers the beginning of the answer, then forwards the rest part by part. */
-export class BodyAnswer extends Answer {
+export class BodyAnswer extends AnswerWriter {
   private readonly exchange: Exchange;
 
   private readonly started: StartedEvent;
@@ -41,7 +41,7 @@
     this.holdBackBytes = holdBackBytes;
   }
 
-  override async chunk({ data }: ChunkEvent): Promise<void> {
+  override async writeChunk({ data }: ChunkEvent): Promise<void> {
     if (this.exchange.response.headersSent) {
       await this.exchange.writer.write(data);
       return;
@@ -51,22 +51,22 @@
     if (this.heldBytes > this.holdBackBytes) await this.flushHeldParts();
   }
 
-  override async completed(): Promise<void> {
+  override async complete(): Promise<void> {
     if (this.exchange.response.headersSent) {
       await this.exchange.writer.end();
       return;
     }
-    const headers = Object.fromEntries(answerHead(this.started));
+    const headers = Object.fromEntries(answerHeaders(this.started));
     await this.exchange.send(this.started.status, Buffer.concat(this.heldParts), headers);
   }
 
   /** Once the status is sent, only closing the connection shows the caller that the rest is missing. */
-  override async failed(error: CallerError): Promise<void> {
-    await this.exchange.fail(error);
+  override async fail(error: CallerError): Promise<void> {
+    await this.exchange.sendError(error);
   }
 
   private async flushHeldParts(): Promise<void> {
-    this.exchange.writeHead(this.started.status, answerHead(this.started));
+    this.exchange.writeHead(this.started.status, answerHeaders(this.started));
     for (const part of this.heldParts) await this.exchange.writer.write(part);
     this.heldParts = [];
   }
--- a/src/callers/BodyBudget.ts
+++ b/src/callers/BodyBudget.ts
@@ -18,7 +18,7 @@
   }
 
   /** @returns The bytes that are reserved now. */
-  get held(): number {
+  get reservedBytes(): number {
     return this.heldBytes;
   }
 
@@ -28,7 +28,7 @@
    * @param bytes - the number of bytes.
    * @returns `true` when the bytes are reserved; `false`, without any reservation, when they exceed the budget.
    */
-  take(bytes: number): boolean {
+  reserve(bytes: number): boolean {
     if (this.heldBytes + bytes > this.maximumBytes) return false;
     this.heldBytes += bytes;
     return true;
@@ -39,7 +39,7 @@
    *
    * @param bytes - the number of bytes that are no longer in memory.
    */
-  give(bytes: number): void {
+  release(bytes: number): void {
     this.heldBytes -= bytes;
   }
 }
--- a/src/callers/CallerGone.ts
+++ b/src/callers/CallerDisconnected.ts
@@ -4,7 +4,7 @@
 import VError from 'verror';
 
 /** The caller's connection ended, or was closed because the caller stopped reading; no answer can be sent. */
-export class CallerGone extends VError {
+export class CallerDisconnected extends VError {
   constructor() {
     super({ name: 'CallerGone' }, 'the caller is gone');
   }
--- a/src/callers/CallerError.ts
+++ b/src/callers/CallerError.ts
@@ -84,7 +84,7 @@
  * @param event - the event that the owner of the request sent.
  * @returns The error to answer with.
  */
-export function errorOfEvent(event: FailedEvent): CallerError {
+export function errorFromEvent(event: FailedEvent): CallerError {
   const { code, message, notRun, retryAfterMilliseconds, binding, resumable } = event;
   return new CallerError({ code, message, notRun, retryAfterMilliseconds, binding, resumable });
 }
--- a/src/callers/CallerMetrics.ts
+++ b/src/callers/CallerMetrics.ts
@@ -3,7 +3,7 @@
  */
 
 /** Measurements of one finished request. */
-export interface AnsweredExchange {
+export interface ExchangeMeasurement {
   /** Name of the route, see `matchRoute.ts`. */
   readonly route: string;
   readonly clientAccount?: string;
@@ -32,21 +32,21 @@
    *
    * @param exchange - the measurements of the request.
    */
-  abstract answered(exchange: AnsweredExchange): void;
+  abstract recordExchange(exchange: ExchangeMeasurement): void;
 
   /**
    * Renders the page for `GET /metrics`.
    *
    * @returns The page, or `undefined` when metrics are not collected.
    */
-  abstract page(): MetricsPage | undefined;
+  abstract renderPage(): MetricsPage | undefined;
 }
 
 /** Implementation that discards all measurements. */
 export class NoCallerMetrics extends CallerMetrics {
-  override answered(): void {}
+  override recordExchange(): void {}
 
-  override page(): undefined {
+  override renderPage(): undefined {
     return undefined;
   }
 }
--- a/src/callers/CallerRoute.ts
+++ b/src/callers/CallerRoute.ts
@@ -12,10 +12,10 @@
   readonly open: boolean = false;
 
   /** Whether the route stays available while the daemon drains, because it starts no new work. */
-  readonly whileDraining: boolean = false;
+  readonly availableWhileDraining: boolean = false;
 
   /** Whether requests on this route refer to an earlier request, which may have run. */
-  readonly aboutEarlierRequest: boolean = false;
+  readonly refersToEarlierRequest: boolean = false;
 
   /**
    * Answers one request.
--- a/src/callers/CallerServer.faults.spec.ts
+++ b/src/callers/CallerServer.faults.spec.ts
@@ -5,8 +5,8 @@
 import type { CallersSettings } from './callersFeature.js';
 import { CALLER_EVENTS } from './callersFeature.js';
 import type { RequestScript } from './testFakes.js';
-import { chunkOf, COMPLETED, LITORAL_KEY, startedBy } from './testFakes.js';
-import { TestServer, errorOf, until } from './testServer.js';
+import { chunkEvent, COMPLETED_EVENT, LITORAL_KEY, startedEvent } from './testFakes.js';
+import { TestServer, readError, waitUntil } from './testServer.js';
 
 const CHAT = { model: 'tiles-70b', messages: [{ role: 'user', content: 'Which grout?' }] };
 const STREAMED = { ...CHAT, stream: true };
@@ -38,9 +38,9 @@
 /** Delays the answer to the first request until the signal, and answers all others immediately. */
 function delayFirstRequest({ requests }: TestServer, release: Signal): RequestScript {
   return async function* held() {
-    if (requests.seen.length === 1) await release.fired;
-    yield startedBy();
-    yield COMPLETED;
+    if (requests.receivedRequests.length === 1) await release.fired;
+    yield startedEvent();
+    yield COMPLETED_EVENT;
   };
 }
 
@@ -59,20 +59,20 @@
     await start({ stallTimeoutMilliseconds: 100 });
     let produced = 0;
     test.requests.script = async function* endless(_request, signal) {
-      yield startedBy();
+      yield startedEvent();
       while (!signal.aborted && produced < 256 * MEBIBYTE) {
         produced += CHUNK.byteLength;
         yield { kind: 'chunk', data: CHUNK, eventId: `event-${produced}` };
       }
-      yield COMPLETED;
+      yield COMPLETED_EVENT;
     };
     const socket = test.connect();
     socket.pause();
     socket.write(
       `GET ${PLAIN} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${LITORAL_KEY.key}\r\n\r\n`,
     );
-    await until(() => test.log.of(CALLER_EVENTS.callerGone).length > 0);
-    expect(test.log.of(CALLER_EVENTS.callerStalled).length).toEqual(1);
+    await waitUntil(() => test.log.fieldsOf(CALLER_EVENTS.callerGone).length > 0);
+    expect(test.log.fieldsOf(CALLER_EVENTS.callerStalled).length).toEqual(1);
     expect(test.requests.signals[0]?.aborted).toEqual(true);
     // The limit covers what the two ends of a loopback connection buffer, but not the complete answer.
     expect(produced < 64 * MEBIBYTE).toEqual(true);
@@ -90,10 +90,10 @@
     };
     const caller = new AbortController();
     const call = test.fetch(PLAIN, { signal: caller.signal });
-    await until(() => test.requests.seen.length > 0);
+    await waitUntil(() => test.requests.receivedRequests.length > 0);
     caller.abort();
     await expect(call).toBeRejected();
-    await until(() => test.log.of(CALLER_EVENTS.callerGone).length > 0);
+    await waitUntil(() => test.log.fieldsOf(CALLER_EVENTS.callerGone).length > 0);
     expect(test.requests.signals[0]?.aborted).toEqual(true);
   });
 
@@ -104,11 +104,11 @@
     await start();
     const release = new Signal();
     test.requests.script = async function* held() {
-      yield startedBy();
-      yield chunkOf('1', 'event-1');
+      yield startedEvent();
+      yield chunkEvent('1', 'event-1');
       await release.fired;
-      yield chunkOf('2', 'event-2');
-      yield COMPLETED;
+      yield chunkEvent('2', 'event-2');
+      yield COMPLETED_EVENT;
     };
     const stream = await test.chat(STREAMED);
     let drained = false;
@@ -120,11 +120,11 @@
       expect(refused.status).toEqual(503);
       expect(refused.headers.get('connection')).toEqual('close');
       expect(refused.headers.get('retry-after')).toEqual('1');
-      expect(await errorOf(refused)).toEqual(expect.subset({ code: 'draining', not_run: true }));
+      expect(await readError(refused)).toEqual(expect.subset({ code: 'draining', not_run: true }));
     }
     test.requests.script = scriptOf(failed('outcome_unknown', false));
     const bound = await test.fetch(PLAIN, { method: 'POST', headers: { 'x-binding': 'token' } });
-    expect(await errorOf(bound)).toEqual(
+    expect(await readError(bound)).toEqual(
       expect.subset({ code: 'outcome_unknown', not_run: false }),
     );
     expect(drained).toEqual(false);
@@ -142,7 +142,7 @@
     // new binding and repeat the request.
     await start({ maximumBodyBytes: 4 });
     const init = { method: 'POST', body: 'too long', headers: { 'x-binding': 'token' } };
-    const error = await errorOf(await test.fetch(PLAIN, init));
+    const error = await readError(await test.fetch(PLAIN, init));
     expect(error).toEqual(expect.subset({ code: 'request_too_large', not_run: false }));
   });
 
@@ -151,9 +151,11 @@
     const release = new Signal();
     test.requests.script = delayFirstRequest(test, release);
     const first = test.fetch(PLAIN);
-    await until(() => test.requests.seen.length > 0);
+    await waitUntil(() => test.requests.receivedRequests.length > 0);
     const inProgress = await test.fetch(PLAIN);
-    expect(await errorOf(inProgress)).toEqual(expect.subset({ code: 'overloaded', not_run: true }));
+    expect(await readError(inProgress)).toEqual(
+      expect.subset({ code: 'overloaded', not_run: true }),
+    );
     expect(inProgress.headers.get('retry-after')).toEqual('2');
     release.fire();
     expect((await first).status).toEqual(200);
@@ -175,8 +177,8 @@
     test.requests.script = delayFirstRequest(test, release);
     const post = () => test.fetch(PLAIN, { method: 'POST', body: '6bytes' });
     const first = post();
-    await until(() => test.requests.seen.length > 0);
-    expect(await errorOf(await post())).toEqual(expect.subset({ code: 'overloaded' }));
+    await waitUntil(() => test.requests.receivedRequests.length > 0);
+    expect(await readError(await post())).toEqual(expect.subset({ code: 'overloaded' }));
     release.fire();
     await (await first).text();
     expect((await post()).status).toEqual(200);
@@ -185,19 +187,19 @@
   const brokenRequests: { name: string; script: RequestScript; code: string }[] = [
     {
       name: 'fails in mid-stream',
-      script: scriptOf(startedBy(), chunkOf('1', 'event-1'), failed('stream_cut', false)),
+      script: scriptOf(startedEvent(), chunkEvent('1', 'event-1'), failed('stream_cut', false)),
       code: 'stream_cut',
     },
     {
       name: 'ends without its last event',
-      script: scriptOf(startedBy(), chunkOf('1', 'event-1')),
+      script: scriptOf(startedEvent(), chunkEvent('1', 'event-1')),
       code: 'outcome_unknown',
     },
     {
       name: 'throws',
       script: async function* throwing() {
-        yield startedBy();
-        yield chunkOf('1', 'event-1');
+        yield startedEvent();
+        yield chunkEvent('1', 'event-1');
         throw new Error('broken');
       },
       code: 'outcome_unknown',
@@ -215,7 +217,7 @@
     });
     expect(stream.includes('[DONE]')).toEqual(false);
     const whole = await test.chat(CHAT);
-    expect([whole.status, (await errorOf(whole)).code]).toEqual([502, code]);
+    expect([whole.status, (await readError(whole)).code]).toEqual([502, code]);
     const body = test.fetch(PLAIN).then((response) => response.text());
     await expect(body).toBeRejected();
   };
@@ -230,14 +232,22 @@
   it('passes on an engine’s refusal of a streamed request as it is', async () => {
     await start();
     const type: [string, string] = ['content-type', 'application/json'];
-    test.requests.script = scriptOf(startedBy([type], 400), chunkOf('{"long":1}', '1'), COMPLETED);
+    test.requests.script = scriptOf(
+      startedEvent([type], 400),
+      chunkEvent('{"long":1}', '1'),
+      COMPLETED_EVENT,
+    );
     const response = await test.chat(STREAMED);
     expect([response.status, await response.text()]).toEqual([400, '{"long":1}']);
   });
 
   it('gives each line of a chunk its own field', async () => {
     await start();
-    test.requests.script = scriptOf(startedBy(), chunkOf('{\n"a":\r\n1}', 'event-1'), COMPLETED);
+    test.requests.script = scriptOf(
+      startedEvent(),
+      chunkEvent('{\n"a":\r\n1}', 'event-1'),
+      COMPLETED_EVENT,
+    );
     expect(await (await test.chat(STREAMED)).text()).toEqual(
       'id: event-1\ndata: {\ndata: "a":\ndata: 1}\n\ndata: [DONE]\n\n',
     );
@@ -250,7 +260,7 @@
     test.requests.script = scriptOf({ ...event, binding });
     const response = await test.fetch(PLAIN, { method: 'POST' });
     expect(response.status).toEqual(428);
-    expect(await errorOf(response)).toEqual(expect.subset({ not_run: true, binding }));
+    expect(await readError(response)).toEqual(expect.subset({ not_run: true, binding }));
   });
 
   it('does not reject a valid key before it has a configuration', async () => {
@@ -259,6 +269,6 @@
     await start();
     test.fleet.revision = 0;
     const response = await test.fetch('/v1/models');
-    expect([response.status, (await errorOf(response)).code]).toEqual([503, 'not_run']);
+    expect([response.status, (await readError(response)).code]).toEqual([503, 'not_run']);
   });
 });
--- a/src/callers/CallerServer.input.spec.ts
+++ b/src/callers/CallerServer.input.spec.ts
@@ -4,7 +4,7 @@
 
 import { LITORAL_KEY, PUNKT_KEY } from './testFakes.js';
 import type { ErrorDocument } from './testServer.js';
-import { TestServer, errorOf } from './testServer.js';
+import { TestServer, readError } from './testServer.js';
 
 const MAXIMUM_BODY_BYTES = 4096;
 const CHAT_PATH = '/v1/chat/completions';
@@ -218,12 +218,12 @@
   for (const { name, path = CHAT_PATH, init, status, code, findings = [] } of BAD_REQUESTS) {
     it(`answers ${name} by one clear error`, async () => {
       const response = await test.fetch(path, init);
-      const error = await errorOf(response);
+      const error = await readError(response);
       expect(response.status).toEqual(status);
       expect(error).toEqual(expect.subset({ code, not_run: true }));
       expect(error.request_id).toEqual(response.headers.get('x-request-id') ?? '');
       expect(error.findings.map(field)).toEqual([...findings]);
-      expect(test.requests.seen).toEqual([]);
+      expect(test.requests.receivedRequests).toEqual([]);
     });
   }
 
@@ -233,7 +233,7 @@
       expect(statusesOf(answer)).toEqual([status]);
       const { error } = JSON.parse(answer.slice(answer.indexOf('\r\n\r\n'))) as ErrorDocument;
       expect(error.not_run).toEqual(true);
-      expect(test.requests.seen).toEqual([]);
+      expect(test.requests.receivedRequests).toEqual([]);
     });
   }
 
@@ -243,7 +243,7 @@
     const whole = `${head(`content-length: ${chat.length}\r\n`)}${chat}`;
     const answer = await test.exchangeBytes(`${whole}GARBAGE\r\n\r\n`);
     expect(statusesOf(answer)).toEqual([200, 400]);
-    test.requests.seen.length = 0;
+    test.requests.receivedRequests.length = 0;
   });
 });
 
--- a/src/callers/CallerServer.spec.ts
+++ b/src/callers/CallerServer.spec.ts
@@ -1,8 +1,8 @@
 import { expect } from 'earl';
 import { afterEach, beforeEach, describe, it } from 'node:test';
 
-import { PUNKT_KEY, chunkOf, COMPLETED, startedBy } from './testFakes.js';
-import { TestServer, errorOf } from './testServer.js';
+import { PUNKT_KEY, chunkEvent, COMPLETED_EVENT, startedEvent } from './testFakes.js';
+import { TestServer, readError } from './testServer.js';
 
 const CHAT = { model: 'tiles-70b', messages: [{ role: 'user', content: 'Which grout?' }] };
 
@@ -27,10 +27,10 @@
 
   it('answers an engine call without streaming by one body', async () => {
     test.requests.script = async function* inTwoParts() {
-      yield startedBy([['content-type', 'application/json']]);
-      yield chunkOf('{"answer":', 'event-1');
-      yield chunkOf('2}', 'event-2');
-      yield COMPLETED;
+      yield startedEvent([['content-type', 'application/json']]);
+      yield chunkEvent('{"answer":', 'event-1');
+      yield chunkEvent('2}', 'event-2');
+      yield COMPLETED_EVENT;
     };
     const response = await test.chat(CHAT);
     expect(response.headers.get('content-length')).toEqual('12');
@@ -48,10 +48,10 @@
     await (await test.chat({ ...CHAT, messages: grown })).text();
     await (await test.chat({ ...CHAT, messages: grown.slice(2) })).text();
     await (await test.chat(CHAT, { 'x-chat': 'counter-3' })).text();
-    const [first, second, other, named] = test.requests.seen.map(({ chat }) => chat);
+    const [first, second, other, named] = test.requests.receivedRequests.map(({ chat }) => chat);
     expect(second).toEqual(first);
     expect(`litoral.showroom/${response.headers.get('x-chat')}`).toEqual(first ?? '');
-    const names = test.requests.seen[0]?.headers.map(([name]) => name) ?? [];
+    const names = test.requests.receivedRequests[0]?.headers.map(([name]) => name) ?? [];
     expect(names.includes('accept-encoding')).toEqual(false);
     expect(other).not.toEqual(first);
     expect(named).toEqual('litoral.showroom/counter-3');
@@ -66,7 +66,7 @@
       'x-binding': 'a-token',
     };
     await (await test.chat({ ...CHAT, model: 'punkt-8b', max_tokens: 9 }, headers)).text();
-    const [seen] = test.requests.seen;
+    const [seen] = test.requests.receivedRequests;
     expect(seen).toEqual(
       expect.subset({
         clientAccount: 'punkt',
@@ -83,7 +83,7 @@
 
   it('passes calls of plain services through with method, headers and body', async () => {
     test.requests.script = async function* created() {
-      yield startedBy(
+      yield startedEvent(
         [
           ['set-cookie', 'a=1'],
           ['set-cookie', 'b=2'],
@@ -93,8 +93,8 @@
         ],
         201,
       );
-      yield chunkOf('done', 'event-1');
-      yield COMPLETED;
+      yield chunkEvent('done', 'event-1');
+      yield COMPLETED_EVENT;
     };
     const response = await test.fetch('/services/sample-warehouse/boards/7?size=30', {
       method: 'PATCH',
@@ -106,7 +106,7 @@
     expect(response.headers.get('x-private')).toEqual(null);
     expect(response.headers.get('x-stock')).toEqual('4');
     expect(await response.text()).toEqual('done');
-    const [seen] = test.requests.seen;
+    const [seen] = test.requests.receivedRequests;
     expect(seen).toEqual(
       expect.subset({
         method: 'PATCH',
@@ -138,7 +138,7 @@
       headers: { authorization: `Bearer ${PUNKT_KEY.key}` },
     });
     expect(foreign.status).toEqual(404);
-    expect(await errorOf(foreign)).toEqual(
+    expect(await readError(foreign)).toEqual(
       expect.subset({ code: 'unknown_resource', not_run: false }),
     );
   });
--- a/src/callers/CallerServer.ts
+++ b/src/callers/CallerServer.ts
@@ -118,7 +118,7 @@
     this.dispatcher = new RequestDispatcher({
       routes: createCallerRoutes(settings),
       authentication: new AccountAuthentication({ fleet, log }),
-      hasRoom: () => this.inProgress <= settings.maximumRequestsInProgress,
+      hasCapacity: () => this.inProgress <= settings.maximumRequestsInProgress,
     });
     this.server = this.createServer();
   }
@@ -223,7 +223,7 @@
     this.exchangesBySocket.set(socket, onSocket.add(exchange));
     this.inProgress += 1;
     await this.dispatcher.dispatch(exchange, this.excessSockets.has(socket));
-    exchange.reader.release();
+    exchange.reader.releaseBudget();
     this.inProgress -= 1;
     onSocket.delete(exchange);
     if (onSocket.size === 0) this.handleIdleSocket(socket);
@@ -242,7 +242,7 @@
     const onSocket = [...(this.exchangesBySocket.get(socket) ?? [])];
     if (this.malformed.has(socket)) return;
     this.context.log.write(CALLER_EVENTS.malformed, { error: error.message });
-    if (onSocket.at(-1)?.reader.abandon(callerError)) return;
+    if (onSocket.at(-1)?.reader.failRead(callerError)) return;
     this.malformed.set(socket, callerError);
     if (onSocket.length === 0) this.writeRawError(socket, callerError);
   }
--- a/src/callers/CancelRoute.ts
+++ b/src/callers/CancelRoute.ts
@@ -1,7 +1,7 @@
 /**
  * Route `DELETE /v1/requests/{id}`: cancels a request in progress.
  */
-import { accountOf } from './accountOf.js';
+import { requireAccount } from './requireAccount.js';
 import { CallerError } from './CallerError.js';
 import { CallerRoute } from './CallerRoute.js';
 import type { Exchange } from './Exchange.js';
@@ -22,12 +22,12 @@
 export class CancelRoute extends CallerRoute {
   override readonly name = 'cancel';
 
-  override readonly whileDraining = true;
+  override readonly availableWhileDraining = true;
 
-  override readonly aboutEarlierRequest = true;
+  override readonly refersToEarlierRequest = true;
 
   override async answer(exchange: Exchange): Promise<void> {
-    const account = accountOf(exchange);
+    const account = requireAccount(exchange);
     const requestId = decodeRequestId(exchange.url?.pathname.slice(REQUESTS_PREFIX.length) ?? '');
     const known = await exchange.context.requests.cancel(account.name, requestId);
     if (!known) {
--- a/src/callers/ChatCompletionsRoute.ts
+++ b/src/callers/ChatCompletionsRoute.ts
@@ -1,7 +1,7 @@
 /**
  * Route `POST /v1/chat/completions`: runs a chat request on a model engine.
  */
-import type { Answer, StartedEvent } from './Answer.js';
+import type { AnswerWriter, StartedEvent } from './AnswerWriter.js';
 import { BodyAnswer } from './BodyAnswer.js';
 import { CallerError } from './CallerError.js';
 import { CALLER_HEADERS } from './callerHeaders.js';
@@ -11,10 +11,10 @@
 import { readChatRequest } from './chatRequest.js';
 import { EventStreamAnswer } from './EventStreamAnswer.js';
 import type { Exchange } from './Exchange.js';
-import { requestHeadersFor } from './forwardedHeaders.js';
+import { headersForRunner } from './forwardedHeaders.js';
 import { runRequest } from './runRequest.js';
-import { findEngine } from './serviceAccess.js';
-import { accountOf } from './accountOf.js';
+import { findEngineService } from './serviceAccess.js';
+import { requireAccount } from './requireAccount.js';
 
 const OK = 200;
 
@@ -49,13 +49,13 @@
   override readonly name = 'chat_completions';
 
   override async answer(exchange: Exchange): Promise<void> {
-    const account = accountOf(exchange);
+    const account = requireAccount(exchange);
     checkMediaType(exchange);
-    const body = await exchange.body();
+    const body = await exchange.readBody();
     const chatRequest = this.readRequest(exchange, body);
-    const service = findEngine(exchange.context.fleet, account, chatRequest.model);
+    const service = findEngineService(exchange.context.fleet, account, chatRequest.model);
     exchange.note({ service: service.name });
-    const chat = exchange.headers.chat ?? derivedChatName(chatRequest.opening);
+    const chat = exchange.headers.chat ?? derivedChatName(chatRequest.openingHash);
     // A caller that sent no chat name uses this one to locate the daemon for its next request.
     exchange.response.setHeader(CALLER_HEADERS.chat, chat);
     await runRequest(exchange, {
@@ -65,7 +65,7 @@
       idempotent: true,
       promptTokens: chatRequest.promptTokens,
       maximumTokens: chatRequest.maximumTokens,
-      headers: requestHeadersFor(exchange.request.rawHeaders, exchange.requestId, DROPPED_HEADERS),
+      headers: headersForRunner(exchange.request.rawHeaders, exchange.requestId, DROPPED_HEADERS),
       path: exchange.url?.pathname ?? '',
       body,
       streaming: chatRequest.streaming,
@@ -82,7 +82,11 @@
   }
 
   /** An engine may reject a streaming request with an ordinary answer, for example if the prompt is too long. */
-  private chooseAnswer(exchange: Exchange, started: StartedEvent, streaming: boolean): Answer {
+  private chooseAnswer(
+    exchange: Exchange,
+    started: StartedEvent,
+    streaming: boolean,
+  ): AnswerWriter {
     if (streaming && isEventStream(started)) return new EventStreamAnswer(exchange, started);
     const holdBackBytes = exchange.context.settings.maximumBufferedAnswerBytes;
     return new BodyAnswer({ exchange, started, holdBackBytes });
--- a/src/callers/EventStreamAnswer.ts
+++ b/src/callers/EventStreamAnswer.ts
@@ -1,9 +1,9 @@
 /**
  * Writes an engine's answer as server-sent events. The answer is complete only if it ends with `data: [DONE]`.
  */
-import type { ChunkEvent, StartedEvent } from './Answer.js';
-import { Answer } from './Answer.js';
-import { answerHead } from './answerHead.js';
+import type { ChunkEvent, StartedEvent } from './AnswerWriter.js';
+import { AnswerWriter } from './AnswerWriter.js';
+import { answerHeaders } from './answerHeaders.js';
 import type { CallerError } from './CallerError.js';
 import type { Exchange } from './Exchange.js';
 
@@ -22,7 +22,7 @@
 }
 
 /** Writes each chunk as one server-sent event with its event id. */
-export class EventStreamAnswer extends Answer {
+export class EventStreamAnswer extends AnswerWriter {
   private readonly exchange: Exchange;
 
   /**
@@ -32,25 +32,25 @@
   constructor(exchange: Exchange, started: StartedEvent) {
     super();
     this.exchange = exchange;
-    const head = answerHead(started);
+    const head = answerHeaders(started);
     head.set('content-type', ['text/event-stream; charset=utf-8']);
     head.set('cache-control', ['no-store']);
     exchange.writeHead(200, head);
     exchange.response.flushHeaders();
   }
 
-  override async chunk({ data, eventId }: ChunkEvent): Promise<void> {
+  override async writeChunk({ data, eventId }: ChunkEvent): Promise<void> {
     const id = FORBIDDEN_IN_ID.test(eventId) ? '' : `id: ${eventId}\n`;
     const bytes = Buffer.from(data.buffer, data.byteOffset, data.byteLength);
     await this.exchange.writer.write(formatEvent(bytes.toString('utf8'), id));
   }
 
-  override async completed(): Promise<void> {
+  override async complete(): Promise<void> {
     await this.exchange.writer.write(DONE_EVENT);
     await this.exchange.writer.end();
   }
 
-  override async failed(error: CallerError): Promise<void> {
+  override async fail(error: CallerError): Promise<void> {
     this.exchange.note({ code: error.options.code });
     const document = JSON.stringify(this.exchange.document(error));
     await this.exchange.writer.write(formatEvent(document, 'event: error\n'));
--- a/src/callers/Exchange.ts
+++ b/src/callers/Exchange.ts
@@ -11,7 +11,7 @@
 import { CALLER_HEADERS, readCallerHeaders, singleHeader } from './callerHeaders.js';
 import { CALLER_EVENTS } from './callersFeature.js';
 import type { CallerContext, ExchangeNotes } from './callersTypes.js';
-import type { BodyTime } from './RequestReader.js';
+import type { BodyTimeLimit } from './RequestReader.js';
 import { RequestReader } from './RequestReader.js';
 import { ResponseWriter } from './ResponseWriter.js';
 
@@ -135,12 +135,12 @@
    *
    * @param account - the account that the key belongs to.
    */
-  authenticated(account: ClientAccount): void {
+  setClientAccount(account: ClientAccount): void {
     this.account = account;
   }
 
   /** Marks that the request refers to an earlier one, so that errors do not claim that nothing ran. */
-  concernsEarlierRequest(): void {
+  markMayHaveRun(): void {
     this.mayHaveRun = true;
   }
 
@@ -149,7 +149,7 @@
    *
    * @returns Milliseconds; zero or less when the deadline has passed.
    */
-  deadlineLeft(): number {
+  remainingMilliseconds(): number {
     const { clock, settings } = this.context;
     const requestedMilliseconds =
       this.headers.deadlineMilliseconds ?? settings.defaultDeadlineMilliseconds;
@@ -166,7 +166,7 @@
    * @returns The complete body.
    * @throws {@link CallerError} when a limit is exceeded, `CallerDisconnected` when the connection ended.
    */
-  async body(): Promise<Buffer> {
+  async readBody(): Promise<Buffer> {
     return this.reader.read(this.bodyTimeLimit());
   }
 
@@ -198,7 +198,8 @@
     const { response } = this;
     for (const [name, value] of headers) response.setHeader(name, value);
     response.setHeader(CALLER_HEADERS.requestId, this.requestId);
-    if (this.context.isDraining() || this.reader.pending) response.setHeader('connection', 'close');
+    if (this.context.isDraining() || this.reader.bodyPending)
+      response.setHeader('connection', 'close');
     response.writeHead(status);
     this.note({ firstByteAt: this.context.clock.monotonicMilliseconds() });
   }
@@ -237,7 +238,7 @@
     const length = unknown ? {} : { 'content-length': String(body.byteLength) };
     this.writeHead(status, Object.entries({ ...headers, ...length }));
     if (!bodyless && this.method !== 'HEAD') await this.writer.write(body);
-    await this.reader.discard();
+    await this.reader.discardBody();
     await this.writer.end();
   }
 
@@ -247,10 +248,10 @@
    *
    * @param error - the error to send.
    */
-  async fail(error: CallerError): Promise<void> {
+  async sendError(error: CallerError): Promise<void> {
     this.note({ code: error.options.code });
     if (this.response.headersSent) {
-      this.writer.cut();
+      this.writer.closeConnection();
       return;
     }
     await this.sendJson(error.status, this.document(error), {
@@ -274,9 +275,9 @@
    * Limits the reading of the body to the body timeout or the deadline, whichever is earlier. A body that
    * arrives after the deadline is of no use.
    */
-  private bodyTimeLimit(): BodyTime {
+  private bodyTimeLimit(): BodyTimeLimit {
     const { bodyTimeoutMilliseconds } = this.context.settings;
-    const left = Math.max(0, this.deadlineLeft());
+    const left = Math.max(0, this.remainingMilliseconds());
     if (left <= bodyTimeoutMilliseconds) {
       const message = 'the deadline passed before the body had arrived';
       return {
--- a/src/callers/HealthRoute.ts
+++ b/src/callers/HealthRoute.ts
@@ -13,7 +13,7 @@
 
   override readonly open = true;
 
-  override readonly whileDraining = true;
+  override readonly availableWhileDraining = true;
 
   override async answer(exchange: Exchange): Promise<void> {
     const { fleet, isDraining } = exchange.context;
--- a/src/callers/LocateDecisions.spec.ts
+++ b/src/callers/LocateDecisions.spec.ts
@@ -6,7 +6,7 @@
 import type { FleetRunner } from '../fleet/FleetView.js';
 import { RunnerRecordSchema } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { RunnerState } from '../gates/gateTypes.js';
-import { firstRunner } from './firstRunner.js';
+import { predictFirstRunner } from './predictFirstRunner.js';
 import type { EntryDaemon, LocateMessage } from './LocateDecisions.js';
 import { LocateDecisions } from './LocateDecisions.js';
 
@@ -104,7 +104,7 @@
   ];
   for (const { name, found, ...question } of cases) {
     it(`finds ${name}`, () => {
-      expect(firstRunner({ ...place, ...question })?.runnerId).toEqual(found);
+      expect(predictFirstRunner({ ...place, ...question })?.runnerId).toEqual(found);
     });
   }
 });
--- a/src/callers/LocateDecisions.ts
+++ b/src/callers/LocateDecisions.ts
@@ -7,7 +7,7 @@
  */
 import { Decisions } from '../decisions/Decisions.js';
 import { weightedOrder } from '../routing/weightedOrder.js';
-import type { FirstRunner } from './firstRunner.js';
+import type { FirstRunnerPrediction } from './predictFirstRunner.js';
 
 /** A daemon that callers may connect to. */
 export interface EntryDaemon {
@@ -31,7 +31,7 @@
   readonly dataCentre: string;
   readonly daemons: readonly EntryDaemon[];
   /** If the caller names a chat: the runner expected to serve it, and the daemon that holds its gate. */
-  readonly gate?: FirstRunner & { readonly daemonId: string };
+  readonly gate?: FirstRunnerPrediction & { readonly daemonId: string };
 }
 
 /** Why a daemon has its position in the answer. */
--- a/src/callers/LocateRoute.ts
+++ b/src/callers/LocateRoute.ts
@@ -4,22 +4,22 @@
 import type { FleetView } from '../fleet/FleetView.js';
 import type { ClientAccount, Service } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { Member } from '../generated/baobabdock/v1/peers_pb.js';
-import { accountOf } from './accountOf.js';
+import { requireAccount } from './requireAccount.js';
 import { CallerError } from './CallerError.js';
 import { isChatName } from './callerHeaders.js';
 import { CallerRoute } from './CallerRoute.js';
 import { CALLER_EVENTS } from './callersFeature.js';
 import type { CallerContext } from './callersTypes.js';
-import { fleetChatName } from './chatName.js';
+import { qualifiedChatName } from './chatName.js';
 import type { Exchange } from './Exchange.js';
-import { firstRunner } from './firstRunner.js';
+import { predictFirstRunner } from './predictFirstRunner.js';
 import type {
   EntryDaemon,
   LocateAction,
   LocateDecisions,
   LocateMessage,
 } from './LocateDecisions.js';
-import { findEngine, findService } from './serviceAccess.js';
+import { findEngineService, findService } from './serviceAccess.js';
 
 /** Retry-After sent when no daemon is known to be alive, in milliseconds. */
 const NO_DAEMON_RETRY_MILLISECONDS = 1000;
@@ -43,7 +43,7 @@
 ): Promise<LocateMessage['gate']> {
   const { region, dataCentre } = fleet.self();
   const warm = (await homes?.findWarmRunners(chat, service)) ?? [];
-  const first = firstRunner({
+  const first = predictFirstRunner({
     chat,
     region,
     dataCentre,
@@ -69,7 +69,7 @@
   }
 
   override async answer(exchange: Exchange): Promise<void> {
-    const account = accountOf(exchange);
+    const account = requireAccount(exchange);
     const query = exchange.url?.searchParams ?? new URLSearchParams();
     const chat = query.get('chat') ?? undefined;
     const namesService = query.has('service') || query.has('model');
@@ -84,7 +84,11 @@
     exchange.note({ service: service?.name, chat });
     const gate =
       service && chat !== undefined
-        ? await findGateOfChat(exchange.context, service.name, fleetChatName(account.name, chat))
+        ? await findGateOfChat(
+            exchange.context,
+            service.name,
+            qualifiedChatName(account.name, chat),
+          )
         : undefined;
     await this.sendAnswer(exchange, this.decideAddresses(exchange, gate), gate);
   }
@@ -97,7 +101,7 @@
     const name = query.get('service');
     if (name !== null) return findService(fleet, account, name);
     const model = query.get('model');
-    return model === null ? undefined : findEngine(fleet, account, model);
+    return model === null ? undefined : findEngineService(fleet, account, model);
   }
 
   private decideAddresses(
--- a/src/callers/MetricsRoute.ts
+++ b/src/callers/MetricsRoute.ts
@@ -13,11 +13,11 @@
 
   override readonly open = true;
 
-  override readonly whileDraining = true;
+  override readonly availableWhileDraining = true;
 
   override async answer(exchange: Exchange): Promise<void> {
     const { settings, metrics } = exchange.context;
-    const page = settings.serveMetrics ? metrics.page() : undefined;
+    const page = settings.serveMetrics ? metrics.renderPage() : undefined;
     if (!page) throw new CallerError({ code: 'unknown_resource', message: 'no metrics here' });
     await exchange.send(OK, Buffer.from(page.text), { 'content-type': page.contentType });
   }
--- a/src/callers/ModelsRoute.ts
+++ b/src/callers/ModelsRoute.ts
@@ -2,7 +2,7 @@
  * Routes `GET /v1/models` and `GET /v1/models/{model}`: the models that an account may call.
  */
 import type { ClientAccount, Service } from '../generated/baobabdock/v1/configuration_pb.js';
-import { accountOf } from './accountOf.js';
+import { requireAccount } from './requireAccount.js';
 import { CallerError } from './CallerError.js';
 import { CallerRoute } from './CallerRoute.js';
 import type { Exchange } from './Exchange.js';
@@ -31,7 +31,7 @@
   override readonly name = 'models';
 
   override async answer(exchange: Exchange): Promise<void> {
-    const models = this.modelsOf(exchange, accountOf(exchange));
+    const models = this.modelsOf(exchange, requireAccount(exchange));
     const pathname = exchange.url?.pathname ?? '';
     if (pathname === MODELS_PATH) {
       await exchange.sendJson(200, { object: 'list', data: models });
--- a/src/callers/PlainServiceRoute.ts
+++ b/src/callers/PlainServiceRoute.ts
@@ -1,14 +1,14 @@
 /**
  * Route of plain services: forwards requests with their method, headers and body.
  */
-import { accountOf } from './accountOf.js';
+import { requireAccount } from './requireAccount.js';
 import { BodyAnswer } from './BodyAnswer.js';
 import { CallerError } from './CallerError.js';
 import { CallerRoute } from './CallerRoute.js';
 import type { Exchange } from './Exchange.js';
-import { requestHeadersFor } from './forwardedHeaders.js';
+import { headersForRunner } from './forwardedHeaders.js';
 import { runRequest } from './runRequest.js';
-import { findPlain, findService, isIdempotentMethod } from './serviceAccess.js';
+import { findPlainService, findService, isIdempotentMethod } from './serviceAccess.js';
 
 /**
  * Token count of a plain request. Loads are measured in tokens, which plain requests do not have. Each
@@ -21,9 +21,9 @@
   override readonly name = 'plain';
 
   override async answer(exchange: Exchange): Promise<void> {
-    const account = accountOf(exchange);
+    const account = requireAccount(exchange);
     const { url, context } = exchange;
-    const found = url && findPlain(context.fleet, url.pathname);
+    const found = url && findPlainService(context.fleet, url.pathname);
     if (!found) {
       throw new CallerError({
         code: 'unknown_resource',
@@ -33,7 +33,7 @@
     const service = findService(context.fleet, account, found.name);
     exchange.note({ service: service.name });
     exchange.checkFindings();
-    const body = await exchange.body();
+    const body = await exchange.readBody();
     await runRequest(exchange, {
       account,
       service,
@@ -42,7 +42,7 @@
       idempotent: isIdempotentMethod(service, exchange.method),
       promptTokens: 0,
       maximumTokens: TOKENS_PER_REQUEST,
-      headers: requestHeadersFor(exchange.request.rawHeaders, exchange.requestId),
+      headers: headersForRunner(exchange.request.rawHeaders, exchange.requestId),
       // The path keeps the prefix, so that links, redirects and cookie paths in the answer stay valid.
       path: `${url.pathname}${url.search}`,
       body,
--- a/src/callers/RequestDispatcher.ts
+++ b/src/callers/RequestDispatcher.ts
@@ -4,7 +4,7 @@
 import type { AccountAuthentication } from './AccountAuthentication.js';
 import type { CallerErrorOptions } from './CallerError.js';
 import { CallerError } from './CallerError.js';
-import { CallerGone } from './CallerGone.js';
+import { CallerDisconnected } from './CallerDisconnected.js';
 import type { CallerRoute } from './CallerRoute.js';
 import { CALLER_EVENTS } from './callersFeature.js';
 import type { Exchange } from './Exchange.js';
@@ -24,7 +24,7 @@
   routes: Readonly<Record<RouteName, CallerRoute>>;
   authentication: AccountAuthentication;
   /** Returns whether the number of requests in progress is within the limit. */
-  hasRoom: () => boolean;
+  hasCapacity: () => boolean;
 }
 
 /** Runs the checks in a fixed order (route, drain, authentication, load) and then the route. */
@@ -33,15 +33,15 @@
 
   private readonly authentication: AccountAuthentication;
 
-  private readonly hasRoom: () => boolean;
+  private readonly hasCapacity: () => boolean;
 
   /**
    * @param options - the routes, the authentication and the load check.
    */
-  constructor({ routes, authentication, hasRoom }: RequestDispatcherOptions) {
+  constructor({ routes, authentication, hasCapacity }: RequestDispatcherOptions) {
     this.routes = routes;
     this.authentication = authentication;
-    this.hasRoom = hasRoom;
+    this.hasCapacity = hasCapacity;
   }
 
   /**
@@ -54,7 +54,7 @@
     try {
       const route = this.findRoute(exchange);
       exchange.note({ route: route.name });
-      if (route.aboutEarlierRequest) exchange.concernsEarlierRequest();
+      if (route.refersToEarlierRequest) exchange.markMayHaveRun();
       this.checkAdmission(exchange, route, excessConnection);
       await route.answer(exchange);
     } catch (error) {
@@ -97,7 +97,7 @@
     if (route.open) return;
     const { settings, isDraining } = exchange.context;
     // A request with a binding is still accepted: only this daemon knows whether it ran, and "draining" would hide that.
-    if (isDraining() && !route.whileDraining && !exchange.bound) {
+    if (isDraining() && !route.availableWhileDraining && !exchange.bound) {
       throw new CallerError({
         code: 'draining',
         message: 'this daemon is about to stop; locate another',
@@ -105,8 +105,8 @@
       });
     }
     const { authorization } = exchange.request.headers;
-    exchange.authenticated(this.authentication.authenticate(authorization));
-    if (this.hasRoom() && !excessConnection) return;
+    exchange.setClientAccount(this.authentication.authenticate(authorization));
+    if (this.hasCapacity() && !excessConnection) return;
     throw new CallerError({
       code: 'overloaded',
       message: 'this daemon has as many requests or connections as it may',
@@ -115,14 +115,14 @@
   }
 
   private async answerError(exchange: Exchange, error: unknown): Promise<void> {
-    if (error instanceof CallerGone) return;
+    if (error instanceof CallerDisconnected) return;
     const known = error instanceof CallerError;
     const callerError = known ? error : this.internalError(exchange, error);
     try {
-      await exchange.fail(callerError);
+      await exchange.sendError(callerError);
     } catch (failure) {
-      if (!(failure instanceof CallerGone)) this.internalError(exchange, failure);
-      exchange.writer.cut();
+      if (!(failure instanceof CallerDisconnected)) this.internalError(exchange, failure);
+      exchange.writer.closeConnection();
     }
   }
 
--- a/src/callers/RequestReader.ts
+++ b/src/callers/RequestReader.ts
@@ -5,7 +5,7 @@
 
 import type { BodyBudget } from './BodyBudget.js';
 import { CallerError } from './CallerError.js';
-import { CallerGone } from './CallerGone.js';
+import { CallerDisconnected } from './CallerDisconnected.js';
 
 /** Options of a {@link RequestReader}. */
 export interface RequestReaderOptions {
@@ -24,7 +24,7 @@
 }
 
 /** Time limit for a body to arrive. */
-export interface BodyTime {
+export interface BodyTimeLimit {
   /** The limit in milliseconds. */
   readonly milliseconds: number;
   /** Creates the error for a body that takes longer. */
@@ -51,7 +51,7 @@
   }
 
   /** @returns Whether bytes of the body may still arrive. */
-  get pending(): boolean {
+  get bodyPending(): boolean {
     const { headers, complete } = this.options.request;
     if (complete) return false;
     if (headers['transfer-encoding'] !== undefined) return true;
@@ -62,14 +62,14 @@
    * Reads the complete body.
    *
    * @param time - the time limit.
-   * @returns The body; it counts against the budget until {@link RequestReader.release}.
-   * @throws {@link CallerError} when a limit is exceeded, {@link CallerGone} when the connection ended.
+   * @returns The body; it counts against the budget until {@link RequestReader.releaseBudget}.
+   * @throws {@link CallerError} when a limit is exceeded, {@link CallerDisconnected} when the connection ended.
    */
-  async read(time: BodyTime): Promise<Buffer> {
+  async read(time: BodyTimeLimit): Promise<Buffer> {
     const { request, maximumBytes } = this.options;
     if (Number(request.headers['content-length'] ?? 0) > maximumBytes) throw this.tooLargeError();
-    if (!this.pending && request.readableEnded) return Buffer.alloc(0);
-    if (request.destroyed) throw new CallerGone();
+    if (!this.bodyPending && request.readableEnded) return Buffer.alloc(0);
+    if (request.destroyed) throw new CallerDisconnected();
     this.sendContinue();
     try {
       return await this.collect(time);
@@ -84,7 +84,7 @@
    * @param error - the error that the pending read throws.
    * @returns Whether the error belongs to this body; `false` when no body was being read.
    */
-  abandon(error: CallerError): boolean {
+  failRead(error: CallerError): boolean {
     if (this.abandoned) return true;
     // A body that arrived completely may still be unread; the malformed input then came after it.
     if (!this.refuse || this.options.request.complete) return false;
@@ -97,9 +97,9 @@
    * Reads and discards the rest of a body for a limited time. Closing a connection with unread bytes resets it,
    * and the reset can overtake the answer: the caller would see a connection reset instead of the error.
    */
-  async discard(): Promise<void> {
+  async discardBody(): Promise<void> {
     const { request, expectsContinue, lingerMilliseconds } = this.options;
-    if (!this.pending || request.destroyed) return;
+    if (!this.bodyPending || request.destroyed) return;
     // The caller is waiting for `100 Continue` and has not sent a body, so there is nothing to discard.
     if (expectsContinue && !this.continueSent) return;
     await new Promise<void>((resolve) => {
@@ -115,8 +115,8 @@
   }
 
   /** Releases the bytes of the body in the budget. */
-  release(): void {
-    this.options.budget.give(this.heldBytes);
+  releaseBudget(): void {
+    this.options.budget.release(this.heldBytes);
     this.heldBytes = 0;
   }
 
@@ -126,7 +126,7 @@
     this.options.response.writeContinue();
   }
 
-  private collect({ milliseconds, error }: BodyTime): Promise<Buffer> {
+  private collect({ milliseconds, error }: BodyTimeLimit): Promise<Buffer> {
     const { request, maximumBytes, budget } = this.options;
     return new Promise((resolve, reject) => {
       const parts: Buffer[] = [];
@@ -143,7 +143,7 @@
           refuse(this.tooLargeError());
           return;
         }
-        if (!budget.take(part.byteLength)) {
+        if (!budget.reserve(part.byteLength)) {
           refuse(this.budgetExceededError());
           return;
         }
@@ -154,7 +154,7 @@
         cleanUp();
         resolve(Buffer.concat(parts, bytes));
       };
-      const onClose = (): void => refuse(new CallerGone());
+      const onClose = (): void => refuse(new CallerDisconnected());
       const timer = setTimeout(() => refuse(error()), milliseconds);
       cleanUp = () => {
         clearTimeout(timer);
--- a/src/callers/ResponseWriter.ts
+++ b/src/callers/ResponseWriter.ts
@@ -8,7 +8,7 @@
  */
 import type { ServerResponse } from 'node:http';
 
-import { CallerGone } from './CallerGone.js';
+import { CallerDisconnected } from './CallerDisconnected.js';
 
 /** Options of a {@link ResponseWriter}. */
 export interface ResponseWriterOptions {
@@ -62,12 +62,12 @@
   }
 
   /** Closes the connection, so that the caller cannot mistake a partial answer for a complete one. */
-  cut(): void {
+  closeConnection(): void {
     this.response.destroy();
   }
 
   private checkOpen(): void {
-    if (this.response.destroyed || this.response.writableEnded) throw new CallerGone();
+    if (this.response.destroyed || this.response.writableEnded) throw new CallerDisconnected();
   }
 
   private waitFor(event: 'drain' | 'finish'): Promise<void> {
@@ -81,7 +81,7 @@
       const onClose = (): void => {
         cleanUp();
         if (response.writableFinished) resolve();
-        else reject(new CallerGone());
+        else reject(new CallerDisconnected());
       };
       const timer = setTimeout(() => {
         this.onStall();
--- a/src/callers/StreamsRoute.ts
+++ b/src/callers/StreamsRoute.ts
@@ -1,7 +1,7 @@
 /**
  * Route `GET /v1/streams` with `Last-Event-ID`: resumes a stream, through any daemon.
  */
-import { accountOf } from './accountOf.js';
+import { requireAccount } from './requireAccount.js';
 import { CALLER_HEADERS } from './callerHeaders.js';
 import { CallerRoute } from './CallerRoute.js';
 import { EventStreamAnswer } from './EventStreamAnswer.js';
@@ -12,10 +12,10 @@
 export class StreamsRoute extends CallerRoute {
   override readonly name = 'streams';
 
-  override readonly aboutEarlierRequest = true;
+  override readonly refersToEarlierRequest = true;
 
   override async answer(exchange: Exchange): Promise<void> {
-    const account = accountOf(exchange);
+    const account = requireAccount(exchange);
     const { lastEventId } = exchange.headers;
     if (lastEventId === undefined && !exchange.findings.hasAny) {
       exchange.findings.add({ field: `header ${CALLER_HEADERS.lastEventId}` }, 'is missing');
@@ -24,7 +24,7 @@
     const events = exchange.context.requests.resume(
       account.name,
       lastEventId ?? '',
-      exchange.deadlineLeft(),
+      exchange.remainingMilliseconds(),
       exchange.signal,
     );
     await relayEvents(exchange, events, (started) => new EventStreamAnswer(exchange, started));
--- a/src/callers/accountKeys.spec.ts
+++ b/src/callers/accountKeys.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 
-import { accountOfKey, createKey, verifyKey } from './accountKeys.js';
+import { accountNameOfKey, createKey, verifyKey } from './accountKeys.js';
 
 describe('accountKeys', () => {
   const first = createKey('litoral.showroom');
@@ -28,9 +28,9 @@
   }
 
   it('reads the account out of a key, dots included', () => {
-    expect(accountOfKey(first.key)).toEqual('litoral.showroom');
+    expect(accountNameOfKey(first.key)).toEqual('litoral.showroom');
     for (const key of ['', '.', 'account', 'account.', '.secret', `a.${'b'.repeat(600)}`]) {
-      expect(accountOfKey(key)).toEqual(undefined);
+      expect(accountNameOfKey(key)).toEqual(undefined);
     }
   });
 });
--- a/src/callers/accountKeys.ts
+++ b/src/callers/accountKeys.ts
@@ -60,7 +60,7 @@
  * @param key - the key that the caller sent.
  * @returns The name, or `undefined` for anything that is not a key.
  */
-export function accountOfKey(key: string): string | undefined {
+export function accountNameOfKey(key: string): string | undefined {
   if (key.length > MAXIMUM_KEY_LENGTH) return undefined;
   const separator = key.lastIndexOf('.');
   if (separator <= 0 || separator === key.length - 1) return undefined;
--- a/src/callers/answerHead.ts
+++ b/src/callers/answerHeaders.ts
@@ -1,9 +1,9 @@
 /**
  * Headers of an answer that forwards a runner's answer.
  */
-import type { StartedEvent } from './Answer.js';
+import type { StartedEvent } from './AnswerWriter.js';
 import { CALLER_HEADERS } from './callerHeaders.js';
-import { answerHeadersFrom } from './forwardedHeaders.js';
+import { headersForCaller } from './forwardedHeaders.js';
 
 /**
  * Creates the headers of the answer to the caller.
@@ -11,8 +11,8 @@
  * @param started - status and headers of the runner's answer.
  * @returns The runner's headers that are forwarded, the runner's id and its number of cached prompt tokens.
  */
-export function answerHead(started: StartedEvent): Map<string, string[]> {
-  const headers = answerHeadersFrom(started.headers);
+export function answerHeaders(started: StartedEvent): Map<string, string[]> {
+  const headers = headersForCaller(started.headers);
   headers.set(CALLER_HEADERS.runner, [started.runnerId]);
   headers.set(CALLER_HEADERS.cachedTokens, [String(started.cachedTokens)]);
   return headers;
--- a/src/callers/chatName.ts
+++ b/src/callers/chatName.ts
@@ -23,6 +23,6 @@
  * @param chat - the name of the chat within the account.
  * @returns The name that placement hashes.
  */
-export function fleetChatName(account: string, chat: string): string {
+export function qualifiedChatName(account: string, chat: string): string {
   return `${account}/${chat}`;
 }
--- a/src/callers/chatRequest.ts
+++ b/src/callers/chatRequest.ts
@@ -53,7 +53,7 @@
   /** Upper limit of the tokens to generate, for all choices together. */
   readonly maximumTokens: number;
   /** Hash of the opening of the prompt; it does not change as the chat grows. */
-  readonly opening: string;
+  readonly openingHash: string;
 }
 
 function formatFieldPath(path: readonly PropertyKey[]): string {
@@ -124,6 +124,6 @@
     streaming: data.stream === true,
     promptTokens: estimatePromptTokens(data, body.byteLength),
     maximumTokens: tokensPerChoice * (data.n ?? 1),
-    opening: hashOpening(data),
+    openingHash: hashOpening(data),
   };
 }
--- a/src/callers/forwardedHeaders.ts
+++ b/src/callers/forwardedHeaders.ts
@@ -51,7 +51,7 @@
  * @param dropped - names of additional headers not to forward, in lower case.
  * @returns Headers for the runner, names in lower case.
  */
-export function requestHeadersFor(
+export function headersForRunner(
   rawHeaders: readonly string[],
   requestId: string,
   dropped: ReadonlySet<string> = new Set(),
@@ -82,7 +82,7 @@
  * @param headers - the headers that the runner sent.
  * @returns Headers for the caller by name; several values are kept separate, as `Set-Cookie` requires.
  */
-export function answerHeadersFrom(headers: HeaderList): Map<string, string[]> {
+export function headersForCaller(headers: HeaderList): Map<string, string[]> {
   const byName = new Map<string, string[]>();
   for (const [name, value] of withoutHeaders(headers, UNFORWARDED_ANSWER_HEADERS)) {
     if (!isWritable(name, value)) continue;
--- a/src/callers/matchRoute.ts
+++ b/src/callers/matchRoute.ts
@@ -27,7 +27,7 @@
 }
 
 /** Result for a known path that does not support the method of the request. */
-export interface WrongMethod {
+export interface MethodNotAllowed {
   readonly allowed: readonly string[];
 }
 
@@ -64,7 +64,7 @@
  * @param pathname - the path without the query.
  * @returns The name of the route, or the allowed methods when the path does not support this one.
  */
-export function matchRoute(method: string, pathname: string): RouteName | WrongMethod {
+export function matchRoute(method: string, pathname: string): RouteName | MethodNotAllowed {
   const pattern = ROUTE_PATTERNS.find(({ matches }) => matches(pathname));
   if (!pattern) return 'plain';
   return pattern.methods.includes(method) ? pattern.name : { allowed: pattern.methods };
--- a/src/callers/firstRunner.ts
+++ b/src/callers/predictFirstRunner.ts
@@ -8,7 +8,7 @@
 import { weightedOrder } from '../routing/weightedOrder.js';
 
 /** Input of the prediction. */
-export interface FirstRunnerQuestion {
+export interface FirstRunnerInput {
   /** Name of the chat, unique in the fleet. */
   readonly chat: string;
   /** Region of the daemon that predicts. */
@@ -22,13 +22,13 @@
 }
 
 /** The predicted runner and the reason. */
-export interface FirstRunner {
+export interface FirstRunnerPrediction {
   readonly runnerId: string;
   readonly why: 'warm' | 'hash_order';
 }
 
 /** Distance of a runner: 0 in the same data centre, 1 in the same region, 2 elsewhere. */
-function distanceOf({ record }: FleetRunner, { region, dataCentre }: FirstRunnerQuestion): number {
+function distanceOf({ record }: FleetRunner, { region, dataCentre }: FirstRunnerInput): number {
   if (record.region !== region) return 2;
   return record.dataCentre === dataCentre ? 0 : 1;
 }
@@ -40,7 +40,7 @@
  * @returns The live runner with the most cached tokens, otherwise the first in hash order of the nearest live
  *   runners; `undefined` when no runner is live.
  */
-export function firstRunner(input: FirstRunnerQuestion): FirstRunner | undefined {
+export function predictFirstRunner(input: FirstRunnerInput): FirstRunnerPrediction | undefined {
   const live = input.runners.filter(({ state }) => state === 'live');
   const warm = input.warm.find((id) => live.some((runner) => runner.id === id));
   if (warm !== undefined) return { runnerId: warm, why: 'warm' };
--- a/src/callers/relayEvents.ts
+++ b/src/callers/relayEvents.ts
@@ -5,16 +5,16 @@
 import { match } from 'ts-pattern';
 
 import type { CallerEvent } from '../requests/requestTypes.js';
-import type { Answer, StartedEvent } from './Answer.js';
-import { CallerError, errorOfEvent } from './CallerError.js';
-import { CallerGone } from './CallerGone.js';
+import type { AnswerWriter, StartedEvent } from './AnswerWriter.js';
+import { CallerError, errorFromEvent } from './CallerError.js';
+import { CallerDisconnected } from './CallerDisconnected.js';
 import type { Exchange } from './Exchange.js';
 
 const LOWEST_FINAL_STATUS = 200;
 const HIGHEST_STATUS = 599;
 
 /** Creates the answer once the status and headers of the runner are known. */
-export type ChooseAnswer = (started: StartedEvent) => Answer;
+export type ChooseAnswer = (started: StartedEvent) => AnswerWriter;
 
 function isFinalStatus(status: number): boolean {
   return Number.isInteger(status) && status >= LOWEST_FINAL_STATUS && status <= HIGHEST_STATUS;
@@ -31,7 +31,7 @@
 
   private readonly choose: ChooseAnswer;
 
-  private answer: Answer | undefined;
+  private answer: AnswerWriter | undefined;
 
   ended = false;
 
@@ -44,23 +44,23 @@
     if (event.kind === 'chunk') {
       if (!this.answer)
         return this.fail(unusableAnswerError('the runner sent a body without a head'));
-      return this.answer.chunk(event);
+      return this.answer.writeChunk(event);
     }
     return match(event)
       .with({ kind: 'started' }, (started) => this.start(started))
       .with({ kind: 'completed' }, async () => {
         this.ended = true;
         if (!this.answer) return this.fail(unusableAnswerError('the runner ended without a head'));
-        return this.answer.completed();
+        return this.answer.complete();
       })
-      .with({ kind: 'failed' }, (failed) => this.fail(errorOfEvent(failed)))
+      .with({ kind: 'failed' }, (failed) => this.fail(errorFromEvent(failed)))
       .exhaustive();
   }
 
   async fail(error: CallerError): Promise<void> {
     this.ended = true;
-    if (this.answer) await this.answer.failed(error);
-    else await this.exchange.fail(error);
+    if (this.answer) await this.answer.fail(error);
+    else await this.exchange.sendError(error);
   }
 
   private async start(started: StartedEvent): Promise<void> {
@@ -94,7 +94,7 @@
       if (relay.ended) return;
     }
   } catch (error) {
-    if (error instanceof CallerGone) throw error;
+    if (error instanceof CallerDisconnected) throw error;
     // The owner of the request must not throw. If it does, the request may already be running.
     const cause = error instanceof Error ? error : undefined;
     await relay.fail(
--- a/src/callers/reportExchange.ts
+++ b/src/callers/reportExchange.ts
@@ -19,7 +19,7 @@
   const durationMilliseconds = context.clock.monotonicMilliseconds() - exchange.startedAt;
   const status = response.headersSent ? response.statusCode : 0;
   const { route = 'unmatched', code, service, priority, firstByteAt } = notes;
-  context.metrics.answered({
+  context.metrics.recordExchange({
     route,
     clientAccount: clientAccount?.name,
     service,
--- a/src/callers/accountOf.ts
+++ b/src/callers/requireAccount.ts
@@ -13,7 +13,7 @@
  * @throws {@link CallerError} when the request was not authenticated. This would be a bug in the dispatcher; the
  *   check ensures that nothing runs without an account.
  */
-export function accountOf(exchange: Exchange): ClientAccount {
+export function requireAccount(exchange: Exchange): ClientAccount {
   if (exchange.clientAccount) return exchange.clientAccount;
   throw new CallerError({ code: 'unauthenticated', message: 'the key was not checked' });
 }
--- a/src/callers/runRequest.ts
+++ b/src/callers/runRequest.ts
@@ -4,12 +4,12 @@
 import type { ClientAccount, Service } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { CallerRequest } from '../requests/requestTypes.js';
 import { CallerError } from './CallerError.js';
-import { fleetChatName } from './chatName.js';
+import { qualifiedChatName } from './chatName.js';
 import type { Exchange } from './Exchange.js';
 import type { HeaderList } from '../http/connectionHeaders.js';
 import type { ChooseAnswer } from './relayEvents.js';
 import { relayEvents } from './relayEvents.js';
-import { grantPriority } from './serviceAccess.js';
+import { limitPriority } from './serviceAccess.js';
 
 /** Details of a request that its route determines. */
 export interface RunRequestOptions {
@@ -38,9 +38,9 @@
  */
 export async function runRequest(exchange: Exchange, options: RunRequestOptions): Promise<void> {
   const { account, service, chat, choose, idempotent, ...rest } = options;
-  const priority = grantPriority(account, exchange.headers.priority);
+  const priority = limitPriority(account, exchange.headers.priority);
   exchange.note({ priority, chat });
-  const deadlineMilliseconds = exchange.deadlineLeft();
+  const deadlineMilliseconds = exchange.remainingMilliseconds();
   if (deadlineMilliseconds <= 0) {
     throw new CallerError({ code: 'deadline_exceeded', message: 'the deadline has passed' });
   }
@@ -49,7 +49,7 @@
     requestId: exchange.requestId,
     clientAccount: account.name,
     service: service.name,
-    chat: fleetChatName(account.name, chat),
+    chat: qualifiedChatName(account.name, chat),
     priority,
     deadlineMilliseconds,
     idempotent: exchange.headers.idempotent ?? idempotent,
--- a/src/callers/serviceAccess.ts
+++ b/src/callers/serviceAccess.ts
@@ -51,7 +51,11 @@
  * @returns The first service with the model that the account may call.
  * @throws {@link CallerError} `unknown_model` or `forbidden`.
  */
-export function findEngine(fleet: FleetView, account: ClientAccount, model: string): Service {
+export function findEngineService(
+  fleet: FleetView,
+  account: ClientAccount,
+  model: string,
+): Service {
   const services = enginesFor(fleet, account, model);
   if (services.length === 0) {
     throw new CallerError({ code: 'unknown_model', message: `no service has the model ${model}` });
@@ -92,7 +96,7 @@
  * @param pathname - the path of the request, with dot segments resolved.
  * @returns The service, or `undefined` when no prefix matches.
  */
-export function findPlain(fleet: FleetView, pathname: string): Service | undefined {
+export function findPlainService(fleet: FleetView, pathname: string): Service | undefined {
   return fleet
     .configuration()
     .services.filter(({ kind, pathPrefix }) => kind === 'plain' && coversPath(pathPrefix, pathname))
@@ -110,7 +114,7 @@
  * @param requested - the priority that the request names.
  * @returns The priority to use.
  */
-export function grantPriority(
+export function limitPriority(
   account: ClientAccount,
   requested: Priority = DEFAULT_PRIORITY,
 ): Priority {
--- a/src/callers/testFakes.ts
+++ b/src/callers/testFakes.ts
@@ -160,7 +160,7 @@
  * @param eventId - the id of the event.
  * @returns The event.
  */
-export function chunkOf(text: string, eventId: string): CallerEvent {
+export function chunkEvent(text: string, eventId: string): CallerEvent {
   return { kind: 'chunk', data: Buffer.from(text), eventId };
 }
 
@@ -171,12 +171,12 @@
  * @param status - the status of the runner's answer.
  * @returns The event.
  */
-export function startedBy(headers: readonly [string, string][] = [], status = 200): CallerEvent {
+export function startedEvent(headers: readonly [string, string][] = [], status = 200): CallerEvent {
   return { kind: 'started', runnerId: 'runner-1', status, headers, cachedTokens: 7 };
 }
 
 /** Last event of a complete answer. */
-export const COMPLETED: CallerEvent = {
+export const COMPLETED_EVENT: CallerEvent = {
   kind: 'completed',
   promptTokens: 1,
   generatedTokens: 1,
@@ -185,29 +185,29 @@
 
 /** Fake owner of requests that answers by a script and records the requests it receives. */
 export class FakeRequests extends RequestPort {
-  readonly seen: CallerRequest[] = [];
+  readonly receivedRequests: CallerRequest[] = [];
 
   readonly signals: AbortSignal[] = [];
 
   readonly resumed: { clientAccount: string; lastEventId: string }[] = [];
 
   script: RequestScript = async function* answerAtOnce() {
-    yield startedBy();
-    yield chunkOf('{"answer":1}', 'event-1');
-    yield COMPLETED;
+    yield startedEvent();
+    yield chunkEvent('{"answer":1}', 'event-1');
+    yield COMPLETED_EVENT;
   };
 
   override run(request: CallerRequest, signal: AbortSignal): AsyncIterable<CallerEvent> {
-    this.seen.push(request);
+    this.receivedRequests.push(request);
     this.signals.push(signal);
     return this.script(request, signal);
   }
 
   override async *resume(clientAccount: string, lastEventId: string): AsyncIterable<CallerEvent> {
     this.resumed.push({ clientAccount, lastEventId });
-    yield startedBy();
-    yield chunkOf('{"rest":1}', 'event-2');
-    yield COMPLETED;
+    yield startedEvent();
+    yield chunkEvent('{"rest":1}', 'event-2');
+    yield COMPLETED_EVENT;
   }
 
   override async cancel(clientAccount: string, requestId: string): Promise<boolean> {
@@ -244,7 +244,7 @@
    * @param event - the log event.
    * @returns The fields of each of its lines.
    */
-  of(event: LogEvent): LogFields[] {
+  fieldsOf(event: LogEvent): LogFields[] {
     return this.lines.filter((line) => line.event === event).map(({ fields }) => fields);
   }
 }
--- a/src/callers/testServer.ts
+++ b/src/callers/testServer.ts
@@ -96,11 +96,11 @@
  * @param response - the error answer.
  * @returns The content of its `error` field.
  */
-export async function errorOf(response: Response): Promise<ErrorDocument['error']> {
+export async function readError(response: Response): Promise<ErrorDocument['error']> {
   return ((await response.json()) as ErrorDocument).error;
 }
 
-/** Timeout of {@link until}, so that a defect fails the spec instead of blocking it. */
+/** Timeout of {@link waitUntil}, so that a defect fails the spec instead of blocking it. */
 const WAIT_TIMEOUT_MILLISECONDS = 20_000;
 
 /**
@@ -109,7 +109,7 @@
  * @param condition - the condition, checked in every turn of the event loop.
  * @throws When the condition is still false after the timeout of 20 seconds.
  */
-export async function until(condition: () => boolean): Promise<void> {
+export async function waitUntil(condition: () => boolean): Promise<void> {
   const end = performance.now() + WAIT_TIMEOUT_MILLISECONDS;
   while (!condition()) {
     if (performance.now() > end)
--- a/src/commands/operator/ApplyCommand.ts
+++ b/src/commands/operator/ApplyCommand.ts
@@ -50,7 +50,7 @@
   }
 
   protected override placeOf(field: string): FindingPlace {
-    return this.parsed?.placeOf(field) ?? { field };
+    return this.parsed?.placeOfRequestField(field) ?? { field };
   }
 
   private async content(): Promise<string> {
--- a/src/commands/operator/StatusCommand.ts
+++ b/src/commands/operator/StatusCommand.ts
@@ -53,7 +53,7 @@
     let silent = 0;
     for (const endpoint of client.endpoints) {
       try {
-        const status = await client.at(endpoint, FleetService).status({ service });
+        const status = await client.clientOf(endpoint, FleetService).status({ service });
         answers.push(status);
         for (const gate of status.gates) gates.set(`${status.daemonId}/${gate.runnerId}`, gate);
       } catch (error) {
--- a/src/commands/operator/operatorCommands.spec.ts
+++ b/src/commands/operator/operatorCommands.spec.ts
@@ -90,10 +90,12 @@
       1,
       [`${file}:7:5`, 'clientAccounts[1].wait'],
     ]);
-    server.changes.rules = () => [{ place: { field: 'edits[1].weight' }, message: 'is too large' }];
+    server.changes.validateEdits = () => [
+      { place: { field: 'edits[1].weight' }, message: 'is too large' },
+    ];
     const good = path.join(directory, 'good.yaml');
     const theirs = await run('apply', good);
-    server.changes.rules = () => [];
+    server.changes.validateEdits = () => [];
     expect([theirs.code, theirs.errors]).toEqual([
       1,
       `${good}:7:13: clientAccounts[1].weight: is too large\n`,
--- a/src/commands/operator/resourceCommands.ts
+++ b/src/commands/operator/resourceCommands.ts
@@ -19,8 +19,8 @@
   RESOURCE_CASES,
   RESOURCE_SCHEMAS,
   findField,
-  valueFromText,
-  valueMistakes,
+  parseFieldValue,
+  checkFieldValue,
   writableFields,
 } from '../../operators/resourceFields.js';
 import type { ResourceKind } from '../../operators/resourceKinds.js';
@@ -185,8 +185,8 @@
         findings.push({ place: { field: name }, message: field });
         continue;
       }
-      const value = valueFromText(field, separator < 0 ? '' : setting.slice(separator + 1));
-      for (const { message } of valueMistakes(field, value)) {
+      const value = parseFieldValue(field, separator < 0 ? '' : setting.slice(separator + 1));
+      for (const { message } of checkFieldValue(field, value)) {
         findings.push({ place: { field: name }, message });
       }
       fields[name] = value;
--- a/src/configuration/entities.ts
+++ b/src/configuration/entities.ts
@@ -7,7 +7,7 @@
 
 import { ConfigurationEntitySchema } from '../generated/baobabdock/v1/changes_pb.js';
 import type { ConfigurationEntity, EntityEdit } from '../generated/baobabdock/v1/changes_pb.js';
-import { keyOf } from '../operators/resourceKinds.js';
+import { entityKeyOf } from '../operators/resourceKinds.js';
 import type { EntityKind } from '../operators/resourceKinds.js';
 
 /** Field of the configuration that holds the entities of each kind. */
@@ -37,7 +37,7 @@
  * @returns Its kind and name, or `undefined` if it is empty or of a kind from a newer schema.
  */
 export function nameOfEntity({ entity }: ConfigurationEntity): EntityName | undefined {
-  return entity.case === undefined ? undefined : keyOf(entity);
+  return entity.case === undefined ? undefined : entityKeyOf(entity);
 }
 
 /**
--- a/src/coordination/CoordinatedSelector.spec.ts
+++ b/src/coordination/CoordinatedSelector.spec.ts
@@ -103,7 +103,7 @@
     // wait for a coordinator that does not answer.
     expect((await select())?.runner === undefined).toEqual(false);
     expect((await select())?.runner === undefined).toEqual(false);
-    expect(log.of(coordinationLogEvents.coordinatorUnresponsive).length).toEqual(1);
+    expect(log.fieldsOf(coordinationLogEvents.coordinatorUnresponsive).length).toEqual(1);
     await select();
     expect(socket.questions.length).toEqual(2);
   });
--- a/src/coordination/FleetCoordination.spec.ts
+++ b/src/coordination/FleetCoordination.spec.ts
@@ -115,7 +115,7 @@
     await pass(DETECTION_MILLISECONDS);
     expect(coordination.isFirst).toEqual(true);
     expect(coordination.namesOfChoosingDaemons()).toEqual(['daemon-02', 'daemon-03', 'daemon-04']);
-    expect(log.of(livenessLogEvents.daemonsOut).flatMap(({ daemons }) => daemons)).toEqual([
+    expect(log.fieldsOf(livenessLogEvents.daemonsOut).flatMap(({ daemons }) => daemons)).toEqual([
       'daemon-00',
       'daemon-01',
     ]);
@@ -144,6 +144,6 @@
     peers.dead.clear();
     await pass(DETECTION_MILLISECONDS);
     expect(coordination.coordinators.map(({ name }) => name)).toEqual(before);
-    expect(log.of(livenessLogEvents.daemonsBack).length).toEqual(1);
+    expect(log.fieldsOf(livenessLogEvents.daemonsBack).length).toEqual(1);
   });
 });
--- a/src/daemon/Daemon.ts
+++ b/src/daemon/Daemon.ts
@@ -17,8 +17,8 @@
 import type { DaemonContext, DaemonParts } from './createParts.js';
 import { createParts } from './createParts.js';
 import { daemonLogEvents } from './daemonFeature.js';
-import { drainedByOperators } from './drainedByOperators.js';
-import { toPoolNews } from './poolNews.js';
+import { waitForOperatorDrain } from './waitForOperatorDrain.js';
+import { poolNewsOf } from './poolNews.js';
 import { refreshMetrics } from './refreshMetrics.js';
 import { selfMember } from './selfMember.js';
 
@@ -54,8 +54,8 @@
     this.context = { settings, log, clock };
     this.parts = createParts(this.context);
     const { fleet, metrics } = this.parts;
-    metrics.beforePage = () => refreshMetrics(this.parts);
-    this.drained = drainedByOperators(fleet, fleet.self().incarnation);
+    metrics.updateGauges = () => refreshMetrics(this.parts);
+    this.drained = waitForOperatorDrain(fleet, fleet.self().incarnation);
     fleet.onChange((change, member) => this.fleetChanged(change, member));
   }
 
@@ -178,7 +178,7 @@
       configurationRevision: fleet.configurationRevision(),
       configurationDigest: configuration.documents.configuration.state().digest,
       runnersRevision: fleet.runnersRevision(),
-      pools: gates.poolDigests().map(toPoolNews),
+      pools: gates.poolDigests().map(poolNewsOf),
     });
   }
 }
--- a/src/daemon/DaemonMetrics.ts
+++ b/src/daemon/DaemonMetrics.ts
@@ -1,7 +1,7 @@
 /**
  * The metrics of one daemon: measurements of the callers' interface, gauges of the daemon, and the page for scrapes.
  */
-import type { AnsweredExchange, MetricsPage } from '../callers/CallerMetrics.js';
+import type { ExchangeMeasurement, MetricsPage } from '../callers/CallerMetrics.js';
 import { CallerMetrics } from '../callers/CallerMetrics.js';
 import type { Counter } from '../metrics/Counter.js';
 import type { Gauge } from '../metrics/Gauge.js';
@@ -23,7 +23,7 @@
 /** Registers and records the daemon's metrics, and formats the page. */
 export class DaemonMetrics extends CallerMetrics {
   /** Called before each page is formatted, to update the gauges. */
-  beforePage: () => void = () => {};
+  updateGauges: () => void = () => {};
 
   private readonly registry: MetricRegistry;
 
@@ -82,7 +82,7 @@
     });
   }
 
-  override answered(exchange: AnsweredExchange): void {
+  override recordExchange(exchange: ExchangeMeasurement): void {
     const { route, status, code = '' } = exchange;
     this.answers.increment({ route, status: String(status), code });
     this.duration.record(exchange.durationMilliseconds / MILLISECONDS_PER_SECOND, { route });
@@ -97,7 +97,7 @@
    * @param what - the gauge's name, for example `gates`.
    * @param value - the current value.
    */
-  set(what: string, value: number): void {
+  setGauge(what: string, value: number): void {
     this.gauges.set(value, { what });
   }
 
@@ -112,8 +112,8 @@
     this.peerBytes.set(receivedBytes, { call, side, direction: 'received' });
   }
 
-  override page(): MetricsPage {
-    this.beforePage();
+  override renderPage(): MetricsPage {
+    this.updateGauges();
     return { contentType: SCRAPE_CONTENT_TYPE, text: formatScrapePage(this.registry.snapshot()) };
   }
 }
--- a/src/daemon/createMembership.ts
+++ b/src/daemon/createMembership.ts
@@ -8,7 +8,7 @@
 import type { MembershipListener } from '../membership/MembershipTask.js';
 import { MembershipTask } from '../membership/MembershipTask.js';
 import type { DaemonContext, DaemonParts } from './createParts.js';
-import { LARGEST_SEED } from './createParts.js';
+import { SEED_LIMIT } from './createParts.js';
 
 /**
  * @param context - settings, log and clock.
@@ -28,7 +28,7 @@
   const place = { peerAddress, callerAddress, region, dataCentre, firm };
   const decisions = new MembershipDecisions({
     self: { daemonId, incarnation, version: 1, state: 'alive', ...place },
-    seed: randomInt(LARGEST_SEED),
+    seed: randomInt(SEED_LIMIT),
     tuning: settings.membership,
   });
   const { awayThresholdMilliseconds } = settings.membership;
--- a/src/daemon/createOrders.ts
+++ b/src/daemon/createOrderSupervisor.ts
@@ -10,8 +10,8 @@
 import type { Clock } from '../time/Clock.js';
 import { createUpstream } from '../upstreams/createUpstream.js';
 
-/** Options of {@link createOrders}. */
-export interface CreateOrdersOptions {
+/** Options of {@link createOrderSupervisor}. */
+export interface CreateOrderSupervisorOptions {
   settings: Settings;
   fleet: FleetView;
   store: PlatformStore;
@@ -24,7 +24,10 @@
  * @param options - the daemon's settings and the parts that the supervisor uses.
  * @returns The supervisor, not yet started.
  */
-export function createOrders({ settings, ...others }: CreateOrdersOptions): OrderSupervisor {
+export function createOrderSupervisor({
+  settings,
+  ...others
+}: CreateOrderSupervisorOptions): OrderSupervisor {
   return new OrderSupervisor({
     ...others,
     settings: settings.orders,
--- a/src/daemon/createParts.ts
+++ b/src/daemon/createParts.ts
@@ -33,7 +33,7 @@
 import { RequestOwner } from '../requests/RequestOwner.js';
 import type { Settings } from '../settings/settingsSchema.js';
 import type { Clock } from '../time/Clock.js';
-import { createOrders } from './createOrders.js';
+import { createOrderSupervisor } from './createOrderSupervisor.js';
 import { DaemonMetrics } from './DaemonMetrics.js';
 import { HostedGateStatus } from './HostedGateStatus.js';
 import { selfMember } from './selfMember.js';
@@ -63,7 +63,7 @@
 }
 
 /** Upper limit, exclusive, of the random seeds. */
-export const LARGEST_SEED = 2 ** 31;
+export const SEED_LIMIT = 2 ** 31;
 
 function createPeers({ settings, log, clock }: DaemonContext) {
   const tokens = new SignedTokens({ secrets: settings.peers.fleetSecrets });
@@ -96,7 +96,7 @@
     clock,
     log,
     settings: settings.configuration,
-    random: seededRandom(randomInt(LARGEST_SEED)),
+    random: seededRandom(randomInt(SEED_LIMIT)),
     listener: {
       onConfiguration: (configuration, revision) =>
         fleet.applyConfiguration(configuration, revision),
@@ -194,12 +194,12 @@
     settings: settings.operators,
     fleet,
     gates: new HostedGateStatus({ host: gates, fleet }),
-    metricsPage: () => metrics.page().text,
+    metricsPage: () => metrics.renderPage().text,
     changes,
     clock,
     log,
   });
-  const orders = createOrders({ settings, fleet, store, changes, clock, log });
+  const orders = createOrderSupervisor({ settings, fleet, store, changes, clock, log });
   return {
     fleet,
     link,
--- a/src/daemon/poolNews.ts
+++ b/src/daemon/poolNews.ts
@@ -8,7 +8,7 @@
  * @param digest - load of one pool on the gates of this daemon, as a protobuf message.
  * @returns The same values as a plain object.
  */
-export function toPoolNews(digest: PoolDigest): PoolNews {
+export function poolNewsOf(digest: PoolDigest): PoolNews {
   const { service, runners, load, lightestRunner, lightestLoad } = digest;
   return { service, runners, load, lightestRunner, lightestLoad };
 }
--- a/src/daemon/refreshMetrics.ts
+++ b/src/daemon/refreshMetrics.ts
@@ -10,16 +10,16 @@
  */
 export function refreshMetrics(parts: DaemonParts): void {
   const { metrics, gates, requests, fleet, platformCalls, link, peers } = parts;
-  metrics.set('gates', gates.hosted().size);
-  metrics.set('attempts', gates.inProgress());
-  metrics.set('requests', requests.inProgress());
-  metrics.set('members', fleet.members().length);
-  metrics.set('configuration_revision', fleet.configurationRevision());
+  metrics.setGauge('gates', gates.hosted().size);
+  metrics.setGauge('attempts', gates.inProgress());
+  metrics.setGauge('requests', requests.inProgress());
+  metrics.setGauge('members', fleet.members().length);
+  metrics.setGauge('configuration_revision', fleet.configurationRevision());
   const { user, system } = process.cpuUsage();
-  metrics.set('processor_seconds', (user + system) / MICROSECONDS_PER_SECOND);
-  metrics.set('resident_bytes', process.memoryUsage.rss());
+  metrics.setGauge('processor_seconds', (user + system) / MICROSECONDS_PER_SECOND);
+  metrics.setGauge('resident_bytes', process.memoryUsage.rss());
   const platform = platformCalls.read();
-  metrics.set('platform_calls_per_second', platform.callsPerSecond);
+  metrics.setGauge('platform_calls_per_second', platform.callsPerSecond);
   for (const count of [...link.traffic.snapshot(), ...peers.traffic.snapshot()]) {
     metrics.setTraffic(count);
   }
--- a/src/daemon/drainedByOperators.ts
+++ b/src/daemon/waitForOperatorDrain.ts
@@ -12,7 +12,7 @@
  * @param startIncarnation - the incarnation with which this process started.
  * @returns A promise that resolves when a drain of this process is in force.
  */
-export function drainedByOperators(fleet: FleetState, startIncarnation: bigint): Promise<void> {
+export function waitForOperatorDrain(fleet: FleetState, startIncarnation: bigint): Promise<void> {
   const { daemonId } = fleet.self();
   const drained = () =>
     fleet
--- a/src/forwarding/ForwardedRequest.spec.ts
+++ b/src/forwarding/ForwardedRequest.spec.ts
@@ -58,8 +58,8 @@
       await test.pass(1_400);
       runner.end(eventOf(2) + eventOf(3));
       expect(eventsIn(await caller)).toEqual(['token 1', 'token 2', 'token 3']);
-      expect(test.log.of(forwardingLogEvents.attemptFailed)).toEqual([]);
-      expect(test.log.of(forwardingLogEvents.linkSuspected).length).toEqual(1);
+      expect(test.log.fieldsOf(forwardingLogEvents.attemptFailed)).toEqual([]);
+      expect(test.log.fieldsOf(forwardingLogEvents.linkSuspected).length).toEqual(1);
     });
 
     it('stays with a runner that sends data while a new connection to it hangs', async () => {
--- a/src/forwarding/LinkCheck.spec.ts
+++ b/src/forwarding/LinkCheck.spec.ts
@@ -70,10 +70,12 @@
     const suspect = addRunner('suspect', hanging.port);
     addRunner('dark', hanging.port);
     expect([await askLink(suspect), await askLink(suspect)]).toEqual([false, false]);
-    expect(log.of(forwardingLogEvents.linkSuspected).length).toEqual(1);
+    expect(log.fieldsOf(forwardingLogEvents.linkSuspected).length).toEqual(1);
     addRunner('there', openPort, 1);
     expect([await askLink(suspect), await askLink(suspect)]).toEqual([true, true]);
-    expect(log.of(forwardingLogEvents.linkSound)).toEqual([{ witness: 'there', milliseconds: 0 }]);
+    expect(log.fieldsOf(forwardingLogEvents.linkSound)).toEqual([
+      { witness: 'there', milliseconds: 0 },
+    ]);
   });
 
   it('eventually probes a distant runner if all that sent data last are unresponsive', async () => {
--- a/src/gates/CacheMoveTask.spec.ts
+++ b/src/gates/CacheMoveTask.spec.ts
@@ -56,7 +56,7 @@
 /** Creates a cache move task with fake homes and upstreams, and records how its moves ended. */
 function createMoveBench(state: FleetRunner['state']) {
   const fleet = new MovingFleetView();
-  fleet.runnersKnown = [
+  fleet.fleetRunners = [
     runnerOf('old', state),
     runnerOf('new', 'live'),
     ...(state === 'live' ? [runnerOf('third', 'live')] : [runnerOf('gone', 'leaving')]),
--- a/src/gates/GateHost.spec.ts
+++ b/src/gates/GateHost.spec.ts
@@ -149,7 +149,7 @@
     for (const self of members) {
       const fleet = new SettableFleetView();
       fleet.daemons = [self, ...members.filter((member) => member !== self)];
-      fleet.runnersKnown = [runnerOf(RUNNER)];
+      fleet.fleetRunners = [runnerOf(RUNNER)];
       fleet.inForce = () => create(ConfigurationSchema, { services });
       const upstreams = new Map<string, TestUpstream>();
       const homes = new RecordingHomes();
@@ -270,11 +270,11 @@
 
   it('moves the cached chats of a runner that leaves by plan, once, and tells their homes', async () => {
     const { fleet, host, homes, upstreams } = at('a');
-    fleet.runnersKnown = [runnerOf(RUNNER), runnerOf('runner-2')];
+    fleet.fleetRunners = [runnerOf(RUNNER), runnerOf('runner-2')];
     setHolder('a', 'a');
     gateAt('a').watch.recordChatUse('long', 5_000);
     gateAt('a').watch.recordChatUse('short', 10);
-    fleet.runnersKnown = [{ ...runnerOf(RUNNER), state: 'leaving' }, runnerOf('runner-2')];
+    fleet.fleetRunners = [{ ...runnerOf(RUNNER), state: 'leaving' }, runnerOf('runner-2')];
     host.reconcile();
     host.reconcile();
     const places = () => homes.told.map(({ chat, runnerId }) => `${chat} ${runnerId}`);
@@ -284,7 +284,7 @@
   });
 
   it('opens the other gates when one runner has an invalid address', () => {
-    at('a').fleet.runnersKnown = [runnerOf('runner-0', ''), runnerOf(RUNNER)];
+    at('a').fleet.fleetRunners = [runnerOf('runner-0', ''), runnerOf(RUNNER)];
     setHolder('a', 'a');
     expect([...at('a').host.hosted().keys()]).toEqual([RUNNER]);
     expect(
--- a/src/operators/ChangeSubmitter.ts
+++ b/src/operators/ChangeSubmitter.ts
@@ -13,13 +13,13 @@
 import { ChangeResponseSchema } from '../generated/baobabdock/v1/operators_pb.js';
 import type { Log } from '../logging/Log.js';
 import type { ChangeOutcome, ConfigurationChanges } from './ConfigurationChanges.js';
-import { relocateFindings } from './findingFields.js';
-import { historyEntry, touches } from './historyEntries.js';
+import { findingsOfRequest } from './findingsOfRequest.js';
+import { historyEntryOf, editsEntity } from './historyEntries.js';
 import type { CheckedOrigin } from './operatorContext.js';
-import { refusal } from './operatorErrors.js';
+import { refusalError } from './operatorErrors.js';
 import { operatorsFeature } from './operatorsFeature.js';
 import type { EntityKind } from './resourceKinds.js';
-import { entityOf, keyOf } from './resourceKinds.js';
+import { entityOf, entityKeyOf } from './resourceKinds.js';
 
 /** Number of attempts of a change that the daemon computes from the newest value, the first attempt included. */
 const MAXIMUM_MODIFY_ATTEMPTS = 4;
@@ -31,14 +31,14 @@
 const REPEAT_HISTORY_CHANGES = 1000;
 
 /** One edit with the field of the request that it was made from, for error messages. */
-export interface PlacedEdit {
+export interface EditWithField {
   readonly edit: EntityEdit;
   /** Path of the field, for example `resources[3].service`. */
   readonly field: string;
 }
 
 /** A change of one entity that is computed from the entity's current value. */
-export interface Modification {
+export interface EntityModification {
   readonly origin: CheckedOrigin;
   readonly kind: EntityKind;
   readonly name: string;
@@ -63,13 +63,13 @@
  * @param edit - an edit with an entity in it.
  * @returns Kind and name of the entity that the edit changes or removes.
  */
-export function targetOf(edit: EntityEdit): { kind: EntityKind; name: string } {
+export function editedEntityOf(edit: EntityEdit): { kind: EntityKind; name: string } {
   if (edit.edit.case === 'remove') {
     return { kind: edit.edit.value.kind as EntityKind, name: edit.edit.value.name };
   }
   const value = edit.edit.value?.entity;
   if (!value || value.case === undefined) throw new Error('An edit without an entity was built.');
-  return keyOf(value);
+  return entityKeyOf(value);
 }
 
 /** A conflict with another change. It keeps the newer value, so that the change can be computed again from it. */
@@ -109,7 +109,7 @@
    */
   async submit(
     origin: CheckedOrigin,
-    placed: readonly PlacedEdit[],
+    placed: readonly EditWithField[],
     options: { creating?: boolean; dryRun?: boolean } = {},
   ): Promise<ChangeResponse> {
     const effects = placed.map(({ edit }) => this.effectOf(edit));
@@ -145,7 +145,7 @@
    * @returns The answer for the operator.
    * @throws ConnectError as {@link ChangeSubmitter.submit}; `aborted` if the last attempt met a conflict, too.
    */
-  async modify(modification: Modification): Promise<ChangeResponse> {
+  async modify(modification: EntityModification): Promise<ChangeResponse> {
     const { origin, kind, name, field, modify } = modification;
     let current = this.changes.entity(kind, name);
     let conflict: ConnectError | undefined;
@@ -154,7 +154,7 @@
       try {
         wanted = await modify(current);
       } catch (error) {
-        return this.repeatOf(origin, error);
+        return this.answerRepeat(origin, error);
       }
       const edit = create(EntityEditSchema, {
         expectedRevision: current?.changedRevision ?? 0n,
@@ -185,16 +185,16 @@
    * @returns The answer to a repeated change.
    * @throws The given error if the history does not hold the change id.
    */
-  async repeatOf(origin: CheckedOrigin, error: unknown): Promise<ChangeResponse> {
+  async answerRepeat(origin: CheckedOrigin, error: unknown): Promise<ChangeResponse> {
     const history = await this.changes.history(REPEAT_HISTORY_CHANGES).catch(() => []);
     const earlierChange = history.find(({ changeId }) => changeId === origin.changeId);
     if (!earlierChange) throw error;
-    const { revision, effects } = historyEntry(earlierChange);
+    const { revision, effects } = historyEntryOf(earlierChange);
     return create(ChangeResponseSchema, { revision, repeated: true, effects });
   }
 
   private effectOf(edit: EntityEdit): { kind: EntityKind; name: string; effect: string } {
-    const target = targetOf(edit);
+    const target = editedEntityOf(edit);
     const current = this.changes.entity(target.kind, target.name);
     if (edit.edit.case === 'remove')
       return { ...target, effect: current ? 'removed' : 'unchanged' };
@@ -209,7 +209,7 @@
 
   private async refusalOf(
     origin: CheckedOrigin,
-    placed: readonly PlacedEdit[],
+    placed: readonly EditWithField[],
     outcome: Exclude<ChangeOutcome, { kind: 'accepted' }>,
     creating: boolean,
   ): Promise<ConnectError> {
@@ -220,21 +220,21 @@
         : operatorsFeature.logEvents.refused;
     this.log.write(event, { changeId, operator: author, outcome: outcome.kind });
     if (outcome.kind === 'invalid') {
-      return refusal({ ...outcome, findings: relocateFindings(outcome.findings, placed) });
+      return refusalError({ ...outcome, findings: findingsOfRequest(outcome.findings, placed) });
     }
-    if (outcome.kind !== 'conflict') return refusal(outcome);
+    if (outcome.kind !== 'conflict') return refusalError(outcome);
     const edit = placed[outcome.edit]?.edit;
     const changedBy = edit ? await this.findLastChange(edit) : undefined;
-    const error = refusal(outcome, { creating, ...(changedBy && { changedBy }) });
+    const error = refusalError(outcome, { creating, ...(changedBy && { changedBy }) });
     return new EditConflictError(error, outcome.current);
   }
 
   private async findLastChange(edit: EntityEdit): Promise<HistoryEntry | undefined> {
-    const target = targetOf(edit);
+    const target = editedEntityOf(edit);
     try {
       const history = await this.changes.history(CONFLICT_HISTORY_CHANGES);
-      const found = history.find((change) => touches(change, target.kind, target.name));
-      return found && historyEntry(found);
+      const found = history.find((change) => editsEntity(change, target.kind, target.name));
+      return found && historyEntryOf(found);
     } catch {
       // The author of the newer value is optional: if the store does not answer, the conflict is reported without it.
       return undefined;
--- a/src/operators/FixedFleetView.ts
+++ b/src/operators/FixedFleetView.ts
@@ -23,7 +23,7 @@
   /** All daemons; the first one is this daemon. */
   daemons: Member[] = [];
 
-  runnersKnown: FleetRunner[] = [];
+  fleetRunners: FleetRunner[] = [];
 
   revision = 0;
 
@@ -65,11 +65,11 @@
   }
 
   override runners(service: string): readonly FleetRunner[] {
-    return this.runnersKnown.filter(({ record }) => record.service === service);
+    return this.fleetRunners.filter(({ record }) => record.service === service);
   }
 
   override runner(runnerId: string): FleetRunner | undefined {
-    return this.runnersKnown.find(({ id }) => id === runnerId);
+    return this.fleetRunners.find(({ id }) => id === runnerId);
   }
 
   override gateOf(runnerId: string): Member | undefined {
--- a/src/operators/FleetHandlers.ts
+++ b/src/operators/FleetHandlers.ts
@@ -28,8 +28,8 @@
 import { daemonRevisions } from './daemonRevisions.js';
 import { daemonStatus, fleetStatus } from './fleetStatus.js';
 import type { GateStatusSource } from './GateStatusSource.js';
-import { callerOf, originOf } from './operatorContext.js';
-import { invalidField, notFound } from './operatorErrors.js';
+import { authenticatedOperator, checkOrigin } from './operatorContext.js';
+import { invalidFieldError, notFoundError } from './operatorErrors.js';
 import { drainName, entityOf } from './resourceKinds.js';
 
 /** Longest wait for a revision if the request does not set one. */
@@ -69,16 +69,16 @@
   }
 
   status = (request: StatusRequest, context: HandlerContext): StatusResponse => {
-    callerOf(context);
+    authenticatedOperator(context);
     const { fleet, gates } = this.options;
     if (request.service !== '' && !fleet.service(request.service)) {
-      throw notFound('service', request.service);
+      throw notFoundError('service', request.service);
     }
     return fleetStatus(fleet, gates.gateReadings(), request.service);
   };
 
   readMetrics = (_request: ReadMetricsRequest, context: HandlerContext): ReadMetricsResponse => {
-    callerOf(context);
+    authenticatedOperator(context);
     const { fleet, metricsPage } = this.options;
     return create(ReadMetricsResponseSchema, {
       daemonId: fleet.self().daemonId,
@@ -87,7 +87,7 @@
   };
 
   drain = async (request: DrainRequest, context: HandlerContext): Promise<ChangeResponse> => {
-    const origin = originOf(context, request.origin);
+    const origin = checkOrigin(context, request.origin);
     const { kind, id } = request;
     const incarnation = this.incarnationOf(kind, id);
     const drain = create(DrainSchema, {
@@ -104,7 +104,7 @@
     request: LiftDrainRequest,
     context: HandlerContext,
   ): Promise<ChangeResponse> => {
-    const origin = originOf(context, request.origin);
+    const origin = checkOrigin(context, request.origin);
     return this.changeDrain(origin, request, undefined);
   };
 
@@ -112,7 +112,7 @@
     request: WaitInForceRequest,
     context: HandlerContext,
   ): Promise<WaitInForceResponse> => {
-    callerOf(context);
+    authenticatedOperator(context);
     const { fleet, clock, pause, maximumWaitMilliseconds } = this.options;
     const wanted = request.timeoutMilliseconds || DEFAULT_WAIT_MILLISECONDS;
     const started = clock.monotonicMilliseconds();
@@ -137,7 +137,7 @@
   };
 
   private changeDrain(
-    origin: ReturnType<typeof originOf>,
+    origin: ReturnType<typeof checkOrigin>,
     target: Pick<Drain, 'kind' | 'id'>,
     wanted: Drain | undefined,
   ): Promise<ChangeResponse> {
@@ -149,7 +149,7 @@
       field: 'id',
       modify: (current) => {
         if (wanted) return entityOf({ case: 'drain', value: wanted });
-        if (!current) throw notFound('drain', name);
+        if (!current) throw notFoundError('drain', name);
         return undefined;
       },
     });
@@ -159,14 +159,14 @@
     const { fleet } = this.options;
     if (kind === 'daemon') {
       const member = fleet.members().find(({ daemonId }) => daemonId === id);
-      if (!member) throw notFound(kind, id);
+      if (!member) throw notFoundError(kind, id);
       return member.incarnation;
     }
     if (kind === 'runner') {
       const runner = fleet.runner(id);
-      if (!runner) throw notFound(kind, id);
+      if (!runner) throw notFoundError(kind, id);
       return runner.record.incarnation;
     }
-    throw invalidField('kind', 'has to be daemon or runner');
+    throw invalidFieldError('kind', 'has to be daemon or runner');
   }
 }
--- a/src/operators/KeyHandlers.ts
+++ b/src/operators/KeyHandlers.ts
@@ -19,8 +19,8 @@
 import { CreateKeyResponseSchema } from '../generated/baobabdock/v1/operators_pb.js';
 import type { Log } from '../logging/Log.js';
 import type { ChangeSubmitter } from './ChangeSubmitter.js';
-import { originOf } from './operatorContext.js';
-import { invalidField, notFound } from './operatorErrors.js';
+import { checkOrigin } from './operatorContext.js';
+import { invalidFieldError, notFoundError } from './operatorErrors.js';
 import { operatorsFeature } from './operatorsFeature.js';
 import { entityOf } from './resourceKinds.js';
 
@@ -37,7 +37,7 @@
 }
 
 function accountOf(entity: ConfigurationEntity | undefined, name: string): ClientAccount {
-  if (entity?.entity.case !== 'clientAccount') throw notFound('client_account', name);
+  if (entity?.entity.case !== 'clientAccount') throw notFoundError('client_account', name);
   return clone(ClientAccountSchema, entity.entity.value);
 }
 
@@ -63,7 +63,7 @@
     request: CreateKeyRequest,
     context: HandlerContext,
   ): Promise<CreateKeyResponse> => {
-    const origin = originOf(context, request.origin);
+    const origin = checkOrigin(context, request.origin);
     const name = request.clientAccount;
     const { key, stored } = createKey(name);
     const { keyId, salt, digest } = stored;
@@ -75,7 +75,7 @@
       modify: (current) => {
         const account = accountOf(current, name);
         if (account.keys.length >= MAXIMUM_KEYS_PER_ACCOUNT) {
-          throw invalidField(
+          throw invalidFieldError(
             'clientAccount',
             `has ${MAXIMUM_KEYS_PER_ACCOUNT} keys; remove one first`,
           );
@@ -106,7 +106,7 @@
     request: RemoveKeyRequest,
     context: HandlerContext,
   ): Promise<ChangeResponse> => {
-    const origin = originOf(context, request.origin);
+    const origin = checkOrigin(context, request.origin);
     const { clientAccount: name, keyId } = request;
     return this.submitter.modify({
       origin,
@@ -116,7 +116,7 @@
       modify: (current) => {
         const account = accountOf(current, name);
         const left = account.keys.filter((key) => key.keyId !== keyId);
-        if (left.length === account.keys.length) throw notFound('key', keyId);
+        if (left.length === account.keys.length) throw notFoundError('key', keyId);
         account.keys = left;
         return entityOfAccount(account);
       },
--- a/src/operators/MemoryConfigurationChanges.ts
+++ b/src/operators/MemoryConfigurationChanges.ts
@@ -19,27 +19,27 @@
 import type { ChangeOutcome, RequestedChange } from './ConfigurationChanges.js';
 import { ConfigurationChanges } from './ConfigurationChanges.js';
 import type { EntityKind } from './resourceKinds.js';
-import { entityOf, keyOf } from './resourceKinds.js';
+import { entityOf, entityKeyOf } from './resourceKinds.js';
 
 /** A fault that a test injects into one change: the store is unavailable, or the change is made and its answer lost. */
-export type MemoryFault = 'unavailable' | 'lost_answer';
+export type InjectedFault = 'unavailable' | 'lost_answer';
 
-function targetOf(edit: EntityEdit): { kind: EntityKind; name: string } {
+function editedEntityOf(edit: EntityEdit): { kind: EntityKind; name: string } {
   if (edit.edit.case === 'remove') {
     return { kind: edit.edit.value.kind as EntityKind, name: edit.edit.value.name };
   }
   const value = edit.edit.value?.entity;
   if (!value || value.case === undefined) throw new RangeError('An edit holds nothing.');
-  return keyOf(value);
+  return entityKeyOf(value);
 }
 
 /** Keeps entities in memory, with compare-and-swap for each entity, idempotent change ids and a history. */
 export class MemoryConfigurationChanges extends ConfigurationChanges {
   /** Faults of the next changes, one for each change, in order. */
-  readonly faults: MemoryFault[] = [];
+  readonly faults: InjectedFault[] = [];
 
   /** Validates the edits of a change. Returns no findings unless a test replaces it. */
-  rules: (edits: readonly EntityEdit[]) => readonly Finding[] = () => [];
+  validateEdits: (edits: readonly EntityEdit[]) => readonly Finding[] = () => [];
 
   private readonly entitiesByKey = new Map<string, ConfigurationEntity>();
 
@@ -90,14 +90,14 @@
     const made = this.log.find((entry) => entry.changeId === changeId);
     if (made) return { kind: 'accepted', revision: Number(made.revision), repeated: true };
     for (const [position, edit] of edits.entries()) {
-      const { kind, name } = targetOf(edit);
+      const { kind, name } = editedEntityOf(edit);
       const current = this.entity(kind, name);
       const expected = edit.expectedRevision;
       if (expected !== undefined && expected !== (current?.changedRevision ?? 0n)) {
         return { kind: 'conflict', revision: this.now, edit: position, current };
       }
     }
-    const findings = this.rules(edits);
+    const findings = this.validateEdits(edits);
     if (findings.length > 0) return { kind: 'invalid', findings };
     if (dryRun) return { kind: 'accepted', revision: this.now, repeated: false };
     this.now += 1;
@@ -115,7 +115,7 @@
   }
 
   private put(edit: EntityEdit): void {
-    const { kind, name } = targetOf(edit);
+    const { kind, name } = editedEntityOf(edit);
     const key = `${kind}/${name}`;
     if (edit.edit.case !== 'upsert') {
       this.entitiesByKey.delete(key);
--- a/src/operators/OperatorClient.ts
+++ b/src/operators/OperatorClient.ts
@@ -64,7 +64,7 @@
     let failure: ConnectError | undefined;
     for (const endpoint of this.endpoints) {
       try {
-        return await call(this.at(endpoint, service));
+        return await call(this.clientOf(endpoint, service));
       } catch (error) {
         const refusal = ConnectError.from(error);
         if (!FAILOVER_CODES.has(refusal.code)) throw refusal;
@@ -79,7 +79,7 @@
    * @param service - the service in the schema.
    * @returns A client that calls only this daemon.
    */
-  at<Service extends DescService>(endpoint: string, service: Service): Client<Service> {
+  clientOf<Service extends DescService>(endpoint: string, service: Service): Client<Service> {
     const authorize: Interceptor = (next) => (request) => {
       request.header.set('authorization', `Bearer ${this.token}`);
       return next(request);
--- a/src/operators/OperatorServer.spec.ts
+++ b/src/operators/OperatorServer.spec.ts
@@ -4,7 +4,7 @@
 import { Code, ConnectError } from '@connectrpc/connect';
 import { expect } from 'earl';
 
-import { accountOfKey, verifyKey } from '../callers/accountKeys.js';
+import { accountNameOfKey, verifyKey } from '../callers/accountKeys.js';
 import { RunnerRecordSchema } from '../generated/baobabdock/v1/configuration_pb.js';
 import {
   ConflictSchema,
@@ -48,7 +48,7 @@
 }
 
 function resources() {
-  return client().at(server.endpoint, ResourceService);
+  return client().clientOf(server.endpoint, ResourceService);
 }
 
 describe(OperatorServer.name, () => {
@@ -90,7 +90,7 @@
       [server.readToken, Code.PermissionDenied],
     ];
     for (const [token, code] of strangers) {
-      const calls = client(token).at(server.endpoint, ResourceService);
+      const calls = client(token).clientOf(server.endpoint, ResourceService);
       const error = await refusalOf(calls.create({ origin: origin(), resource: account(1) }));
       expect(error.code).toEqual(code);
     }
@@ -98,7 +98,7 @@
   });
 
   it('names every mistake with its field', async () => {
-    server.changes.rules = () => [
+    server.changes.validateEdits = () => [
       { place: { field: 'edits[1].weight' }, message: 'is too large' },
       { place: { field: 'edits[1].firm' }, message: 'is unknown' },
     ];
@@ -147,7 +147,7 @@
     const calls = resources();
     await calls.create({ origin: origin(), resource: account(1) });
     const removal = { origin: origin(), kind: 'client_account', name: 'showroom-1' };
-    server.fail('lost_answer');
+    server.injectFaults('lost_answer');
     const unsure = await refusalOf(calls.remove(removal));
     expect(unsure.code).toEqual(Code.Unknown);
     const again = await calls.remove(removal);
@@ -167,12 +167,12 @@
     const calls = resources();
     await calls.create({ origin: origin(), resource: account(1) });
     const keyOrigin = origin();
-    const keys = client().at(server.endpoint, KeyService);
+    const keys = client().clientOf(server.endpoint, KeyService);
     const { key, keyId } = await keys.createKey({ origin: keyOrigin, clientAccount: 'showroom-1' });
     await calls.change({ origin: origin(), resource: account(9) });
     const entity = server.changes.entity('client_account', 'showroom-1')?.entity;
     const stored = entity?.case === 'clientAccount' ? entity.value.keys : [];
-    expect([accountOfKey(key), verifyKey(stored, key)]).toEqual(['showroom-1', keyId]);
+    expect([accountNameOfKey(key), verifyKey(stored, key)]).toEqual(['showroom-1', keyId]);
     const repeat = await refusalOf(
       keys.createKey({ origin: keyOrigin, clientAccount: 'showroom-1' }),
     );
@@ -192,7 +192,7 @@
     ];
     const sum = { dataCentre: 'y', lowestConfigurationRevision: 7n };
     server.fleet.summaries = [create(DataCentreSummarySchema, sum)];
-    const calls = client().at(server.endpoint, FleetService);
+    const calls = client().clientOf(server.endpoint, FleetService);
     const late = await calls.waitInForce({ revision: 7n, timeoutMilliseconds: 1 });
     expect([late.inForce, ...late.lagging.map(({ daemonId }) => daemonId)]).toEqual([false, 'b']);
     const waiting = calls.waitInForce({ revision: 7n, timeoutMilliseconds: 60_000 });
@@ -236,13 +236,13 @@
       service: 'sales',
       dataCentre: 'rosario-1',
     });
-    server.fleet.runnersKnown = [{ id: 'r1', record, state: 'live' }];
+    server.fleet.fleetRunners = [{ id: 'r1', record, state: 'live' }];
     const past = { case: 'service' as const, value: { ...service, wantedVersion: '2' } };
     const error = await refusalOf(calls.change({ origin: origin(), resource: { resource: past } }));
     expect(error.findDetails(FindingListSchema)[0]?.findings[0]?.field).toEqual(
       'resource.service.wantedVersion',
     );
-    const rollouts = client().at(server.endpoint, RolloutService);
+    const rollouts = client().clientOf(server.endpoint, RolloutService);
     await rollouts.startRollout({ origin: origin(), service: 'sales', toVersion: '2' });
     const twice = await refusalOf(
       rollouts.startRollout({ origin: origin(), service: 'sales', toVersion: '2' }),
--- a/src/operators/OperatorServer.ts
+++ b/src/operators/OperatorServer.ts
@@ -25,7 +25,7 @@
 import { FleetHandlers } from './FleetHandlers.js';
 import type { GateStatusSource } from './GateStatusSource.js';
 import { KeyHandlers } from './KeyHandlers.js';
-import { operatorKey } from './operatorContext.js';
+import { operatorContextKey } from './operatorContext.js';
 import type { OperatorsSettings } from './operatorsFeature.js';
 import { operatorsFeature } from './operatorsFeature.js';
 import { OperatorTokens } from './OperatorTokens.js';
@@ -120,7 +120,10 @@
     const handle = connectNodeAdapter({
       routes: (router) => addServices(router, options),
       contextValues: ({ headers }) =>
-        createContextValues().set(operatorKey, this.tokens.operatorOf(headers.authorization)),
+        createContextValues().set(
+          operatorContextKey,
+          this.tokens.operatorOf(headers.authorization),
+        ),
       interceptors: [hideInternalErrors(log)],
       readMaxBytes: settings.maximumBodyBytes,
       grpc: false,
--- a/src/operators/ResourceFile.spec.ts
+++ b/src/operators/ResourceFile.spec.ts
@@ -42,7 +42,7 @@
       'resources[0].clientAccount.services[1]',
       'resources[1].routingPolicy.bound',
       'resources[1].routingPolicy.overflow',
-    ].map((field) => formatFinding({ place: file.placeOf(field), message: 'x' }));
+    ].map((field) => formatFinding({ place: file.placeOfRequestField(field), message: 'x' }));
     expect(places).toEqual([
       'fleet.yaml:5:23: clientAccounts[0].services[1]: x',
       'fleet.yaml:9:12: routingPolicies[0].bound: x',
--- a/src/operators/ResourceFile.ts
+++ b/src/operators/ResourceFile.ts
@@ -10,7 +10,7 @@
 import { Findings } from '../findings/Findings.js';
 import type { Resource } from '../generated/baobabdock/v1/operators_pb.js';
 import { ResourceSchema } from '../generated/baobabdock/v1/operators_pb.js';
-import { RESOURCE_CASES, RESOURCE_SCHEMAS, findField, valueMistakes } from './resourceFields.js';
+import { RESOURCE_CASES, RESOURCE_SCHEMAS, findField, checkFieldValue } from './resourceFields.js';
 import type { ResourceKind } from './resourceKinds.js';
 
 /** Sections of a file with the kind of resource that each holds, in the order in which messages list them. */
@@ -84,7 +84,7 @@
    * @param field - path of the field in the request, for example `resources[3].clientAccount.weight`.
    * @returns File, line and column of the nearest node that exists, and the path of the field in the file.
    */
-  placeOf(field: string): FindingPlace {
+  placeOfRequestField(field: string): FindingPlace {
     const [, position = '', rest = ''] = RESOURCE_FIELD.exec(field) ?? [];
     const path = this.resourcePaths[Number(position)];
     if (position === '' || !path) return { file: this.file, field };
@@ -158,7 +158,7 @@
     }
     const node = this.document.getIn(path, true);
     const value = this.valueOf(node);
-    const mistakes = valueMistakes(field, value);
+    const mistakes = checkFieldValue(field, value);
     for (const { position, message } of mistakes) {
       const place = position === undefined ? path : [...path, position];
       this.collectedFindings.add(this.placeOfPath(place), message);
--- a/src/operators/ResourceHandlers.ts
+++ b/src/operators/ResourceHandlers.ts
@@ -27,20 +27,20 @@
   ListResponseSchema,
   ReadResponseSchema,
 } from '../generated/baobabdock/v1/operators_pb.js';
-import type { ChangeSubmitter, PlacedEdit } from './ChangeSubmitter.js';
+import type { ChangeSubmitter, EditWithField } from './ChangeSubmitter.js';
 import type { ConfigurationChanges } from './ConfigurationChanges.js';
-import { historyEntry, touches } from './historyEntries.js';
-import { callerOf, originOf } from './operatorContext.js';
-import { invalidArgument, notFound } from './operatorErrors.js';
+import { historyEntryOf, editsEntity } from './historyEntries.js';
+import { authenticatedOperator, checkOrigin } from './operatorContext.js';
+import { invalidArgumentError, notFoundError } from './operatorErrors.js';
 import {
   checkKind,
   checkResource,
-  checkVersionIsKept,
-  keepKeys,
-  upsertOf,
+  checkVersionUnchanged,
+  keepAccountKeys,
+  createUpsert,
 } from './resourceChecks.js';
-import type { ResourceValue } from './resourceKinds.js';
-import { entityOf, keyOf, resourceOf } from './resourceKinds.js';
+import type { ResourceContent } from './resourceKinds.js';
+import { entityOf, entityKeyOf, resourceOf } from './resourceKinds.js';
 
 /** Number of resources that a list returns if the request does not set one. */
 const DEFAULT_LIST_MAXIMUM = 1000;
@@ -59,10 +59,10 @@
   submitter: ChangeSubmitter;
 }
 
-function checkedValueOf(resource: CreateRequest['resource']): ResourceValue {
+function checkedValueOf(resource: CreateRequest['resource']): ResourceContent {
   const findings = new Findings();
   const value = checkResource(resource, 'resource', findings);
-  if (!value) throw invalidArgument(findings.list());
+  if (!value) throw invalidArgumentError(findings.list());
   return value;
 }
 
@@ -81,26 +81,26 @@
   }
 
   create = async (request: CreateRequest, context: HandlerContext): Promise<ChangeResponse> => {
-    const origin = originOf(context, request.origin);
+    const origin = checkOrigin(context, request.origin);
     const value = checkedValueOf(request.resource);
-    return this.submitter.submit(origin, [upsertOf(value, 'resource', 0n)], { creating: true });
+    return this.submitter.submit(origin, [createUpsert(value, 'resource', 0n)], { creating: true });
   };
 
   change = async (request: ChangeRequest, context: HandlerContext): Promise<ChangeResponse> => {
-    const origin = originOf(context, request.origin);
+    const origin = checkOrigin(context, request.origin);
     const value = checkedValueOf(request.resource);
-    const { kind, name } = keyOf(value);
+    const { kind, name } = entityKeyOf(value);
     const { expectedRevision } = request;
     const changed = (current: ConfigurationEntity | undefined) => {
-      if (!current) throw notFound(kind, name);
+      if (!current) throw notFoundError(kind, name);
       const findings = new Findings();
-      checkVersionIsKept(value, current, 'resource', findings);
-      if (findings.hasAny) throw invalidArgument(findings.list());
-      return keepKeys(value, current);
+      checkVersionUnchanged(value, current, 'resource', findings);
+      if (findings.hasAny) throw invalidArgumentError(findings.list());
+      return keepAccountKeys(value, current);
     };
     if (expectedRevision !== undefined) {
       const kept = changed(this.changes.entity(kind, name));
-      return this.submitter.submit(origin, [upsertOf(kept, 'resource', expectedRevision)]);
+      return this.submitter.submit(origin, [createUpsert(kept, 'resource', expectedRevision)]);
     }
     const modify = (current: ConfigurationEntity | undefined) => entityOf(changed(current));
     const field = `resource.${value.case}`;
@@ -108,13 +108,13 @@
   };
 
   remove = async (request: RemoveRequest, context: HandlerContext): Promise<ChangeResponse> => {
-    const origin = originOf(context, request.origin);
+    const origin = checkOrigin(context, request.origin);
     const findings = new Findings();
     const kind = checkKind(request.kind, findings);
-    if (!kind) throw invalidArgument(findings.list());
+    if (!kind) throw invalidArgumentError(findings.list());
     const { name, expectedRevision } = request;
     if (!this.changes.entity(kind, name)) {
-      return this.submitter.repeatOf(origin, notFound(kind, name));
+      return this.submitter.answerRepeat(origin, notFoundError(kind, name));
     }
     const edit = create(EntityEditSchema, {
       edit: { case: 'remove', value: { kind, name } },
@@ -124,29 +124,29 @@
   };
 
   apply = async (request: ApplyRequest, context: HandlerContext): Promise<ChangeResponse> => {
-    const origin = originOf(context, request.origin);
+    const origin = checkOrigin(context, request.origin);
     const edits = this.editsOf(request);
     return this.submitter.submit(origin, edits, { dryRun: request.dryRun });
   };
 
   read = (request: ReadRequest, context: HandlerContext): ReadResponse => {
-    callerOf(context);
+    authenticatedOperator(context);
     const findings = new Findings();
     const kind = checkKind(request.kind, findings);
-    if (!kind) throw invalidArgument(findings.list());
+    if (!kind) throw invalidArgumentError(findings.list());
     const entity = this.changes.entity(kind, request.name);
     const resource = resourceOf(entity);
-    if (!entity || !resource) throw notFound(kind, request.name);
+    if (!entity || !resource) throw notFoundError(kind, request.name);
     const revision = BigInt(this.changes.revision());
     const { changedRevision } = entity;
     return create(ReadResponseSchema, { resource, changedRevision, revision });
   };
 
   list = (request: ListRequest, context: HandlerContext): ListResponse => {
-    callerOf(context);
+    authenticatedOperator(context);
     const findings = new Findings();
     const kind = checkKind(request.kind, findings);
-    if (!kind) throw invalidArgument(findings.list());
+    if (!kind) throw invalidArgumentError(findings.list());
     const maximum = Math.min(request.maximum || DEFAULT_LIST_MAXIMUM, MAXIMUM_LIST);
     const resources = this.changes
       .entities(kind)
@@ -160,7 +160,7 @@
   };
 
   history = async (request: HistoryRequest, context: HandlerContext): Promise<HistoryResponse> => {
-    callerOf(context);
+    authenticatedOperator(context);
     const { kind, name } = request;
     const maximum = Math.min(request.maximum || DEFAULT_HISTORY_MAXIMUM, MAXIMUM_HISTORY);
     const all = kind === '' && name === '';
@@ -168,24 +168,24 @@
       const text = 'The history is with the platform, which does not answer.';
       throw new ConnectError(text, Code.Unavailable, undefined, undefined, cause);
     });
-    const entries = history.filter((change) => touches(change, kind, name)).slice(0, maximum);
-    return create(HistoryResponseSchema, { entries: entries.map(historyEntry) });
+    const entries = history.filter((change) => editsEntity(change, kind, name)).slice(0, maximum);
+    return create(HistoryResponseSchema, { entries: entries.map(historyEntryOf) });
   };
 
-  private editsOf({ resources }: ApplyRequest): PlacedEdit[] {
+  private editsOf({ resources }: ApplyRequest): EditWithField[] {
     const findings = new Findings();
     if (resources.length === 0) findings.add({ field: 'resources' }, 'holds nothing to apply');
     if (resources.length > MAXIMUM_RESOURCES_OF_ONE_CHANGE) {
       const most = `holds more than ${MAXIMUM_RESOURCES_OF_ONE_CHANGE}; apply them in parts`;
       findings.add({ field: 'resources' }, most);
-      throw invalidArgument(findings.list());
+      throw invalidArgumentError(findings.list());
     }
     const seen = new Map<string, string>();
     const edits = resources.flatMap((resource, position) => {
       const field = `resources[${position}]`;
       const value = checkResource(resource, field, findings);
       if (!value) return [];
-      const { kind, name } = keyOf(value);
+      const { kind, name } = entityKeyOf(value);
       const earlier = seen.get(`${kind}/${name}`);
       if (earlier) {
         findings.add({ field: `${field}.${value.case}.name` }, `stands in ${earlier} already`);
@@ -193,10 +193,10 @@
       }
       seen.set(`${kind}/${name}`, field);
       const current = this.changes.entity(kind, name);
-      checkVersionIsKept(value, current, field, findings);
-      return upsertOf(keepKeys(value, current), field, current?.changedRevision ?? 0n);
+      checkVersionUnchanged(value, current, field, findings);
+      return createUpsert(keepAccountKeys(value, current), field, current?.changedRevision ?? 0n);
     });
-    if (findings.hasAny) throw invalidArgument(findings.list());
+    if (findings.hasAny) throw invalidArgumentError(findings.list());
     return edits;
   }
 }
--- a/src/operators/RolloutHandlers.ts
+++ b/src/operators/RolloutHandlers.ts
@@ -21,11 +21,11 @@
 import { ListRolloutsResponseSchema } from '../generated/baobabdock/v1/operators_pb.js';
 import type { ChangeSubmitter } from './ChangeSubmitter.js';
 import type { ConfigurationChanges } from './ConfigurationChanges.js';
-import { callerOf, originOf } from './operatorContext.js';
-import { invalidArgument, invalidField, notFound } from './operatorErrors.js';
+import { authenticatedOperator, checkOrigin } from './operatorContext.js';
+import { invalidArgumentError, invalidFieldError, notFoundError } from './operatorErrors.js';
 import { entityOf } from './resourceKinds.js';
-import type { RolloutAction } from './rolloutSteering.js';
-import { ROLLOUT_ACTIONS, steered } from './rolloutSteering.js';
+import type { RolloutAction } from './rolloutActions.js';
+import { ROLLOUT_ACTIONS, applyRolloutAction } from './rolloutActions.js';
 
 /** Largest share of a pool's runners that may be unavailable at once, if the request does not set it. */
 const DEFAULT_MAXIMUM_UNAVAILABLE_SHARE = 0.25;
@@ -43,7 +43,7 @@
 }
 
 function rolloutOf(entity: ConfigurationEntity | undefined, name: string): Rollout {
-  if (entity?.entity.case !== 'rollout') throw notFound('rollout', name);
+  if (entity?.entity.case !== 'rollout') throw notFoundError('rollout', name);
   return entity.entity.value;
 }
 
@@ -75,7 +75,7 @@
     request: StartRolloutRequest,
     context: HandlerContext,
   ): Promise<ChangeResponse> => {
-    const origin = originOf(context, request.origin);
+    const origin = checkOrigin(context, request.origin);
     const rollout = this.newRollout(request);
     return this.submitter.modify({
       origin,
@@ -99,10 +99,11 @@
     request: SteerRolloutRequest,
     context: HandlerContext,
   ): Promise<ChangeResponse> => {
-    const origin = originOf(context, request.origin);
+    const origin = checkOrigin(context, request.origin);
     const { name } = request;
     const action = ROLLOUT_ACTIONS.find((known) => known === request.action);
-    if (!action) throw invalidField('action', `has to be one of ${ROLLOUT_ACTIONS.join(', ')}`);
+    if (!action)
+      throw invalidFieldError('action', `has to be one of ${ROLLOUT_ACTIONS.join(', ')}`);
     return this.submitter.modify({
       origin,
       kind: 'rollout',
@@ -110,7 +111,7 @@
       field: 'name',
       modify: (current) => {
         const before = rolloutOf(current, name);
-        const rollout = steered(before, action);
+        const rollout = applyRolloutAction(before, action);
         if (!rollout) throw unsuitableActionError(before, action);
         rollout.reason = origin.comment || `${action.replace('_', ' ')} by ${origin.author}`;
         return entityOf({ case: 'rollout', value: rollout });
@@ -119,7 +120,7 @@
   };
 
   listRollouts = (request: ListRolloutsRequest, context: HandlerContext): ListRolloutsResponse => {
-    callerOf(context);
+    authenticatedOperator(context);
     const rollouts = this.changes
       .entities('rollout')
       .flatMap(({ entity }) => (entity.case === 'rollout' ? entity.value : []))
@@ -130,7 +131,7 @@
   private newRollout(request: StartRolloutRequest): Rollout {
     const findings = new Findings();
     const service = this.fleet.service(request.service);
-    if (!service) throw notFound('service', request.service);
+    if (!service) throw notFoundError('service', request.service);
     if (service.kind !== 'engine') findings.add({ field: 'service' }, 'is not a pool of engines');
     const versions = this.fleet.configuration().modelVersions;
     const wanted = versions.find(
@@ -143,7 +144,7 @@
       findings.add({ field: 'maximumUnavailableShare' }, 'has to be above 0 and at most 1');
     }
     const dataCentres = this.dataCentresOf(request, findings);
-    if (findings.hasAny) throw invalidArgument(findings.list());
+    if (findings.hasAny) throw invalidArgumentError(findings.list());
     return create(RolloutSchema, {
       name: service.name,
       service: service.name,
--- a/src/operators/daemonRevisions.ts
+++ b/src/operators/daemonRevisions.ts
@@ -18,7 +18,7 @@
  * @param member - a daemon's record.
  * @returns Whether the daemon serves requests, by its state in this daemon's view.
  */
-export function serves(member: Member): boolean {
+export function isServing(member: Member): boolean {
   return SERVING_STATES.has(member.state);
 }
 
@@ -43,7 +43,7 @@
   const self = fleet.self();
   return fleet
     .members()
-    .filter(serves)
+    .filter(isServing)
     .map((member) => {
       const own = member.daemonId === self.daemonId;
       const summaryRevision = lowest.get(member.dataCentre);
@@ -70,7 +70,7 @@
  * @param fleet - this daemon's view of the fleet.
  * @returns The lowest revision of all serving daemons: each of them has it or a newer one in force.
  */
-export function everywhereRevision(fleet: FleetView): bigint {
+export function lowestRevision(fleet: FleetView): bigint {
   return daemonRevisions(fleet)
     .map(({ revision }) => revision)
     .reduce((lowest, revision) => (revision < lowest ? revision : lowest), newestRevision(fleet));
--- a/src/operators/findingFields.ts
+++ b/src/operators/findingsOfRequest.ts
@@ -11,7 +11,7 @@
  * @param placed - for each edit, the field of the request that it was made from.
  * @returns The same findings with fields such as `resources[2].clientAccount.weight`.
  */
-export function relocateFindings(
+export function findingsOfRequest(
   findings: readonly Finding[],
   placed: readonly { readonly field: string }[],
 ): Finding[] {
--- a/src/operators/fleetStatus.ts
+++ b/src/operators/fleetStatus.ts
@@ -19,7 +19,7 @@
   StatusResponseSchema,
 } from '../generated/baobabdock/v1/operators_pb.js';
 import type { DaemonRevision } from './daemonRevisions.js';
-import { daemonRevisions, newestRevision, serves } from './daemonRevisions.js';
+import { daemonRevisions, newestRevision, isServing } from './daemonRevisions.js';
 import type { GateStatusReading } from './GateStatusSource.js';
 
 function drained(drains: readonly Drain[], kind: string, id: string, incarnation: bigint): boolean {
@@ -52,7 +52,7 @@
     configurationRevision: revision,
     runnersRevision,
     incarnation,
-    lags: serves(member) && revision < newest,
+    lags: isServing(member) && revision < newest,
     draining: drained(drains, 'daemon', daemonId, incarnation),
   });
 }
@@ -105,7 +105,7 @@
 ): StatusResponse {
   const { services, drains, rollouts } = fleet.configuration();
   const newest = newestRevision(fleet);
-  const notServing = fleet.members().filter((member) => !serves(member));
+  const notServing = fleet.members().filter((member) => !isServing(member));
   const daemons = [
     ...daemonRevisions(fleet),
     ...notServing.map((member) => ({ member, revision: member.configurationRevision })),
--- a/src/operators/historyEntries.ts
+++ b/src/operators/historyEntries.ts
@@ -9,7 +9,7 @@
   HistoryEntrySchema,
   ResourceEffectSchema,
 } from '../generated/baobabdock/v1/operators_pb.js';
-import { keyOf } from './resourceKinds.js';
+import { entityKeyOf } from './resourceKinds.js';
 
 function effectOf(edit: EntityEdit): ResourceEffect | undefined {
   if (edit.edit.case === 'remove') {
@@ -19,7 +19,7 @@
   const value = edit.edit.value?.entity;
   if (!value || value.case === undefined) return undefined;
   const effect = edit.expectedRevision === 0n ? 'created' : 'changed';
-  return create(ResourceEffectSchema, { ...keyOf(value), effect });
+  return create(ResourceEffectSchema, { ...entityKeyOf(value), effect });
 }
 
 /**
@@ -27,7 +27,7 @@
  * @returns The history entry. An edit without an expected revision is shown as "changed", because the change does not
  *   record whether the entity existed before.
  */
-export function historyEntry(change: ConfigurationChange): HistoryEntry {
+export function historyEntryOf(change: ConfigurationChange): HistoryEntry {
   return create(HistoryEntrySchema, {
     revision: change.revision,
     changeId: change.changeId,
@@ -44,7 +44,7 @@
  * @param name - name of an entity; empty for any.
  * @returns Whether the change edited such an entity.
  */
-export function touches(change: ConfigurationChange, kind: string, name: string): boolean {
+export function editsEntity(change: ConfigurationChange, kind: string, name: string): boolean {
   return change.edits.some((edit) => {
     const effect = effectOf(edit);
     if (!effect) return false;
--- a/src/operators/operatorContext.ts
+++ b/src/operators/operatorContext.ts
@@ -5,7 +5,7 @@
 import { Code, ConnectError, createContextKey } from '@connectrpc/connect';
 
 import type { ChangeOrigin } from '../generated/baobabdock/v1/operators_pb.js';
-import { invalidArgument } from './operatorErrors.js';
+import { invalidArgumentError } from './operatorErrors.js';
 import type { Operator } from './OperatorTokens.js';
 import { Findings } from '../findings/Findings.js';
 
@@ -16,7 +16,7 @@
 const CHANGE_ID = /^[A-Za-z0-9._:-]+$/u;
 
 /** Context key of the operator. The server sets it for each call, before a handler runs. */
-export const operatorKey = createContextKey<Operator | undefined>(undefined, {
+export const operatorContextKey = createContextKey<Operator | undefined>(undefined, {
   description: 'the operator who calls',
 });
 
@@ -28,8 +28,8 @@
  * @returns The operator.
  * @throws ConnectError `unauthenticated` if the context has no operator.
  */
-export function callerOf(context: HandlerContext): Operator {
-  const operator = context.values.get(operatorKey);
+export function authenticatedOperator(context: HandlerContext): Operator {
+  const operator = context.values.get(operatorContextKey);
   if (!operator) throw new ConnectError('No operator is known.', Code.Unauthenticated);
   return operator;
 }
@@ -49,8 +49,11 @@
  * @returns The origin with the operator's name as author.
  * @throws ConnectError `permission_denied` or `invalid_argument`.
  */
-export function originOf(context: HandlerContext, origin: ChangeOrigin | undefined): CheckedOrigin {
-  const operator = callerOf(context);
+export function checkOrigin(
+  context: HandlerContext,
+  origin: ChangeOrigin | undefined,
+): CheckedOrigin {
+  const operator = authenticatedOperator(context);
   if (operator.role !== 'write') {
     throw new ConnectError(
       `The token of ${operator.name} allows reading only.`,
@@ -69,6 +72,6 @@
   if (comment.length > MAXIMUM_REASON_LENGTH) {
     findings.add({ field: 'origin.reason' }, `has at most ${MAXIMUM_REASON_LENGTH} characters`);
   }
-  if (findings.hasAny) throw invalidArgument(findings.list());
+  if (findings.hasAny) throw invalidArgumentError(findings.list());
   return { changeId, author: operator.name, comment };
 }
--- a/src/operators/operatorErrors.ts
+++ b/src/operators/operatorErrors.ts
@@ -19,7 +19,7 @@
  * @param findings - at least one finding.
  * @returns An error with every finding and its field, as text and as error details.
  */
-export function invalidArgument(findings: readonly Finding[]): ConnectError {
+export function invalidArgumentError(findings: readonly Finding[]): ConnectError {
   const detail = {
     findings: findings.map(({ place, message }) => ({ field: place.field ?? '', message })),
   };
@@ -32,10 +32,10 @@
 /**
  * @param field - the field with the error.
  * @param message - what is wrong and what is expected.
- * @returns An error as by {@link invalidArgument}, with this one finding.
+ * @returns An error as by {@link invalidArgumentError}, with this one finding.
  */
-export function invalidField(field: string, message: string): ConnectError {
-  return invalidArgument([{ place: { field }, message }]);
+export function invalidFieldError(field: string, message: string): ConnectError {
+  return invalidArgumentError([{ place: { field }, message }]);
 }
 
 /**
@@ -43,7 +43,7 @@
  * @param name - its name.
  * @returns An error that says that it does not exist.
  */
-export function notFound(kind: string, name: string): ConnectError {
+export function notFoundError(kind: string, name: string): ConnectError {
   return new ConnectError(`There is no ${kind.replaceAll('_', ' ')} "${name}".`, Code.NotFound);
 }
 
@@ -78,12 +78,12 @@
  *   "already exists"; `changedBy`: the change that made the newer value.
  * @returns The error.
  */
-export function refusal(
+export function refusalError(
   outcome: RefusedOutcome,
   options: { creating?: boolean; changedBy?: HistoryEntry } = {},
 ): ConnectError {
   return match(outcome)
-    .with({ kind: 'invalid' }, ({ findings }) => invalidArgument(findings))
+    .with({ kind: 'invalid' }, ({ findings }) => invalidArgumentError(findings))
     .with({ kind: 'conflict' }, (conflict) =>
       conflictError(
         conflict,
--- a/src/operators/resourceChecks.ts
+++ b/src/operators/resourceChecks.ts
@@ -8,8 +8,8 @@
 import { EntityEditSchema } from '../generated/baobabdock/v1/changes_pb.js';
 import { ClientAccountSchema } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { Resource } from '../generated/baobabdock/v1/operators_pb.js';
-import type { PlacedEdit } from './ChangeSubmitter.js';
-import type { ResourceKind, ResourceValue } from './resourceKinds.js';
+import type { EditWithField } from './ChangeSubmitter.js';
+import type { ResourceKind, ResourceContent } from './resourceKinds.js';
 import { RESOURCE_KINDS, entityOf, isResourceKind } from './resourceKinds.js';
 
 /**
@@ -22,7 +22,7 @@
   resource: Resource | undefined,
   field: string,
   findings: Findings,
-): ResourceValue | undefined {
+): ResourceContent | undefined {
   const value = resource?.resource;
   if (!value || value.case === undefined) {
     const kinds = 'clientAccount, service, modelVersion or routingPolicy';
@@ -57,8 +57,8 @@
  * @param field - the field of the resource in the request.
  * @param findings - collects the errors.
  */
-export function checkVersionIsKept(
-  value: ResourceValue,
+export function checkVersionUnchanged(
+  value: ResourceContent,
   current: ConfigurationEntity | undefined,
   field: string,
   findings: Findings,
@@ -81,10 +81,10 @@
  * @param current - the resource's current value.
  * @returns The new value, with the account's current keys if it had none.
  */
-export function keepKeys(
-  value: ResourceValue,
+export function keepAccountKeys(
+  value: ResourceContent,
   current: ConfigurationEntity | undefined,
-): ResourceValue {
+): ResourceContent {
   if (value.case !== 'clientAccount' || current?.entity.case !== 'clientAccount') return value;
   if (value.value.keys.length > 0) return value;
   const account = clone(ClientAccountSchema, value.value);
@@ -99,11 +99,11 @@
  *   any value.
  * @returns The edit that sets the value.
  */
-export function upsertOf(
-  value: ResourceValue,
+export function createUpsert(
+  value: ResourceContent,
   field: string,
   expectedRevision: bigint | undefined,
-): PlacedEdit {
+): EditWithField {
   const edit = create(EntityEditSchema, {
     edit: { case: 'upsert', value: entityOf(value) },
     ...(expectedRevision !== undefined && { expectedRevision }),
--- a/src/operators/resourceFields.ts
+++ b/src/operators/resourceFields.ts
@@ -74,7 +74,7 @@
 }
 
 /** An error in a value; if the value is a list, with the index of the wrong item. */
-export interface ValueMistake {
+export interface ValueError {
   readonly position?: number;
   readonly message: string;
 }
@@ -84,7 +84,7 @@
  * @param value - the value as written by an operator.
  * @returns Every error in the value.
  */
-export function valueMistakes(field: DescField, value: unknown): readonly ValueMistake[] {
+export function checkFieldValue(field: DescField, value: unknown): readonly ValueError[] {
   if (field.fieldKind === 'list' && field.listKind === 'scalar') {
     const { scalar } = field;
     if (!Array.isArray(value)) return [{ message: 'has to be a list' }];
@@ -103,9 +103,9 @@
  *
  * @param field - a field of a resource.
  * @param text - the text as typed; items of a list are separated by commas.
- * @returns The value, not yet checked by {@link valueMistakes}; the text itself if it cannot be converted.
+ * @returns The value, not yet checked by {@link checkFieldValue}; the text itself if it cannot be converted.
  */
-export function valueFromText(field: DescField, text: string): JsonValue {
+export function parseFieldValue(field: DescField, text: string): JsonValue {
   if (field.fieldKind === 'list') return text === '' ? [] : text.split(',');
   if (field.fieldKind !== 'scalar' || field.scalar === ScalarType.STRING) return text;
   if (field.scalar === ScalarType.BOOL && (text === 'true' || text === 'false')) {
--- a/src/operators/resourceKinds.ts
+++ b/src/operators/resourceKinds.ts
@@ -25,12 +25,12 @@
 export type EntityKind = ResourceKind | 'drain' | 'rollout';
 
 /** The content of an entity that is not empty. */
-export type EntityValue = Exclude<ConfigurationEntity['entity'], { case: undefined }>;
+export type EntityContent = Exclude<ConfigurationEntity['entity'], { case: undefined }>;
 
 /** The content of a resource that is not empty. */
-export type ResourceValue = Exclude<Resource['resource'], { case: undefined }>;
+export type ResourceContent = Exclude<Resource['resource'], { case: undefined }>;
 
-const KIND_OF_CASE: Readonly<Record<EntityValue['case'], EntityKind>> = {
+const KIND_OF_CASE: Readonly<Record<EntityContent['case'], EntityKind>> = {
   clientAccount: 'client_account',
   service: 'service',
   modelVersion: 'model_version',
@@ -59,7 +59,7 @@
  * @param value - the content of an entity.
  * @returns The entity's kind and name.
  */
-export function keyOf(value: EntityValue): { kind: EntityKind; name: string } {
+export function entityKeyOf(value: EntityContent): { kind: EntityKind; name: string } {
   const kind = KIND_OF_CASE[value.case];
   return { kind, name: value.case === 'drain' ? drainName(value.value) : value.value.name };
 }
@@ -68,7 +68,7 @@
  * @param value - the content of an entity.
  * @returns The entity as a message.
  */
-export function entityOf(value: EntityValue): ConfigurationEntity {
+export function entityOf(value: EntityContent): ConfigurationEntity {
   return create(ConfigurationEntitySchema, { entity: value });
 }
 
@@ -90,7 +90,10 @@
  * @param kind - the kind of entity.
  * @returns The entities, in the configuration's order.
  */
-export function entitiesOf(configuration: Configuration, kind: EntityKind): readonly EntityValue[] {
+export function entitiesOf(
+  configuration: Configuration,
+  kind: EntityKind,
+): readonly EntityContent[] {
   return match(kind)
     .with('client_account', () =>
       configuration.clientAccounts.map((value) => ({ case: 'clientAccount' as const, value })),
@@ -119,7 +122,7 @@
 export function findEntity(
   configuration: Configuration,
   key: Pick<EntityKey, 'kind' | 'name'>,
-): EntityValue | undefined {
+): EntityContent | undefined {
   const wanted = key.kind as EntityKind;
-  return entitiesOf(configuration, wanted).find((value) => keyOf(value).name === key.name);
+  return entitiesOf(configuration, wanted).find((value) => entityKeyOf(value).name === key.name);
 }
--- a/src/operators/rolloutSteering.ts
+++ b/src/operators/rolloutActions.ts
@@ -27,7 +27,7 @@
  * @param action - the operator's action.
  * @returns The roll-out after the action, or `undefined` if its state does not allow the action.
  */
-export function steered(rollout: Rollout, action: RolloutAction): Rollout | undefined {
+export function applyRolloutAction(rollout: Rollout, action: RolloutAction): Rollout | undefined {
   return match([rollout.state, action] as const)
     .with(['running', 'halt'], ['rolling_back', 'halt'], ([state]) => ({
       ...rollout,
--- a/src/operators/testOperatorServer.ts
+++ b/src/operators/testOperatorServer.ts
@@ -1,7 +1,7 @@
 /**
  * An operators' server on loopback with a configuration in memory, for tests.
  */
-import type { MemoryFault } from './MemoryConfigurationChanges.js';
+import type { InjectedFault } from './MemoryConfigurationChanges.js';
 import { SilentLog } from '../logging/Log.js';
 import { SystemClock } from '../time/SystemClock.js';
 import { FixedFleetView } from './FixedFleetView.js';
@@ -31,7 +31,7 @@
   /** Token of operator "boris" with role `read`. */
   readonly readToken: string;
   /** Injects faults into the next changes, one for each change. */
-  fail(...faults: MemoryFault[]): void;
+  injectFaults(...faults: InjectedFault[]): void;
   close(): Promise<void>;
 }
 
@@ -64,7 +64,7 @@
     endpoint,
     writeToken: writer.token,
     readToken: reader.token,
-    fail: (...faults) => changes.faults.push(...faults),
+    injectFaults: (...faults) => changes.faults.push(...faults),
     close: () => server.close(),
   };
 }
--- a/src/orders/ChangePlan.ts
+++ b/src/orders/ChangePlan.ts
@@ -5,17 +5,17 @@
  */
 import type { PoolPicture, RolloutPicture } from './poolTypes.js';
 import type { RolloutTimings } from './rolloutTimings.js';
-import type { Turn } from './rolloutTurn.js';
+import type { RolloutTurn } from './rolloutTurn.js';
 import { afterDataCentre, unavailableAllowance } from './rolloutTurn.js';
-import type { ChangeEnd, RolloutAction, RolloutReport, RolloutStep } from './rolloutTypes.js';
-import type { RunnerWork } from './RunnerWork.js';
+import type { ChangeEnd, RolloutAction, RolloutLogEvent, RolloutStep } from './rolloutTypes.js';
+import type { RunnerTracker } from './RunnerTracker.js';
 
 /** Content of a change of the configuration. */
 export type PlannedChange = Omit<Extract<RolloutAction, { kind: 'change' }>, 'kind' | 'call'>;
 
 /** A log event that is written together with a change. */
 export interface PlannedReport {
-  readonly event: RolloutReport;
+  readonly event: RolloutLogEvent;
   readonly fields: Readonly<Record<string, string | number | boolean>>;
 }
 
@@ -34,11 +34,11 @@
 }
 
 /** Counts every runner that is not known to serve, so that only capacity that is certain counts as kept. */
-function unavailableInDataCentre(picture: PoolPicture, trackers: readonly RunnerWork[]): number {
+function unavailableInDataCentre(picture: PoolPicture, trackers: readonly RunnerTracker[]): number {
   return picture.runners.length - trackers.filter((tracker) => tracker.available).length;
 }
 
-function unavailableInService(picture: PoolPicture, trackers: readonly RunnerWork[]): number {
+function unavailableInService(picture: PoolPicture, trackers: readonly RunnerTracker[]): number {
   return picture.elsewhere.unavailable + unavailableInDataCentre(picture, trackers);
 }
 
@@ -50,7 +50,7 @@
 function remainingDrainAllowance(
   picture: PoolPicture,
   share: number,
-  trackers: readonly RunnerWork[],
+  trackers: readonly RunnerTracker[],
 ): number {
   const { runners, elsewhere } = picture;
   const ofService = unavailableAllowance(runners.length + elsewhere.runners, share);
@@ -64,11 +64,11 @@
 
 function runnersToDrain(
   picture: PoolPicture,
-  turn: Turn,
-  trackers: readonly RunnerWork[],
-): RunnerWork[] {
+  turn: RolloutTurn,
+  trackers: readonly RunnerTracker[],
+): RunnerTracker[] {
   const { rollout } = picture;
-  if (!turn.mayTake || !rollout) return [];
+  if (!turn.mayDrain || !rollout) return [];
   const remaining = remainingDrainAllowance(picture, rollout.maximumUnavailableShare, trackers);
   if (remaining <= 0) return [];
   return trackers
@@ -108,7 +108,7 @@
   }
 
   /** @param call - call number of the change that is being made. */
-  began(call: number): void {
+  changeSent(call: number): void {
     this.call = call;
     this.pendingSince = undefined;
   }
@@ -121,7 +121,7 @@
    * @param end - its result.
    * @returns Whether this change was the one in progress.
    */
-  ended(now: number, call: number, end: ChangeEnd): boolean {
+  changeEnded(now: number, call: number, end: ChangeEnd): boolean {
     if (this.call !== call) return false;
     this.call = undefined;
     if (end.kind === 'accepted') this.awaitedRevision = end.revision;
@@ -133,7 +133,7 @@
    * @param now - monotonic time in milliseconds.
    * @returns Monotonic time at which the next batch of changes is due, or `undefined` if there is none.
    */
-  nextTime(now: number): number | undefined {
+  nextDueTime(now: number): number | undefined {
     if (this.pendingSince === undefined || this.call !== undefined) return undefined;
     return Math.max(now, this.retryAt, this.pendingSince + this.timings.gatherMilliseconds);
   }
@@ -147,11 +147,11 @@
    * @param trackers - trackers of the runners that the roll-out manages.
    * @returns The change to make now with its log events, or `undefined` if there is none.
    */
-  next(
+  nextChange(
     now: number,
     picture: PoolPicture,
-    turn: Turn,
-    trackers: readonly RunnerWork[],
+    turn: RolloutTurn,
+    trackers: readonly RunnerTracker[],
   ): { change: PlannedChange; reports: readonly PlannedReport[] } | undefined {
     if (this.call !== undefined || picture.revision < this.awaitedRevision) return undefined;
     const halt = this.planHalt(now, picture, turn, trackers);
@@ -167,7 +167,7 @@
       return undefined;
     }
     this.pendingSince ??= now;
-    const due = this.nextTime(now) ?? now;
+    const due = this.nextDueTime(now) ?? now;
     if (now < due) return undefined;
     if (finish) return finish;
     const drains = drained.map(({ runner: { id, incarnation } }) => ({
@@ -186,8 +186,8 @@
   private planHalt(
     now: number,
     picture: PoolPicture,
-    turn: Turn,
-    trackers: readonly RunnerWork[],
+    turn: RolloutTurn,
+    trackers: readonly RunnerTracker[],
   ): { change: PlannedChange; reports: readonly PlannedReport[] } | undefined {
     const { rollout } = picture;
     if (!turn.active || !rollout) return undefined;
@@ -204,33 +204,37 @@
     };
   }
 
-  private haltReason(now: number, tracker: RunnerWork): string | undefined {
+  private haltReason(now: number, tracker: RunnerTracker): string | undefined {
     const { runner, phase, failure } = tracker;
     if (phase === 'failed') return `${runner.id}: ${failure}`;
     if (!this.isStuck(now, tracker)) return undefined;
-    if (tracker.silentSince !== undefined) return `${runner.id}: does not answer`;
+    if (tracker.unresponsiveSince !== undefined) return `${runner.id}: does not answer`;
     return `${runner.id}: still has requests in progress`;
   }
 
   /** Whether a runner drained for the roll-out is up but makes no progress, so that an operator must check it. */
-  private isStuck(now: number, { runner, phase, silentSince, drainedSince }: RunnerWork): boolean {
+  private isStuck(
+    now: number,
+    { runner, phase, unresponsiveSince, drainedSince }: RunnerTracker,
+  ): boolean {
     const { longestSilenceMilliseconds, longestDrainMilliseconds } = this.timings;
     if (runner.drain !== 'rollout') return false;
-    if (silentSince !== undefined && now - silentSince >= longestSilenceMilliseconds) return true;
+    if (unresponsiveSince !== undefined && now - unresponsiveSince >= longestSilenceMilliseconds)
+      return true;
     const drained = drainedSince !== undefined && now - drainedSince >= longestDrainMilliseconds;
     return phase === 'draining' && drained;
   }
 
   private planFinish(
     picture: PoolPicture,
-    turn: Turn,
-    trackers: readonly RunnerWork[],
+    turn: RolloutTurn,
+    trackers: readonly RunnerTracker[],
   ): { change: PlannedChange; reports: readonly PlannedReport[] } | undefined {
     const { rollout, dataCentre } = picture;
     if (!turn.active || !rollout) return undefined;
     const done = trackers.every(
-      ({ phase, runner, silentSince }) =>
-        phase === 'settled' && runner.drain === 'none' && silentSince === undefined,
+      ({ phase, runner, unresponsiveSince }) =>
+        phase === 'settled' && runner.drain === 'none' && unresponsiveSince === undefined,
     );
     if (!done) return undefined;
     const { wantedVersion, ...after } = afterDataCentre(rollout, dataCentre);
--- a/src/orders/HeldLease.ts
+++ b/src/orders/HeldLease.ts
@@ -5,7 +5,7 @@
  * that the lease always ends here before it ends there.
  */
 import type { LeaseTimings } from './leaseTimings.js';
-import { READINGS_PER_TIME_TO_LIVE, RENEWALS_PER_TIME_TO_LIVE } from './leaseTimings.js';
+import { KEY_READS_PER_TIME_TO_LIVE, RENEWALS_PER_TIME_TO_LIVE } from './leaseTimings.js';
 
 /** Options of a {@link HeldLease}. */
 export interface HeldLeaseOptions {
@@ -56,7 +56,7 @@
   }
 
   /** @returns Monotonic time in milliseconds from which nothing may be done under this lease. */
-  get until(): number {
+  get validUntil(): number {
     return Math.min(this.leaseUntil, this.keyUntil);
   }
 
@@ -81,7 +81,7 @@
     const { timeToLiveMilliseconds } = this.timings;
     this.token = token;
     this.keyUntil = askedAt + this.shortenByDrift(timeToLiveMilliseconds);
-    this.readAt = askedAt + timeToLiveMilliseconds / READINGS_PER_TIME_TO_LIVE;
+    this.readAt = askedAt + timeToLiveMilliseconds / KEY_READS_PER_TIME_TO_LIVE;
   }
 
   /** Subtracts the drift that the clocks of this daemon and the platform may have. */
--- a/src/orders/LeaseCalls.ts
+++ b/src/orders/LeaseCalls.ts
@@ -40,7 +40,7 @@
    * @param purpose - purpose of the call.
    * @returns The number of the call.
    */
-  ask(now: number, purpose: CallPurpose): number {
+  start(now: number, purpose: CallPurpose): number {
     this.last += 1;
     this.pending.set(this.last, { purpose, askedAt: now });
     return this.last;
@@ -52,7 +52,7 @@
    * @param call - number of the call.
    * @returns The call, or `undefined` if it has expired or was answered before.
    */
-  answered(call: number): PendingCall | undefined {
+  complete(call: number): PendingCall | undefined {
     const found = this.pending.get(call);
     this.pending.delete(call);
     return found;
@@ -62,7 +62,7 @@
    * @param purpose - purpose of a call.
    * @returns Whether a call of this purpose is pending.
    */
-  waitsFor(purpose: CallPurpose): boolean {
+  isPending(purpose: CallPurpose): boolean {
     return [...this.pending.values()].some((call) => call.purpose === purpose);
   }
 
@@ -84,7 +84,7 @@
   }
 
   /** Removes all pending calls; their answers will be dropped. */
-  forget(): void {
+  clear(): void {
     this.pending.clear();
   }
 
--- a/src/orders/LeaseDecisions.spec.ts
+++ b/src/orders/LeaseDecisions.spec.ts
@@ -5,9 +5,9 @@
 
 import { LeaseDecisions } from './LeaseDecisions.js';
 import { DEFAULT_LEASE_TIMINGS } from './leaseTimings.js';
-import type { LeaseAction, LeaseMessage, LeaseReading } from './leaseTypes.js';
-import type { CallFate, LeaseFaults, MetOrder } from './testLeaseWorld.js';
-import { LeaseWorld } from './testLeaseWorld.js';
+import type { LeaseAction, LeaseMessage, LeaseReadResult } from './leaseTypes.js';
+import type { CallFault, LeaseFaults, SimulatedOrder } from './testLeaseSimulation.js';
+import { LeaseSimulation } from './testLeaseSimulation.js';
 
 const { longestOrderMilliseconds: LONGEST_ORDER_MILLISECONDS } = DEFAULT_LEASE_TIMINGS;
 const MINUTE = 60_000;
@@ -21,21 +21,21 @@
   orderDelays: [50],
 };
 
-function callsWithOneLost(position: number, lost: CallFate['lost']): CallFate[] {
-  const calm: CallFate = { requestDelay: 2, answerDelay: 2, lost: 'nothing' };
+function callsWithOneLost(position: number, lost: CallFault['lost']): CallFault[] {
+  const calm: CallFault = { requestDelay: 2, answerDelay: 2, lost: 'nothing' };
   return Array.from({ length: 40 }, (_, index) => (index === position ? { ...calm, lost } : calm));
 }
 
 /** Pairs of orders of two holders where the newer one sent its order before the older one's had arrived. */
-function overlaps(orders: readonly MetOrder[]): [MetOrder, MetOrder][] {
+function overlaps(orders: readonly SimulatedOrder[]): [SimulatedOrder, SimulatedOrder][] {
   return orders.flatMap((newer) =>
     orders
       .filter((older) => older.token < newer.token && older.arrivedAt > newer.sentAt)
-      .map((older): [MetOrder, MetOrder] => [older, newer]),
+      .map((older): [SimulatedOrder, SimulatedOrder] => [older, newer]),
   );
 }
 
-const callFault: fc.Arbitrary<CallFate> = fc.record({
+const callFault: fc.Arbitrary<CallFault> = fc.record({
   requestDelay: fc.integer({ min: 1, max: 3000 }),
   answerDelay: fc.integer({ min: 1, max: 3000 }),
   lost: fc.oneof(
@@ -104,37 +104,37 @@
   }
 }
 
-function found(nonce: string, storeRevision = 61): LeaseReading {
+function found(nonce: string, storeRevision = 61): LeaseReadResult {
   const claim = { holder: 'x', nonce };
   return { kind: 'found', claim, modifiedRevision: 60, storeRevision };
 }
 
 describe(LeaseDecisions.name, () => {
   it('gives the lease to the first daemon, and to the second when the first is gone', () => {
-    const simulation = new LeaseWorld({ daemons: 2, faults: NO_FAULTS, checksFencing: true });
+    const simulation = new LeaseSimulation({ daemons: 2, faults: NO_FAULTS, checksFencing: true });
     simulation.run(MINUTE);
-    expect(simulation.believers()).toEqual([0]);
-    simulation.tell(0, { kind: 'release' });
+    expect(simulation.activeHolders()).toEqual([0]);
+    simulation.send(0, { kind: 'release' });
     simulation.run(4 * MINUTE);
-    expect(simulation.believers()).toEqual([1]);
+    expect(simulation.activeHolders()).toEqual([1]);
   });
 
   it('acquires the lease whichever single call is lost', () => {
     for (const lost of ['answer', 'request'] as const) {
       for (let position = 0; position < 20; position += 1) {
         const callFaults = callsWithOneLost(position, lost);
-        const simulation = new LeaseWorld({
+        const simulation = new LeaseSimulation({
           daemons: 1,
           faults: { ...NO_FAULTS, callFaults },
           checksFencing: true,
         });
         simulation.run(20_000);
-        expect(simulation.believers()).toEqual([0]);
+        expect(simulation.activeHolders()).toEqual([0]);
       }
     }
   });
 
-  const afterLostWrite: [string, LeaseReading, string][] = [
+  const afterLostWrite: [string, LeaseReadResult, string][] = [
     ['the key is ours', found('d/1'), 'held'],
     ['the key is ours by an earlier attempt', found('d/0'), 'waiting'],
     ['the key is of another daemon', found('other/1'), 'waiting'],
@@ -209,29 +209,29 @@
     // its lease expires, another daemon acquires it, and the first one resumes and goes on. This happens if the
     // resumed process does not check its clock.
     const pauses = [{ daemon: 0, at: MINUTE, length: 3 * MINUTE }];
-    const simulation = new LeaseWorld({
+    const simulation = new LeaseSimulation({
       daemons: 2,
       faults: { ...NO_FAULTS, pauses },
       checksFencing: true,
     });
     simulation.run(MINUTE - 1);
-    expect(simulation.believers()).toEqual([0]);
+    expect(simulation.activeHolders()).toEqual([0]);
     simulation.run(4 * MINUTE + 5000);
-    expect(simulation.believers()).toEqual([1]);
+    expect(simulation.activeHolders()).toEqual([1]);
     expect(overlaps(simulation.orders)).toEqual([]);
   });
 
   it('stops when the platform is silent for longer than its lease, and returns after the outage', () => {
     const outages = [{ at: MINUTE, length: 2 * MINUTE }];
-    const simulation = new LeaseWorld({
+    const simulation = new LeaseSimulation({
       daemons: 2,
       faults: { ...NO_FAULTS, outages },
       checksFencing: true,
     });
     simulation.run(MINUTE + 31_000);
-    expect(simulation.believers()).toEqual([]);
+    expect(simulation.activeHolders()).toEqual([]);
     simulation.run(5 * MINUTE);
-    expect(simulation.believers().length).toEqual(1);
+    expect(simulation.activeHolders().length).toEqual(1);
   });
 
   it('waits out the old lease and orders under way before engines that ignore the token', () => {
@@ -241,32 +241,36 @@
     // the old one can arrive any more.
     const slow = { ...NO_FAULTS, deletions: [MINUTE], orderDelays: [LONGEST_ORDER_MILLISECONDS] };
     const pauses = [{ daemon: 0, at: MINUTE + 20_000, length: 5 * MINUTE }];
-    const simulation = new LeaseWorld({
+    const simulation = new LeaseSimulation({
       daemons: 2,
       faults: { ...slow, pauses },
       checksFencing: false,
     });
     simulation.run(8 * MINUTE);
-    expect(new Set(simulation.holders.values()).size).toEqual(2);
+    expect(new Set(simulation.daemonByToken.values()).size).toEqual(2);
     expect(overlaps(simulation.orders)).toEqual([]);
   });
 
   it('gives its lease up after a suspension, and when an engine has seen a newer token', () => {
     for (const kind of ['clock_jumped', 'fenced'] as const) {
-      const simulation = new LeaseWorld({ daemons: 1, faults: NO_FAULTS, checksFencing: true });
+      const simulation = new LeaseSimulation({
+        daemons: 1,
+        faults: NO_FAULTS,
+        checksFencing: true,
+      });
       simulation.run(MINUTE);
-      const [before] = simulation.believers();
-      simulation.tell(0, { kind });
-      expect([before, ...simulation.believers()]).toEqual([0]);
+      const [before] = simulation.activeHolders();
+      simulation.send(0, { kind });
+      expect([before, ...simulation.activeHolders()]).toEqual([0]);
       simulation.run(4 * MINUTE);
-      expect(simulation.holders.size).toEqual(2);
+      expect(simulation.daemonByToken.size).toEqual(2);
     }
   });
 
   it('never lets two holders share a token, and gives each new holder a higher one, in any interleaving', () => {
     fc.assert(
       fc.property(faults, (wrong) => {
-        const simulation = new LeaseWorld({ daemons: 3, faults: wrong, checksFencing: true });
+        const simulation = new LeaseSimulation({ daemons: 3, faults: wrong, checksFencing: true });
         simulation.run(10 * MINUTE);
         const owners = new Map<number, number>();
         for (const { token, daemon } of simulation.orders) {
@@ -290,7 +294,7 @@
   it('never lets orders of two holders overlap at engines that ignore tokens', () => {
     fc.assert(
       fc.property(faults, (wrong) => {
-        const simulation = new LeaseWorld({ daemons: 3, faults: wrong, checksFencing: false });
+        const simulation = new LeaseSimulation({ daemons: 3, faults: wrong, checksFencing: false });
         simulation.run(10 * MINUTE);
         expect(overlaps(simulation.orders)).toEqual([]);
       }),
@@ -303,7 +307,7 @@
     const decisions = new LeaseDecisions({ key: 'k', holder: 'd' });
     decisions.decide(0, { kind: 'lease_rank', rank: 5 });
     expect([decisions.state, decisions.nextWake()]).toEqual(['idle', undefined]);
-    const simulation = new LeaseWorld({ daemons: 1, faults: NO_FAULTS, checksFencing: true });
+    const simulation = new LeaseSimulation({ daemons: 1, faults: NO_FAULTS, checksFencing: true });
     simulation.onCall = (kind) => calls.push(kind);
     simulation.run(MINUTE);
     calls.length = 0;
--- a/src/orders/LeaseDecisions.ts
+++ b/src/orders/LeaseDecisions.ts
@@ -13,7 +13,7 @@
 import { LeaseProgress } from './LeaseProgress.js';
 import type { LeaseTimings } from './leaseTimings.js';
 import {
-  CANDIDATES,
+  CANDIDATE_COUNT,
   DEFAULT_LEASE_TIMINGS,
   STANDBY_TIMES_TO_LIVE,
   settlingMilliseconds,
@@ -22,10 +22,10 @@
   Authority,
   LeaseAction,
   LeaseMessage,
-  LeaseReading,
+  LeaseReadResult,
   LeaseState,
-  LeaseTerm,
-  LeaseWriting,
+  LeaseTermResult,
+  LeaseWriteResult,
 } from './leaseTypes.js';
 
 /** Options of {@link LeaseDecisions}. */
@@ -83,17 +83,17 @@
   /** @returns The authority to give orders as of the last message, or `undefined` if there is none. */
   get authority(): Authority | undefined {
     if (this.progress.state !== 'held' || !this.progress.lease) return undefined;
-    return { token: this.progress.lease.token, until: this.progress.lease.until };
+    return { token: this.progress.lease.token, until: this.progress.lease.validUntil };
   }
 
   override decide(now: number, message: LeaseMessage): readonly LeaseAction[] {
-    this.progress.begin();
+    this.progress.beginMessage();
     this.expireLease(now);
     this.handle(now, message);
     for (const call of this.progress.calls.expired(now))
       this.handleUnansweredCall(now, call.purpose);
     this.act(now);
-    return this.progress.taken();
+    return this.progress.collectedActions();
   }
 
   override nextWake(): number | undefined {
@@ -101,9 +101,9 @@
     const times = [this.progress.calls.nextExpiry()];
     if (this.progress.state === 'waiting') times.push(this.nextAttemptAt);
     if (this.progress.holding && lease) {
-      times.push(lease.until);
-      if (!this.progress.calls.waitsFor('renewal')) times.push(lease.renewAt);
-      if (!this.progress.calls.waitsFor('verification')) times.push(lease.readAt);
+      times.push(lease.validUntil);
+      if (!this.progress.calls.isPending('renewal')) times.push(lease.renewAt);
+      if (!this.progress.calls.isPending('verification')) times.push(lease.readAt);
       if (this.progress.state === 'settling') times.push(this.settledAt(lease));
     }
     const earliest = Math.min(...times);
@@ -129,7 +129,7 @@
   /** Gives up a lease that has expired by the own clock: after a pause another daemon may have acquired it. */
   private expireLease(now: number): void {
     const { lease } = this.progress;
-    if (!lease || now < lease.until) return;
+    if (!lease || now < lease.validUntil) return;
     if (this.progress.holding) this.loseLease(now, 'it lapsed before a renewal was confirmed');
     else this.retry(now, 'the lease lapsed before its key was written');
   }
@@ -137,17 +137,17 @@
   private updateRank(now: number, rank: number): void {
     const before = this.rank;
     this.rank = rank;
-    const candidate = rank >= 0 && rank < CANDIDATES;
+    const candidate = rank >= 0 && rank < CANDIDATE_COUNT;
     // A holder keeps its lease whatever its rank: moving it with every daemon that joins would cost calls and
     // interrupt the work.
     if (this.progress.holding) return;
     if (!candidate) {
       if (this.progress.state === 'idle') return;
-      this.progress.give();
-      this.progress.go('dismissed');
+      this.progress.revokeLease();
+      this.progress.transition('dismissed');
       return;
     }
-    if (this.progress.state === 'idle') this.progress.go('appointed');
+    if (this.progress.state === 'idle') this.progress.transition('appointed');
     else if (rank >= before) return;
     if (this.progress.state !== 'waiting') return;
     const standby = rank * STANDBY_TIMES_TO_LIVE * this.timings.timeToLiveMilliseconds;
@@ -157,22 +157,22 @@
   private act(now: number): void {
     const { lease } = this.progress;
     if (this.progress.state === 'waiting' && now >= this.nextAttemptAt) {
-      this.progress.go('due');
-      this.progress.ask(now, 'look', (call) => ({ kind: 'read_lease', call }));
+      this.progress.transition('due');
+      this.progress.requestCall(now, 'look', (call) => ({ kind: 'read_lease', call }));
     }
     if (!this.progress.holding || !lease) return;
     const settled = now >= this.settledAt(lease);
     if (this.progress.state === 'settling' && settled) {
-      this.progress.go('settled');
+      this.progress.transition('settled');
       this.progress.report('leaseHeld', { token: lease.token });
     }
-    if (this.progress.state === 'held' && !settled) this.progress.go('unsettled');
-    if (now >= lease.renewAt && !this.progress.calls.waitsFor('renewal')) {
+    if (this.progress.state === 'held' && !settled) this.progress.transition('unsettled');
+    if (now >= lease.renewAt && !this.progress.calls.isPending('renewal')) {
       const { leaseId } = lease;
-      this.progress.ask(now, 'renewal', (call) => ({ kind: 'renew_lease', call, leaseId }));
+      this.progress.requestCall(now, 'renewal', (call) => ({ kind: 'renew_lease', call, leaseId }));
     }
-    if (now >= lease.readAt && !this.progress.calls.waitsFor('verification')) {
-      this.progress.ask(now, 'verification', (call) => ({ kind: 'read_lease', call }));
+    if (now >= lease.readAt && !this.progress.calls.isPending('verification')) {
+      this.progress.requestCall(now, 'verification', (call) => ({ kind: 'read_lease', call }));
     }
   }
 
@@ -180,8 +180,8 @@
     return acquiredAt + (this.fencingChecked ? 0 : settlingMilliseconds(this.timings));
   }
 
-  private handleRead(now: number, number: number, reading: LeaseReading): void {
-    const call = this.progress.calls.answered(number);
+  private handleRead(now: number, number: number, reading: LeaseReadResult): void {
+    const call = this.progress.calls.complete(number);
     if (!call) return;
     const stale = reading.kind !== 'failed' && reading.storeRevision < this.storeRevision;
     if (reading.kind === 'failed' || stale) {
@@ -202,10 +202,10 @@
   }
 
   private handleFreeKey(now: number): void {
-    this.progress.go('free');
+    this.progress.transition('free');
     if (this.progress.state === 'granting') {
       const { timeToLiveMilliseconds } = this.timings;
-      this.progress.ask(now, 'grant', (call) => ({
+      this.progress.requestCall(now, 'grant', (call) => ({
         kind: 'grant_lease',
         call,
         timeToLiveMilliseconds,
@@ -215,8 +215,8 @@
     this.write(now);
   }
 
-  private handleTerm(now: number, number: number, term: LeaseTerm): void {
-    const call = this.progress.calls.answered(number);
+  private handleTerm(now: number, number: number, term: LeaseTermResult): void {
+    const call = this.progress.calls.complete(number);
     if (!call) return;
     if (term.kind === 'failed') {
       this.handleUnansweredCall(now, call.purpose);
@@ -243,7 +243,7 @@
       askedAt,
       timeToLiveMilliseconds,
     });
-    this.progress.go('granted');
+    this.progress.transition('granted');
     this.write(now);
   }
 
@@ -253,11 +253,16 @@
     if (!lease) return;
     const { leaseId, nonce } = lease;
     const claim = { holder, nonce };
-    this.progress.ask(now, 'write', (call) => ({ kind: 'write_lease', call, leaseId, claim }));
+    this.progress.requestCall(now, 'write', (call) => ({
+      kind: 'write_lease',
+      call,
+      leaseId,
+      claim,
+    }));
   }
 
-  private handleWrite(now: number, number: number, writing: LeaseWriting): void {
-    const call = this.progress.calls.answered(number);
+  private handleWrite(now: number, number: number, writing: LeaseWriteResult): void {
+    const call = this.progress.calls.complete(number);
     if (!call) return;
     match(writing)
       .with({ kind: 'committed' }, ({ revision }) => {
@@ -282,8 +287,8 @@
    */
   private verifyWrite(now: number, reason: string): void {
     if (this.progress.state === 'acquiring') this.progress.report('leaseUnsure', { reason });
-    this.progress.go('unsure');
-    this.progress.ask(now, 'check', (call) => ({ kind: 'read_lease', call }));
+    this.progress.transition('unsure');
+    this.progress.requestCall(now, 'check', (call) => ({ kind: 'read_lease', call }));
   }
 
   private markAcquired(now: number, askedAt: number, token: number): void {
@@ -292,14 +297,14 @@
     lease.confirm(askedAt, token);
     lease.acquiredAt = now;
     this.backOff.reset();
-    this.progress.go('acquired');
+    this.progress.transition('acquired');
     const settles = Math.max(0, this.settledAt(lease) - now);
     this.progress.report('leaseAcquired', { token, settlesInMilliseconds: settles });
   }
 
   private handleOccupiedKey(now: number, holder: string): void {
-    this.progress.give();
-    this.progress.go('occupied');
+    this.progress.revokeLease();
+    this.progress.transition('occupied');
     this.backOff.reset();
     const { timeToLiveMilliseconds } = this.timings;
     const timesToLive = this.rank === 0 ? 1 : STANDBY_TIMES_TO_LIVE;
@@ -319,8 +324,8 @@
 
   private retry(now: number, reason: string): void {
     const wait = this.backOff.next();
-    this.progress.give();
-    this.progress.go('failed');
+    this.progress.revokeLease();
+    this.progress.transition('failed');
     this.nextAttemptAt = now + wait;
     this.progress.report('leaseFailed', { reason, retryInMilliseconds: Math.round(wait) });
   }
@@ -328,8 +333,8 @@
   private loseLease(now: number, reason: string): void {
     if (!this.progress.holding || !this.progress.lease) return;
     this.progress.report('leaseLost', { token: this.progress.lease.token, reason });
-    this.progress.give();
-    this.progress.go('lost');
+    this.progress.revokeLease();
+    this.progress.transition('lost');
     this.nextAttemptAt = now + this.backOff.next();
   }
 
@@ -337,7 +342,7 @@
     this.rank = -1;
     if (this.progress.holding && this.progress.lease)
       this.progress.report('leaseReleased', { token: this.progress.lease.token });
-    this.progress.give();
-    this.progress.go(this.progress.holding ? 'released' : 'dismissed');
+    this.progress.revokeLease();
+    this.progress.transition(this.progress.holding ? 'released' : 'dismissed');
   }
 }
--- a/src/orders/LeaseProgress.ts
+++ b/src/orders/LeaseProgress.ts
@@ -7,7 +7,7 @@
 import chart from './lease.chart.json' with { type: 'json' };
 import type { CallPurpose } from './LeaseCalls.js';
 import { LeaseCalls } from './LeaseCalls.js';
-import type { LeaseAction, LeaseEvent, LeaseReport, LeaseState } from './leaseTypes.js';
+import type { LeaseAction, LeaseEvent, LeaseLogEvent, LeaseState } from './leaseTypes.js';
 
 const interpreter = new ChartInterpreter<LeaseState, LeaseEvent>({ chart });
 
@@ -50,17 +50,17 @@
   }
 
   /** Discards the actions of the previous message. */
-  begin(): void {
+  beginMessage(): void {
     this.actions = [];
   }
 
   /** @returns The actions of the current message. */
-  taken(): readonly LeaseAction[] {
+  collectedActions(): readonly LeaseAction[] {
     return this.actions;
   }
 
   /** @param event - event of the state chart. One that the state does not accept changes nothing. */
-  go(event: LeaseEvent): void {
+  transition(event: LeaseEvent): void {
     this.current = interpreter.next(this.current, event).state;
   }
 
@@ -71,22 +71,22 @@
    * @param purpose - purpose of the call.
    * @param action - creates the action for the call's number.
    */
-  ask(now: number, purpose: CallPurpose, action: (call: number) => LeaseAction): void {
-    this.actions.push(action(this.calls.ask(now, purpose)));
+  requestCall(now: number, purpose: CallPurpose, action: (call: number) => LeaseAction): void {
+    this.actions.push(action(this.calls.start(now, purpose)));
   }
 
   /**
    * @param event - name of the log event.
    * @param fields - fields of the log event besides the lease.
    */
-  report(event: LeaseReport, fields: Record<string, string | number | boolean>): void {
+  report(event: LeaseLogEvent, fields: Record<string, string | number | boolean>): void {
     this.actions.push({ kind: 'report', event, fields: { lease: this.key, ...fields } });
   }
 
   /** Revokes the granted lease, so that a write that arrives late fails because its lease is gone. */
-  give(): void {
+  revokeLease(): void {
     if (this.lease) this.actions.push({ kind: 'revoke_lease', leaseId: this.lease.leaseId });
     this.lease = undefined;
-    this.calls.forget();
+    this.calls.clear();
   }
 }
--- a/src/orders/LeaseStore.ts
+++ b/src/orders/LeaseStore.ts
@@ -3,7 +3,12 @@
  */
 import type { PlatformStore } from '../store/PlatformStore.js';
 import { PlatformStoreError } from '../store/PlatformStore.js';
-import type { LeaseClaim, LeaseReading, LeaseTerm, LeaseWriting } from './leaseTypes.js';
+import type {
+  LeaseClaim,
+  LeaseReadResult,
+  LeaseTermResult,
+  LeaseWriteResult,
+} from './leaseTypes.js';
 
 const encoder = new TextEncoder();
 const decoder = new TextDecoder();
@@ -44,7 +49,7 @@
   }
 
   /** @returns The value of the lease's key, or why it could not be read. */
-  async read(): Promise<LeaseReading> {
+  async read(): Promise<LeaseReadResult> {
     try {
       const { entry, revision: storeRevision } = await this.store.get(this.key);
       if (!entry) return { kind: 'absent', storeRevision };
@@ -59,7 +64,7 @@
    * @param timeToLiveMilliseconds - requested time to live.
    * @returns A new store lease, or why there is none.
    */
-  async grant(timeToLiveMilliseconds: number): Promise<LeaseTerm> {
+  async grant(timeToLiveMilliseconds: number): Promise<LeaseTermResult> {
     try {
       return { kind: 'granted', ...(await this.store.grantLease(timeToLiveMilliseconds)) };
     } catch (error) {
@@ -71,7 +76,7 @@
    * @param leaseId - ID of the store lease.
    * @returns Its new time to live, or that the lease is lost.
    */
-  async renew(leaseId: string): Promise<LeaseTerm> {
+  async renew(leaseId: string): Promise<LeaseTermResult> {
     try {
       return { kind: 'granted', leaseId, ...(await this.store.renewLease(leaseId)) };
     } catch (error) {
@@ -89,7 +94,7 @@
    * @param claim - the value, which names this daemon and attempt.
    * @returns Result of the write.
    */
-  async write(leaseId: string, claim: LeaseClaim): Promise<LeaseWriting> {
+  async write(leaseId: string, claim: LeaseClaim): Promise<LeaseWriteResult> {
     const { key } = this;
     const value = encoder.encode(JSON.stringify(claim));
     try {
--- a/src/orders/OrderDecisions.ts
+++ b/src/orders/OrderDecisions.ts
@@ -71,7 +71,7 @@
   }
 
   /** @returns The lease's state and token, for the log and for tests. */
-  holding(): { state: LeaseDecisions['state']; token: number | undefined } {
+  leaseStatus(): { state: LeaseDecisions['state']; token: number | undefined } {
     return { state: this.lease.state, token: this.lease.authority?.token };
   }
 
--- a/src/orders/OrderSupervisor.ts
+++ b/src/orders/OrderSupervisor.ts
@@ -7,7 +7,7 @@
 import type { PlatformStore } from '../store/PlatformStore.js';
 import type { Clock } from '../time/Clock.js';
 import type { Upstream } from '../upstreams/Upstream.js';
-import { CANDIDATES } from './leaseTimings.js';
+import { CANDIDATE_COUNT } from './leaseTimings.js';
 import type { OrdersSettings } from './ordersFeature.js';
 import { OrderTask } from './OrderTask.js';
 import type { PoolName } from './poolPicture.js';
@@ -60,7 +60,7 @@
     }
     for (const [key, pool] of pools) {
       const rank = candidateRank(fleet, pool);
-      const isCandidate = rank >= 0 && rank < CANDIDATES;
+      const isCandidate = rank >= 0 && rank < CANDIDATE_COUNT;
       // A task stays when the daemon is no longer a candidate: it may hold the lease, and then keeps it.
       if (isCandidate && !this.tasks.has(key)) this.tasks.set(key, this.newTask(pool));
       this.tasks.get(key)?.review();
--- a/src/orders/OrderTask.spec.ts
+++ b/src/orders/OrderTask.spec.ts
@@ -18,7 +18,7 @@
 import { SilentLog } from '../logging/Log.js';
 import { FixedFleetView } from '../operators/FixedFleetView.js';
 import { MemoryConfigurationChanges } from '../operators/MemoryConfigurationChanges.js';
-import type { EntityValue } from '../operators/resourceKinds.js';
+import type { EntityContent } from '../operators/resourceKinds.js';
 import { entityOf } from '../operators/resourceKinds.js';
 import { ManualClock } from '../time/ManualClock.js';
 import type { OrderResult, UpstreamOrder, UpstreamState } from '../upstreams/Upstream.js';
@@ -112,7 +112,7 @@
     });
   }
 
-  async put(...values: EntityValue[]): Promise<void> {
+  async put(...values: EntityContent[]): Promise<void> {
     const edits = values.map((value) =>
       create(EntityEditSchema, { edit: { case: 'upsert', value: entityOf(value) } }),
     );
@@ -168,7 +168,7 @@
       address,
       incarnation: 1n,
     });
-    this.fleet.runnersKnown.push({ id: record.runnerId, record, state: 'live' });
+    this.fleet.fleetRunners.push({ id: record.runnerId, record, state: 'live' });
   }
 
   private configuration(): Configuration {
--- a/src/orders/OrderTask.ts
+++ b/src/orders/OrderTask.ts
@@ -18,7 +18,7 @@
 import { ordersLogEvents } from './ordersFeature.js';
 import type { OrderAction, OrderMessage } from './orderTypes.js';
 import type { PoolName } from './poolPicture.js';
-import { candidateRank, poolPicture, takesPart } from './poolPicture.js';
+import { candidateRank, poolPicture, mayHoldLeases } from './poolPicture.js';
 import { rolloutEdits } from './rolloutEdits.js';
 import type { ChangeEnd, OrderEnd, RolloutAction } from './rolloutTypes.js';
 import { RunnerUpstreams } from './RunnerUpstreams.js';
@@ -98,7 +98,7 @@
     this.checkClocks();
     const { fleet, pool } = this.options;
     const picture = poolPicture(fleet, pool);
-    const rank = takesPart(fleet) && picture ? candidateRank(fleet, pool) : -1;
+    const rank = mayHoldLeases(fleet) && picture ? candidateRank(fleet, pool) : -1;
     const checked = fleet.service(pool.service)?.checksFencing ?? false;
     // Skips unchanged pictures: most changes of the fleet concern other pools.
     const shown = JSON.stringify([rank, checked, picture]);
@@ -107,7 +107,7 @@
     this.send({ kind: 'lease_fencing', checked });
     this.send({ kind: 'lease_rank', rank });
     if (!picture) return;
-    this.upstreams.keep(fleet.runners(pool.service));
+    this.upstreams.retainRunners(fleet.runners(pool.service));
     this.send({ kind: 'pool', picture });
   }
 
@@ -151,7 +151,7 @@
 
   private async readState({ call, runnerId }: { call: number; runnerId: string }): Promise<void> {
     const reading = await this.upstreams
-      .ask(runnerId, (upstream) => upstream.readState())
+      .call(runnerId, (upstream) => upstream.readState())
       .then((state) => ({ kind: 'state' as const, state }))
       .catch((error: Error) => ({ kind: 'silent' as const, reason: error.message }));
     this.send({ kind: 'state_read', call, runnerId, reading });
@@ -159,7 +159,7 @@
 
   private async readLoad({ call, runnerId }: { call: number; runnerId: string }): Promise<void> {
     const reading = await this.upstreams
-      .ask(runnerId, (upstream) => upstream.readLoad())
+      .call(runnerId, (upstream) => upstream.readLoad())
       .then(({ running, queued, ageMilliseconds }) => ({
         kind: 'load' as const,
         running,
@@ -193,7 +193,7 @@
     if (this.clock.monotonicMilliseconds() >= validUntil) return { kind: 'not_sent' };
     const { longestOrderMilliseconds } = this.options;
     return this.upstreams
-      .ask(runnerId, (upstream) => upstream.order(order, fencingToken), longestOrderMilliseconds)
+      .call(runnerId, (upstream) => upstream.order(order, fencingToken), longestOrderMilliseconds)
       .catch((error: Error) => ({ kind: 'unknown', message: error.message }));
   }
 
--- a/src/orders/RolloutDecisions.spec.ts
+++ b/src/orders/RolloutDecisions.spec.ts
@@ -19,7 +19,11 @@
   it('moves every engine by steps that keep capacity, and settles the version', () => {
     const pool = new TestPool({ faults: healthy(8) });
     pool.run(HOUR, () => pool.rollout.state !== 'running');
-    expect([pool.rollout.state, pool.wantedVersion, pool.mostAway]).toEqual(['finished', '2', 2]);
+    expect([pool.rollout.state, pool.wantedVersion, pool.mostUnavailable]).toEqual([
+      'finished',
+      '2',
+      2,
+    ]);
     expect(new Set(pool.versions())).toEqual(new Set(['2']));
   });
 
@@ -57,7 +61,7 @@
       expect(pool.orders.length).toEqual(ordersAtHalt);
       expect([pool.rollout.state, pool.rollout.resumesAs]).toEqual(['halted', 'running']);
       expect(pool.reports.filter((event) => event === 'rolloutHalted').length).toEqual(1);
-      expect(pool.mostAway).toEqual(2);
+      expect(pool.mostUnavailable).toEqual(2);
       expect(pool.lastReason).toEqual(reason);
       const untouched = pool.versions().filter((version) => version === '1').length;
       expect(untouched).toBeGreaterThanOrEqual(untouchedAtLeast);
@@ -72,7 +76,7 @@
       faults[0] = fault;
       const pool = new TestPool({ faults });
       pool.run(HOUR, () => pool.rollout.state !== 'running');
-      expect([pool.rollout.state, pool.mostAway]).toEqual(['finished', 2]);
+      expect([pool.rollout.state, pool.mostUnavailable]).toEqual(['finished', 2]);
     }
   });
 
@@ -80,7 +84,7 @@
     const elsewhere = { runners: 4, unavailable: 3 };
     const pool = new TestPool({ faults: healthy(8), elsewhere });
     pool.run(10 * MINUTE);
-    expect([pool.mostAway, pool.orders.length]).toEqual([0, 0]);
+    expect([pool.mostUnavailable, pool.orders.length]).toEqual([0, 0]);
   });
 
   it('does not empty a data centre although the service as a whole could spare it', () => {
@@ -90,7 +94,7 @@
     const elsewhere = { runners: 36, unavailable: 0 };
     const pool = new TestPool({ faults: healthy(4), elsewhere });
     pool.run(HOUR, () => pool.rollout.state !== 'running');
-    expect([pool.rollout.state, pool.mostAway]).toEqual(['finished', 1]);
+    expect([pool.rollout.state, pool.mostUnavailable]).toEqual(['finished', 1]);
   });
 
   it('waits for the turn of its data centre, and restores the old version during a roll-back', () => {
@@ -98,9 +102,9 @@
     const pool = new TestPool({ faults: healthy(4), rollout });
     pool.run(5 * MINUTE);
     expect(pool.orders.length).toEqual(0);
-    pool.steer({ finishedDataCentres: ['b'] });
+    pool.updateRollout({ finishedDataCentres: ['b'] });
     pool.run(20_000);
-    pool.steer({ state: 'rolling_back', finishedDataCentres: ['b', 'a'] });
+    pool.updateRollout({ state: 'rolling_back', finishedDataCentres: ['b', 'a'] });
     pool.run(HOUR, () => pool.rollout.finishedDataCentres.length === 1);
     expect([pool.rollout.state, ...pool.rollout.finishedDataCentres]).toEqual([
       'rolling_back',
@@ -157,7 +161,7 @@
         }
         pool.run(HOUR, () => pool.rollout.state !== 'running');
         const allowance = unavailableAllowance(faults.length, maximumUnavailableShare);
-        expect(pool.mostAway).toBeLessThanOrEqual(allowance);
+        expect(pool.mostUnavailable).toBeLessThanOrEqual(allowance);
         if (pool.rollout.state === 'finished') {
           const alive = pool.engines.filter(({ dead }) => !dead);
           expect(alive.every(({ state }) => state.versions.join() === '2')).toEqual(true);
--- a/src/orders/RolloutDecisions.ts
+++ b/src/orders/RolloutDecisions.ts
@@ -11,12 +11,12 @@
 import type { PoolPicture } from './poolTypes.js';
 import type { RolloutTimings } from './rolloutTimings.js';
 import { DEFAULT_ROLLOUT_TIMINGS } from './rolloutTimings.js';
-import type { Turn } from './rolloutTurn.js';
-import { turnOf } from './rolloutTurn.js';
+import type { RolloutTurn } from './rolloutTurn.js';
+import { currentTurn } from './rolloutTurn.js';
 import type { RolloutAction, RolloutMessage } from './rolloutTypes.js';
 import { RolloutOutbox } from './RolloutOutbox.js';
 import { RunnerOrders } from './RunnerOrders.js';
-import { RunnerWork } from './RunnerWork.js';
+import { RunnerTracker } from './RunnerTracker.js';
 import { WeightPacer } from './WeightPacer.js';
 
 /** Options of {@link RolloutDecisions}. */
@@ -43,7 +43,7 @@
 
   private readonly plan: ChangePlan;
 
-  private readonly trackers = new Map<string, RunnerWork>();
+  private readonly trackers = new Map<string, RunnerTracker>();
 
   private picture: PoolPicture | undefined;
 
@@ -71,10 +71,10 @@
   }
 
   override decide(now: number, message: RolloutMessage): readonly RolloutAction[] {
-    this.outbox.begin();
+    this.outbox.beginMessage();
     this.handle(now, message);
     this.act(now);
-    return this.outbox.taken();
+    return this.outbox.collectedActions();
   }
 
   override nextWake(): number | undefined {
@@ -93,9 +93,9 @@
         const tracker = this.trackers.get(runnerId);
         if (!tracker || tracker.stateCall !== call || !this.picture) return;
         tracker.stateCall = undefined;
-        const wasUnresponsive = tracker.silentSince !== undefined;
-        tracker.observe(now, reading, turnOf(this.picture).wanted);
-        tracker.readAt = now + tracker.readEvery;
+        const wasUnresponsive = tracker.unresponsiveSince !== undefined;
+        tracker.observeState(now, reading, currentTurn(this.picture).wanted);
+        tracker.readAt = now + tracker.readIntervalMilliseconds;
         if (reading.kind !== 'silent' || wasUnresponsive) return;
         this.outbox.report('runnerSilent', { runner: runnerId, reason: reading.reason });
       })
@@ -103,13 +103,13 @@
         const tracker = this.trackers.get(runnerId);
         if (!tracker || tracker.loadCall !== call) return;
         tracker.loadCall = undefined;
-        tracker.weigh(now, reading);
+        tracker.observeLoad(now, reading);
       })
       .with({ kind: 'order_ended' }, ({ call, runnerId, end }) =>
-        this.orders.ended(now, { runnerId, call, end, tracker: this.trackers.get(runnerId) }),
+        this.orders.orderEnded(now, { runnerId, call, end, tracker: this.trackers.get(runnerId) }),
       )
       .with({ kind: 'change_ended' }, ({ call, end }) => {
-        if (!this.plan.ended(now, call, end) || end.kind === 'accepted') return;
+        if (!this.plan.changeEnded(now, call, end) || end.kind === 'accepted') return;
         this.outbox.report('changeFailed', { reason: end.reason });
       })
       .exhaustive();
@@ -129,18 +129,18 @@
     this.wakeAt = undefined;
     const { authority, picture } = this;
     if (!authority || !picture || now >= authority.until) return;
-    const turn = turnOf(picture);
+    const turn = currentTurn(picture);
     this.updateRunners(now, picture, turn);
     for (const tracker of this.trackers.values()) {
       if (tracker.phase === 'outdated') this.reportDifference(tracker, turn);
-      this.orders.pursue(now, tracker, turn.wanted, authority);
+      this.orders.issueNextOrder(now, tracker, turn.wanted, authority);
       this.readIfDue(now, tracker);
     }
     this.changeConfiguration(now, picture, turn);
     this.wakeAt = this.nextDueTime(now);
   }
 
-  private updateRunners(now: number, picture: PoolPicture, turn: Turn): void {
+  private updateRunners(now: number, picture: PoolPicture, turn: RolloutTurn): void {
     const { runners, revision, everywhereRevision } = picture;
     // Leaves out runners that an operator has drained, and those that are leaving or down.
     const managed = runners.filter(
@@ -154,9 +154,9 @@
     }
     const { timings } = this;
     for (const runner of managed) {
-      const tracker = this.trackers.get(runner.id) ?? new RunnerWork({ runner, timings, now });
+      const tracker = this.trackers.get(runner.id) ?? new RunnerTracker({ runner, timings, now });
       this.trackers.set(runner.id, tracker);
-      tracker.see(runner, now, revision, everywhereRevision);
+      tracker.updateRunner(runner, now, revision, everywhereRevision);
     }
     const { state = '', resumesAs = '' } = picture.rollout ?? {};
     const wantedKey = JSON.stringify([turn.wanted, state, resumesAs]);
@@ -164,11 +164,11 @@
     this.classifiedFor = wantedKey;
     for (const tracker of this.trackers.values()) {
       if (state !== 'halted') tracker.retry();
-      tracker.judge(turn.wanted);
+      tracker.classify(turn.wanted);
     }
   }
 
-  private reportDifference(tracker: RunnerWork, { wanted }: Turn): void {
+  private reportDifference(tracker: RunnerTracker, { wanted }: RolloutTurn): void {
     const current = tracker;
     const state = this.picture?.rollout?.state;
     const rolloutOpen = state === 'running' || state === 'halted' || state === 'rolling_back';
@@ -179,7 +179,7 @@
     this.outbox.report('runnerDiffers', fields);
   }
 
-  private readIfDue(now: number, tracker: RunnerWork): void {
+  private readIfDue(now: number, tracker: RunnerTracker): void {
     const current = tracker;
     const { id: runnerId } = tracker.runner;
     if (now < tracker.readAt || tracker.orderCall !== undefined) return;
@@ -188,18 +188,18 @@
       current.stateCall = call;
       this.outbox.push({ kind: 'read_state', call, runnerId });
     }
-    current.readAt = now + tracker.readEvery;
+    current.readAt = now + tracker.readIntervalMilliseconds;
     if (tracker.phase !== 'draining' || tracker.loadCall !== undefined) return;
     const call = this.outbox.nextCall();
     current.loadCall = call;
     this.outbox.push({ kind: 'read_load', call, runnerId });
   }
 
-  private changeConfiguration(now: number, picture: PoolPicture, turn: Turn): void {
-    const change = this.plan.next(now, picture, turn, [...this.trackers.values()]);
+  private changeConfiguration(now: number, picture: PoolPicture, turn: RolloutTurn): void {
+    const change = this.plan.nextChange(now, picture, turn, [...this.trackers.values()]);
     if (!change) return;
     const call = this.outbox.nextCall();
-    this.plan.began(call);
+    this.plan.changeSent(call);
     this.outbox.push({ kind: 'change', call, ...change.change });
     for (const { event, fields } of change.reports) this.outbox.report(event, fields);
   }
@@ -210,9 +210,9 @@
     const times = [...this.trackers.values()]
       .filter(({ orderCall }) => orderCall === undefined)
       .map(({ readAt }) => readAt);
-    const nextLoadAt = this.pacer.nextTime(now);
+    const nextLoadAt = this.pacer.nextDueTime(now);
     if (nextLoadAt !== undefined) times.push(nextLoadAt);
-    const nextChangeAt = this.plan.nextTime(now);
+    const nextChangeAt = this.plan.nextDueTime(now);
     if (nextChangeAt !== undefined) times.push(nextChangeAt);
     return times.length > 0 ? Math.max(now, Math.min(...times)) : undefined;
   }
--- a/src/orders/RolloutOutbox.ts
+++ b/src/orders/RolloutOutbox.ts
@@ -2,7 +2,7 @@
  * Collects the actions that result from the current message, and numbers their calls.
  */
 import type { PoolPicture } from './poolTypes.js';
-import type { RolloutAction, RolloutReport } from './rolloutTypes.js';
+import type { RolloutAction, RolloutLogEvent } from './rolloutTypes.js';
 
 /** Collector of actions, shared by the parts of a pool's roll-out decisions. */
 export class RolloutOutbox {
@@ -13,12 +13,12 @@
   private pool: Pick<PoolPicture, 'service' | 'dataCentre'> = { service: '', dataCentre: '' };
 
   /** Discards the actions of the previous message. */
-  begin(): void {
+  beginMessage(): void {
     this.actions = [];
   }
 
   /** @returns The actions of the current message. */
-  taken(): readonly RolloutAction[] {
+  collectedActions(): readonly RolloutAction[] {
     return this.actions;
   }
 
@@ -42,7 +42,10 @@
    * @param event - name of the log event.
    * @param fields - fields of the log event besides the pool.
    */
-  report(event: RolloutReport, fields: Readonly<Record<string, string | number | boolean>>): void {
+  report(
+    event: RolloutLogEvent,
+    fields: Readonly<Record<string, string | number | boolean>>,
+  ): void {
     this.actions.push({ kind: 'report', event, fields: { ...this.pool, ...fields } });
   }
 }
--- a/src/orders/RunnerOrders.ts
+++ b/src/orders/RunnerOrders.ts
@@ -10,7 +10,7 @@
 import type { RolloutOutbox } from './RolloutOutbox.js';
 import type { RolloutTimings } from './rolloutTimings.js';
 import type { OrderEnd } from './rolloutTypes.js';
-import type { RunnerWork } from './RunnerWork.js';
+import type { RunnerTracker } from './RunnerTracker.js';
 import type { WeightPacer } from './WeightPacer.js';
 
 /** Options of {@link RunnerOrders}. */
@@ -27,7 +27,7 @@
   readonly call: number;
   readonly end: OrderEnd;
   /** Missing when the runner is gone, or was forgotten because the lease changed. */
-  readonly tracker: RunnerWork | undefined;
+  readonly tracker: RunnerTracker | undefined;
 }
 
 function describeOrder(order: UpstreamOrder): string {
@@ -68,7 +68,12 @@
    * @param wanted - the state that the runner has to reach.
    * @param authority - the lease under which the order is issued.
    */
-  pursue(now: number, tracker: RunnerWork, wanted: WantedState, authority: Authority): void {
+  issueNextOrder(
+    now: number,
+    tracker: RunnerTracker,
+    wanted: WantedState,
+    authority: Authority,
+  ): void {
     const { phase, observed } = tracker;
     this.trackLoad(now, tracker, wanted);
     if (tracker.orderCall !== undefined || !observed) return;
@@ -86,7 +91,7 @@
   }
 
   /** Counts each load in progress against the weight store, including one that an earlier holder ordered. */
-  private trackLoad(now: number, tracker: RunnerWork, wanted: WantedState): void {
+  private trackLoad(now: number, tracker: RunnerTracker, wanted: WantedState): void {
     const { id } = tracker.runner;
     if (tracker.loadingSince === undefined) {
       if (tracker.observed?.versions.includes(wanted.version)) this.pacer.end(id);
@@ -101,7 +106,7 @@
 
   private orderVersionChange(
     now: number,
-    tracker: RunnerWork,
+    tracker: RunnerTracker,
     order: UpstreamOrder,
     wanted: WantedState,
     authority: Authority,
@@ -116,7 +121,7 @@
 
   private issueOrder(
     now: number,
-    tracker: RunnerWork,
+    tracker: RunnerTracker,
     order: UpstreamOrder,
     authority: Authority,
   ): void {
@@ -148,7 +153,7 @@
    * @param now - monotonic time in milliseconds.
    * @param ended - the order, its result, and the runner's tracker if it still exists.
    */
-  ended(now: number, { runnerId, call, end, tracker }: EndedOrder): void {
+  orderEnded(now: number, { runnerId, call, end, tracker }: EndedOrder): void {
     const issued = this.issuedUnder.get(call);
     this.issuedUnder.delete(call);
     // The second of the two clock checks; the first is made before sending. An order that ended after its
@@ -163,13 +168,13 @@
     current.stateCall = undefined;
     // Waits before the next read: an engine may show the effect of an order a little later, and an engine
     // that refuses or fails immediately would be read and ordered again as fast as the network allows.
-    current.readAt = now + tracker.readEvery;
+    current.readAt = now + tracker.readIntervalMilliseconds;
     const reason = 'message' in end ? end.message : '';
     this.outbox.report('orderEnded', { runner: runnerId, outcome: end.kind, reason });
     if (end.kind === 'refused') this.fail(tracker, `refused an order: ${end.message}`);
   }
 
-  private fail(tracker: RunnerWork, reason: string): void {
+  private fail(tracker: RunnerTracker, reason: string): void {
     tracker.fail(reason);
     this.pacer.end(tracker.runner.id);
     this.outbox.report('runnerFailed', { runner: tracker.runner.id, reason });
