--- a/src/orders/RunnerWork.ts
+++ b/src/orders/RunnerTracker.ts
@@ -3,8 +3,8 @@
  */
 import { ChartInterpreter } from '../charts/ChartInterpreter.js';
 import type { UpstreamOrder, UpstreamState } from '../upstreams/Upstream.js';
-import { matchOf, nextOrder } from './orderPlan.js';
-import type { LoadReading, PoolRunner, StateReading, WantedState } from './poolTypes.js';
+import { compareWithWanted, nextOrder } from './orderPlan.js';
+import type { LoadReadResult, PoolRunner, StateReadResult, WantedState } from './poolTypes.js';
 import chart from './rollout.chart.json' with { type: 'json' };
 import type { RolloutTimings } from './rolloutTimings.js';
 import type { RunnerEvent, RunnerPhase } from './rolloutTypes.js';
@@ -17,15 +17,15 @@
 /** Phases in which a runner serves requests. */
 const SERVING_PHASES: ReadonlySet<RunnerPhase> = new Set(['settled', 'outdated']);
 
-/** Options of a {@link RunnerWork}. */
-export interface RunnerWorkOptions {
+/** Options of a {@link RunnerTracker}. */
+export interface RunnerTrackerOptions {
   runner: PoolRunner;
   timings: RolloutTimings;
   now: number;
 }
 
 /** Tracks one runner for the holder of the pool's lease. A new holder starts from what the runner reports. */
-export class RunnerWork {
+export class RunnerTracker {
   /** The runner as shown in the newest picture of the pool. */
   runner: PoolRunner;
 
@@ -56,7 +56,7 @@
   loadingSince: number | undefined;
 
   /** Monotonic time since which the runner has been unresponsive. */
-  silentSince: number | undefined;
+  unresponsiveSince: number | undefined;
 
   /** Monotonic time since which the runner has been drained for the roll-out. */
   drainedSince: number | undefined;
@@ -76,7 +76,7 @@
   /**
    * @param options - the runner, the timings and the current time.
    */
-  constructor({ runner, timings, now }: RunnerWorkOptions) {
+  constructor({ runner, timings, now }: RunnerTrackerOptions) {
     this.runner = runner;
     this.timings = timings;
     this.readAt = now;
@@ -94,9 +94,9 @@
   }
 
   /** @returns Interval between two reads of the runner's state, in milliseconds. */
-  get readEvery(): number {
+  get readIntervalMilliseconds(): number {
     const { activeReadMilliseconds, steadyReadMilliseconds } = this.timings;
-    const active = ACTIVE_PHASES.has(this.current) || this.silentSince !== undefined;
+    const active = ACTIVE_PHASES.has(this.current) || this.unresponsiveSince !== undefined;
     return active ? activeReadMilliseconds : steadyReadMilliseconds;
   }
 
@@ -108,7 +108,12 @@
    * @param revision - configuration revision of the picture.
    * @param everywhereRevision - lowest configuration revision in force on any serving daemon.
    */
-  see(runner: PoolRunner, now: number, revision: number, everywhereRevision: number): void {
+  updateRunner(
+    runner: PoolRunner,
+    now: number,
+    revision: number,
+    everywhereRevision: number,
+  ): void {
     this.runner = runner;
     if (runner.drain !== 'rollout') {
       this.drainedSince = undefined;
@@ -133,19 +138,19 @@
    * @param reading - the reported state, or that the runner did not answer.
    * @param wanted - the state that the runner has to reach.
    */
-  observe(now: number, reading: StateReading, wanted: WantedState): void {
+  observeState(now: number, reading: StateReadResult, wanted: WantedState): void {
     if (reading.kind === 'silent') {
       this.observed = undefined;
-      this.silentSince ??= now;
+      this.unresponsiveSince ??= now;
       const patience = this.timings.silencePatienceMilliseconds;
-      if (now - this.silentSince >= patience) this.transition('unreachable');
+      if (now - this.unresponsiveSince >= patience) this.transition('unreachable');
       return;
     }
-    this.silentSince = undefined;
+    this.unresponsiveSince = undefined;
     this.observed = reading.state;
     if (reading.state.loading.length === 0) this.loadingSince = undefined;
     else this.loadingSince ??= now;
-    this.judge(wanted);
+    this.classify(wanted);
   }
 
   /**
@@ -153,12 +158,12 @@
    *
    * @param wanted - the state that the runner has to reach.
    */
-  judge(wanted: WantedState): void {
+  classify(wanted: WantedState): void {
     const { observed } = this;
     if (!observed) return;
     const drained = this.runner.drain === 'rollout';
     if (drained && this.current === 'unknown') this.transition('drain_seen');
-    const found = matchOf(wanted, observed);
+    const found = compareWithWanted(wanted, observed);
     if (found === 'other_model') {
       this.fail(`serves model ${observed.model}`);
       return;
@@ -184,7 +189,7 @@
    * @param now - monotonic time in milliseconds.
    * @param reading - the reported load, or that the runner did not answer.
    */
-  weigh(now: number, reading: LoadReading): void {
+  observeLoad(now: number, reading: LoadReadResult): void {
     if (reading.kind === 'silent' || this.drainInForceAt === undefined) return;
     const measuredAt = now - reading.ageMilliseconds;
     const settledAt = this.drainInForceAt + this.timings.drainMarginMilliseconds;
--- a/src/orders/RunnerUpstreams.ts
+++ b/src/orders/RunnerUpstreams.ts
@@ -33,7 +33,7 @@
   }
 
   /** @param runners - all runners that exist. Connections to others are closed. */
-  keep(runners: readonly FleetRunner[]): void {
+  retainRunners(runners: readonly FleetRunner[]): void {
     this.addresses = new Map(runners.map(({ id, record }) => [id, record.address]));
     for (const [runnerId, { address, upstream }] of this.connections) {
       if (this.addresses.get(runnerId) === address) continue;
@@ -50,7 +50,7 @@
    * @param timeoutMilliseconds - longest wait for the answer.
    * @returns The answer. Rejects if there is none in time, or if the runner is unknown.
    */
-  async ask<Answer>(
+  async call<Answer>(
     runnerId: string,
     send: (upstream: Upstream) => Promise<Answer>,
     timeoutMilliseconds = READ_TIMEOUT_MILLISECONDS,
--- a/src/orders/WeightPacer.ts
+++ b/src/orders/WeightPacer.ts
@@ -74,7 +74,7 @@
    * @param now - monotonic time in milliseconds.
    * @returns Monotonic time at which the rate allows the next load, or `undefined` if it does so now.
    */
-  nextTime(now: number): number | undefined {
+  nextDueTime(now: number): number | undefined {
     return this.nextAt > now ? this.nextAt : undefined;
   }
 
--- a/src/orders/leaseTimings.ts
+++ b/src/orders/leaseTimings.ts
@@ -30,13 +30,13 @@
 export const RENEWALS_PER_TIME_TO_LIVE = 3;
 
 /** Reads of the own key per time to live: one may fail before the lease expires. */
-export const READINGS_PER_TIME_TO_LIVE = 2;
+export const KEY_READS_PER_TIME_TO_LIVE = 2;
 
 /** Interval, in times to live, at which the second daemon in rendezvous order reads the key. */
 export const STANDBY_TIMES_TO_LIVE = 3;
 
 /** Number of daemons in rendezvous order that try to acquire a lease. More would cost calls without benefit. */
-export const CANDIDATES = 2;
+export const CANDIDATE_COUNT = 2;
 
 /**
  * How long a new holder waits before it gives orders to engines that ignore the fencing token. The old
@@ -57,7 +57,7 @@
  * @returns Calls per second of the holder and the standby daemons together.
  */
 export function leaseCallsPerSecond({ timeToLiveMilliseconds }: LeaseTimings): number {
-  const ofHolder = RENEWALS_PER_TIME_TO_LIVE + READINGS_PER_TIME_TO_LIVE;
+  const ofHolder = RENEWALS_PER_TIME_TO_LIVE + KEY_READS_PER_TIME_TO_LIVE;
   const ofStandby = 1 + 1 / STANDBY_TIMES_TO_LIVE;
   return ((ofHolder + ofStandby) * 1000) / timeToLiveMilliseconds;
 }
--- a/src/orders/leaseTypes.ts
+++ b/src/orders/leaseTypes.ts
@@ -28,7 +28,7 @@
 }
 
 /** Result of a read of the lease's key. */
-export type LeaseReading =
+export type LeaseReadResult =
   | {
       readonly kind: 'found';
       readonly claim: LeaseClaim;
@@ -40,15 +40,15 @@
   | { readonly kind: 'failed'; readonly reason: string };
 
 /** Result of the write of the lease's key. */
-export type LeaseWriting =
+export type LeaseWriteResult =
   | { readonly kind: 'committed'; readonly revision: number }
-  | Extract<LeaseReading, { kind: 'found' | 'absent' }>
+  | Extract<LeaseReadResult, { kind: 'found' | 'absent' }>
   /** The answer was lost: the write may have taken effect, or may still do so. */
   | { readonly kind: 'unsure'; readonly reason: string }
   | { readonly kind: 'failed'; readonly reason: string };
 
 /** Result of the grant or the renewal of a store lease. */
-export type LeaseTerm =
+export type LeaseTermResult =
   | {
       readonly kind: 'granted';
       readonly leaseId: string;
@@ -64,9 +64,9 @@
   | { readonly kind: 'lease_rank'; readonly rank: number }
   /** Whether the pool's engines refuse orders with an outdated fencing token. */
   | { readonly kind: 'lease_fencing'; readonly checked: boolean }
-  | { readonly kind: 'lease_read'; readonly call: number; readonly reading: LeaseReading }
-  | { readonly kind: 'lease_term'; readonly call: number; readonly term: LeaseTerm }
-  | { readonly kind: 'lease_written'; readonly call: number; readonly writing: LeaseWriting }
+  | { readonly kind: 'lease_read'; readonly call: number; readonly reading: LeaseReadResult }
+  | { readonly kind: 'lease_term'; readonly call: number; readonly term: LeaseTermResult }
+  | { readonly kind: 'lease_written'; readonly call: number; readonly writing: LeaseWriteResult }
   /** The wall clock advanced while the monotonic clock stood still: the instance was suspended. */
   | { readonly kind: 'clock_jumped' }
   /** An engine refused this holder's token, which shows that there is a newer holder. */
@@ -75,7 +75,7 @@
   | { readonly kind: 'release' };
 
 /** Names of the log events that the decisions write; defined in ordersFeature.ts. */
-export type LeaseReport =
+export type LeaseLogEvent =
   'leaseAcquired' | 'leaseHeld' | 'leaseLost' | 'leaseFailed' | 'leaseUnsure' | 'leaseReleased';
 
 /** Output of the decisions about a lease. */
@@ -97,6 +97,6 @@
   | { readonly kind: 'revoke_lease'; readonly leaseId: string }
   | {
       readonly kind: 'report';
-      readonly event: LeaseReport;
+      readonly event: LeaseLogEvent;
       readonly fields: Readonly<Record<string, string | number | boolean>>;
     };
--- a/src/orders/orderPlan.spec.ts
+++ b/src/orders/orderPlan.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 
 import type { UpstreamState } from '../upstreams/Upstream.js';
-import { matchOf, nextOrder } from './orderPlan.js';
+import { compareWithWanted, nextOrder } from './orderPlan.js';
 import type { WantedState } from './poolTypes.js';
 
 const WANTED: WantedState = {
@@ -55,7 +55,9 @@
   for (const [name, change, match, order] of cases) {
     it(`knows the next step from: ${name}`, () => {
       const observed = { ...REACHED, ...change };
-      expect(matchOf(WANTED, observed)).toEqual(match as ReturnType<typeof matchOf>);
+      expect(compareWithWanted(WANTED, observed)).toEqual(
+        match as ReturnType<typeof compareWithWanted>,
+      );
       if (match === 'other_model') return;
       const next = nextOrder(WANTED, observed) ?? 'nothing';
       const text = typeof next === 'string' ? next : Object.values(next).join(' ');
--- a/src/orders/orderPlan.ts
+++ b/src/orders/orderPlan.ts
@@ -24,7 +24,7 @@
  * @param observed - the state that the runner reported.
  * @returns The result of the comparison.
  */
-export function matchOf(wanted: WantedState, observed: UpstreamState): RunnerMatch {
+export function compareWithWanted(wanted: WantedState, observed: UpstreamState): RunnerMatch {
   if (wanted.model !== '' && observed.model !== wanted.model) return 'other_model';
   if (wanted.version !== '' && observed.versions.length === 0) return 'empty';
   const version = wanted.version === '' || observed.versions.includes(wanted.version);
--- a/src/orders/poolPicture.ts
+++ b/src/orders/poolPicture.ts
@@ -3,7 +3,7 @@
  */
 import type { FleetRunner, FleetView } from '../fleet/FleetView.js';
 import type { Rollout, Service } from '../generated/baobabdock/v1/configuration_pb.js';
-import { everywhereRevision, serves } from '../operators/daemonRevisions.js';
+import { lowestRevision, isServing } from '../operators/daemonRevisions.js';
 import { rendezvousOrder } from '../routing/rendezvous.js';
 import type {
   PoolPicture,
@@ -131,7 +131,7 @@
   return {
     ...pool,
     revision: fleet.configurationRevision(),
-    everywhereRevision: Number(everywhereRevision(fleet)),
+    everywhereRevision: Number(lowestRevision(fleet)),
     model: service.model,
     wantedVersion: service.wantedVersion,
     adapters: service.wantedAdapters,
@@ -159,7 +159,7 @@
  * @param fleet - this daemon's view of the fleet.
  * @returns Whether this daemon may hold leases. A daemon that is leaving or was declared dead may not.
  */
-export function takesPart(fleet: FleetView): boolean {
+export function mayHoldLeases(fleet: FleetView): boolean {
   const self = fleet.self();
-  return serves(self) && self.state === 'alive';
+  return isServing(self) && self.state === 'alive';
 }
--- a/src/orders/poolTypes.ts
+++ b/src/orders/poolTypes.ts
@@ -63,12 +63,12 @@
 }
 
 /** Result of a state read: the state that the runner reported, or `silent` if it did not answer. */
-export type StateReading =
+export type StateReadResult =
   | { readonly kind: 'state'; readonly state: UpstreamState }
   | { readonly kind: 'silent'; readonly reason: string };
 
 /** Result of a load read: the load that the runner reported, or `silent` if it did not answer. */
-export type LoadReading =
+export type LoadReadResult =
   | {
       readonly kind: 'load';
       readonly running: number;
--- a/src/orders/rolloutEdits.ts
+++ b/src/orders/rolloutEdits.ts
@@ -10,7 +10,7 @@
 import type { Rollout, Service } from '../generated/baobabdock/v1/configuration_pb.js';
 import { DrainSchema } from '../generated/baobabdock/v1/configuration_pb.js';
 import type { ConfigurationChanges } from '../operators/ConfigurationChanges.js';
-import type { EntityValue } from '../operators/resourceKinds.js';
+import type { EntityContent } from '../operators/resourceKinds.js';
 import { drainName, entityOf } from '../operators/resourceKinds.js';
 import type { PoolName } from './poolPicture.js';
 import { rolloutAuthor } from './poolPicture.js';
@@ -21,7 +21,7 @@
   readonly refused: string;
 }
 
-function upsert(value: EntityValue, expectedRevision: bigint): EntityEdit {
+function upsert(value: EntityContent, expectedRevision: bigint): EntityEdit {
   const edit = { case: 'upsert' as const, value: entityOf(value) };
   return create(EntityEditSchema, { edit, expectedRevision });
 }
--- a/src/orders/rolloutTurn.ts
+++ b/src/orders/rolloutTurn.ts
@@ -6,10 +6,10 @@
 import type { PoolPicture, RolloutPicture, WantedState } from './poolTypes.js';
 
 /** A pool's current part in the roll-out. */
-export interface Turn {
+export interface RolloutTurn {
   readonly wanted: WantedState;
   /** Whether serving runners may be drained now. */
-  readonly mayTake: boolean;
+  readonly mayDrain: boolean;
   /** Whether the roll-out is working on this data centre, which then reports when it is finished. */
   readonly active: boolean;
 }
@@ -49,10 +49,11 @@
  * @param picture - the pool.
  * @returns The wanted state and whether runners may be drained for it.
  */
-export function turnOf(picture: PoolPicture): Turn {
+export function currentTurn(picture: PoolPicture): RolloutTurn {
   const { rollout, dataCentre, wantedVersion } = picture;
   const steady: DataCentrePart = { version: wantedVersion, active: false };
-  if (!rollout) return { wanted: wantedOf(picture, steady.version), mayTake: false, active: false };
+  if (!rollout)
+    return { wanted: wantedOf(picture, steady.version), mayDrain: false, active: false };
   const rollingBack =
     rollout.state === 'rolling_back' ||
     (rollout.state === 'halted' && rollout.resumesAs === 'rolling_back');
@@ -62,7 +63,7 @@
     .exhaustive();
   const running = rollout.state === 'running' || rollout.state === 'rolling_back';
   const active = running && part.active;
-  return { wanted: wantedOf(picture, part.version), mayTake: active, active };
+  return { wanted: wantedOf(picture, part.version), mayDrain: active, active };
 }
 
 /**
--- a/src/orders/rolloutTypes.ts
+++ b/src/orders/rolloutTypes.ts
@@ -5,7 +5,7 @@
 import type { EventOf, StateOf } from '../charts/chartTypes.js';
 import type { OrderResult, UpstreamOrder } from '../upstreams/Upstream.js';
 import type { Authority } from './leaseTypes.js';
-import type { LoadReading, PoolPicture, RolloutPicture, StateReading } from './poolTypes.js';
+import type { LoadReadResult, PoolPicture, RolloutPicture, StateReadResult } from './poolTypes.js';
 import type chart from './rollout.chart.json';
 
 /** States of `rollout.chart.json`: the phase of one runner. */
@@ -43,13 +43,13 @@
       readonly kind: 'state_read';
       readonly call: number;
       readonly runnerId: string;
-      readonly reading: StateReading;
+      readonly reading: StateReadResult;
     }
   | {
       readonly kind: 'load_read';
       readonly call: number;
       readonly runnerId: string;
-      readonly reading: LoadReading;
+      readonly reading: LoadReadResult;
     }
   | {
       readonly kind: 'order_ended';
@@ -60,7 +60,7 @@
   | { readonly kind: 'change_ended'; readonly call: number; readonly end: ChangeEnd };
 
 /** Names of the log events that the decisions write; defined in ordersFeature.ts. */
-export type RolloutReport =
+export type RolloutLogEvent =
   | 'orderGiven'
   | 'orderEnded'
   | 'orderLate'
@@ -94,6 +94,6 @@
     }
   | {
       readonly kind: 'report';
-      readonly event: RolloutReport;
+      readonly event: RolloutLogEvent;
       readonly fields: Readonly<Record<string, string | number | boolean>>;
     };
--- a/src/orders/testLeaseWorld.ts
+++ b/src/orders/testLeaseSimulation.ts
@@ -8,7 +8,7 @@
 import type { LeaseTimings } from './leaseTimings.js';
 
 /** Delays and loss of one call to the platform. */
-export interface CallFate {
+export interface CallFault {
   /** Milliseconds until the call reaches the platform, and from there until its answer is back. */
   readonly requestDelay: number;
   readonly answerDelay: number;
@@ -18,7 +18,7 @@
 /** All faults of one run; times in milliseconds of virtual time. */
 export interface LeaseFaults {
   /** Used for one call after the other, then from the start again. */
-  readonly callFaults: readonly CallFate[];
+  readonly callFaults: readonly CallFault[];
   readonly pauses: readonly { daemon: number; at: number; length: number }[];
   readonly outages: readonly { at: number; length: number }[];
   /** Times at which the key is deleted by hand. */
@@ -30,7 +30,7 @@
 }
 
 /** An order with the times at which it was sent and reached the engine. */
-export interface MetOrder {
+export interface SimulatedOrder {
   readonly daemon: number;
   readonly token: number;
   readonly sentAt: number;
@@ -70,8 +70,8 @@
 /** Time after which a call without an answer fails. */
 const CALL_TIMEOUT_MILLISECONDS = 4000;
 
-/** Options of a {@link LeaseWorld}. */
-export interface LeaseWorldOptions {
+/** Options of a {@link LeaseSimulation}. */
+export interface LeaseSimulationOptions {
   daemons: number;
   faults: LeaseFaults;
   checksFencing: boolean;
@@ -79,12 +79,12 @@
 }
 
 /** Deterministic simulation: the same options give the same run. */
-export class LeaseWorld {
+export class LeaseSimulation {
   /** All orders, sorted by the time of sending. */
-  readonly orders: MetOrder[] = [];
+  readonly orders: SimulatedOrder[] = [];
 
   /** The daemon that used each fencing token, by token. */
-  readonly holders = new Map<number, number>();
+  readonly daemonByToken = new Map<number, number>();
 
   now = 0;
 
@@ -108,7 +108,7 @@
   /**
    * @param options - the number of daemons and the faults.
    */
-  constructor({ daemons, faults, checksFencing, timings = {} }: LeaseWorldOptions) {
+  constructor({ daemons, faults, checksFencing, timings = {} }: LeaseSimulationOptions) {
     this.faults = faults;
     this.daemons = Array.from({ length: daemons }, (_, number) => ({
       decisions: new LeaseDecisions({ key: 'leases/pool', holder: `daemon-${number}`, timings }),
@@ -125,8 +125,8 @@
       });
     }
     this.daemons.forEach((_, daemon) => {
-      this.tell(daemon, { kind: 'lease_fencing', checked: checksFencing });
-      this.tell(daemon, { kind: 'lease_rank', rank: daemon });
+      this.send(daemon, { kind: 'lease_fencing', checked: checksFencing });
+      this.send(daemon, { kind: 'lease_rank', rank: daemon });
       this.schedule(ORDER_INTERVAL_MILLISECONDS, () => this.giveOrder(daemon));
     });
   }
@@ -150,10 +150,10 @@
    * @param daemon - number of the daemon.
    * @param message - the message.
    */
-  tell(daemon: number, message: LeaseMessage): void {
+  send(daemon: number, message: LeaseMessage): void {
     const { decisions, pausedUntil } = this.at(daemon);
     if (this.now < pausedUntil) {
-      this.schedule(pausedUntil, () => this.tell(daemon, message));
+      this.schedule(pausedUntil, () => this.send(daemon, message));
       return;
     }
     const actions = decisions.decide(this.clockOf(daemon), message);
@@ -182,7 +182,7 @@
   }
 
   /** @returns Numbers of the daemons that hold the lease by their own clocks. */
-  believers(): number[] {
+  activeHolders(): number[] {
     return this.daemons.flatMap((_, daemon) => (this.authorityOf(daemon) ? daemon : []));
   }
 
@@ -211,7 +211,7 @@
     const at = Math.max(this.now, wake / armed.rate) + 1;
     armed.wake = at;
     this.schedule(at, () => {
-      if (armed.wake === at) this.tell(daemon, { kind: 'tick' });
+      if (armed.wake === at) this.send(daemon, { kind: 'tick' });
     });
   }
 
@@ -228,7 +228,7 @@
     const delay = orderDelays[this.orders.length % orderDelays.length] ?? 0;
     const arrivedAt = this.now + delay;
     this.orders.push({ daemon, token, sentAt: this.now, arrivedAt });
-    this.holders.set(token, daemon);
+    this.daemonByToken.set(token, daemon);
   }
 
   private perform(daemon: number, action: LeaseAction): void {
@@ -249,7 +249,7 @@
       const answered = callFault.lost === 'nothing' && !refused;
       const at = answered ? arrival + callFault.answerDelay : sentAt + CALL_TIMEOUT_MILLISECONDS;
       const message = answered ? answer : unansweredCall(action);
-      if (message) this.schedule(at, () => this.tell(daemon, message));
+      if (message) this.schedule(at, () => this.send(daemon, message));
     });
   }
 
--- a/src/orders/testPool.ts
+++ b/src/orders/testPool.ts
@@ -50,7 +50,7 @@
   readonly reports: string[] = [];
 
   /** Largest number of engines that were unavailable at once, for whatever reason. */
-  mostAway = 0;
+  mostUnavailable = 0;
 
   /** Largest number of engines that loaded at once. */
   mostLoading = 0;
@@ -129,7 +129,7 @@
   }
 
   /** @param change - change of the roll-out, as an operator makes it. */
-  steer(change: Partial<RolloutPicture>): void {
+  updateRollout(change: Partial<RolloutPicture>): void {
     this.rollout = { ...this.rollout, ...change };
     this.revision += 1;
     this.publishPicture();
@@ -184,7 +184,7 @@
     const unavailable = this.engines.filter(
       ({ id, dead, state }) => dead || this.drains.has(id) || state.versions.length === 0,
     );
-    this.mostAway = Math.max(this.mostAway, unavailable.length);
+    this.mostUnavailable = Math.max(this.mostUnavailable, unavailable.length);
     const loading = this.engines.filter(({ state }) => state.loading.length > 0);
     this.mostLoading = Math.max(this.mostLoading, loading.length);
   }
--- a/src/router/KnowledgeChangeHandler.spec.ts
+++ b/src/router/KnowledgeChangeHandler.spec.ts
@@ -41,20 +41,24 @@
       reactions.runnerChanged(runnerOf(index), index % 3 === 0 ? 'draining' : 'ready');
     }
     reactions.updated();
-    expect(log.of(syncLogEvents.runnerChanged).length).toEqual(40);
-    const more = log.of(syncLogEvents.moreRunnersChanged);
+    expect(log.fieldsOf(syncLogEvents.runnerChanged).length).toEqual(40);
+    const more = log.fieldsOf(syncLogEvents.moreRunnersChanged);
     expect(more).toEqual([{ ready: 1_974, draining: 986, revision: 7 }]);
     reactions.runnerChanged(runnerOf(1), 'gone');
     reactions.updated();
-    expect(log.of(syncLogEvents.runnerChanged).length).toEqual(41);
-    expect(log.of(syncLogEvents.moreRunnersChanged).length).toEqual(1);
+    expect(log.fieldsOf(syncLogEvents.runnerChanged).length).toEqual(41);
+    expect(log.fieldsOf(syncLogEvents.moreRunnersChanged).length).toEqual(1);
   });
 
   it('logs evacuations, and reports those of unknown data centres', () => {
     reactions.evacuationChanged('north', 'begun');
     reactions.evacuationChanged('nroth', 'begun');
     const begun = { state: 'begun', revision: 7 };
-    expect(log.of(syncLogEvents.evacuationChanged)).toEqual([{ dataCentre: 'north', ...begun }]);
-    expect(log.of(syncLogEvents.evacuationUnknown)).toEqual([{ dataCentre: 'nroth', ...begun }]);
+    expect(log.fieldsOf(syncLogEvents.evacuationChanged)).toEqual([
+      { dataCentre: 'north', ...begun },
+    ]);
+    expect(log.fieldsOf(syncLogEvents.evacuationUnknown)).toEqual([
+      { dataCentre: 'nroth', ...begun },
+    ]);
   });
 });
--- a/src/sync/PeerExchange.spec.ts
+++ b/src/sync/PeerExchange.spec.ts
@@ -58,7 +58,7 @@
       pollMilliseconds: 1,
     });
     await peers.listen({ host: '127.0.0.1', port: 0 });
-    while (log.of(syncLogEvents.peerFailed).length < 5) await new Promise(setImmediate);
+    while (log.fieldsOf(syncLogEvents.peerFailed).length < 5) await new Promise(setImmediate);
     peers.close();
     server.close();
     server.closeAllConnections();
@@ -89,11 +89,11 @@
       pollMilliseconds: 1,
     });
     await peers.listen({ host: '127.0.0.1', port: 0 });
-    while (log.of(syncLogEvents.peerFailed).length < 5) await new Promise(setImmediate);
+    while (log.fieldsOf(syncLogEvents.peerFailed).length < 5) await new Promise(setImmediate);
     peers.close();
     answers.close();
     answers.closeAllConnections();
-    const asked = new Set(log.of(syncLogEvents.peerFailed).map((fields) => fields.address));
+    const asked = new Set(log.fieldsOf(syncLogEvents.peerFailed).map((fields) => fields.address));
     expect([...asked]).toEqual([`${address}:${port}`]);
   });
 
--- a/src/sync/StoreFollower.spec.ts
+++ b/src/sync/StoreFollower.spec.ts
@@ -107,13 +107,15 @@
     store.pendingReads[2]?.fail(new Error('reset'));
     await settle();
     expect(follower.isStoreUnresponsive).toEqual(true);
-    expect(log.of(syncLogEvents.storeLost).length).toEqual(1);
+    expect(log.fieldsOf(syncLogEvents.storeLost).length).toEqual(1);
     clock.advance(1_500);
     pauses[1]?.end();
     await settle();
     store.pendingReads[3]?.answer({ revision: 20, facts: [] });
     await settle();
-    expect(log.of(syncLogEvents.storeRegained)).toEqual([{ milliseconds: 1_500, failures: 1 }]);
+    expect(log.fieldsOf(syncLogEvents.storeRegained)).toEqual([
+      { milliseconds: 1_500, failures: 1 },
+    ]);
   });
 });
 
--- a/tests/movedCaller.spec.ts
+++ b/tests/movedCaller.spec.ts
@@ -56,7 +56,7 @@
     leaves(agent);
     expect(await lost).toEqual('left');
     expect((await next).body).toEqual('answer of plain-1 for state');
-    await site.until(() => log.of(forwardingLogEvents.callerLeft).length === 1);
+    await site.until(() => log.fieldsOf(forwardingLogEvents.callerLeft).length === 1);
     expect(plain.ran.map(({ id }) => id)).toEqual(['order', 'state']);
     const [daemon] = site.daemons;
     expect(daemon?.daemon.knowledge.runners.get('plain-1')?.inFlight).toEqual(0);
--- a/tests/sitePath.spec.ts
+++ b/tests/sitePath.spec.ts
@@ -158,7 +158,7 @@
     // no other. Cause: the search for another runner ends the request, and so does whoever asked for it.
     plain.behaviour = 'fails';
     await callSite({ address, path: '/read/a' });
-    expect(log.of(forwardingLogEvents.answered).length).toEqual(1);
+    expect(log.fieldsOf(forwardingLogEvents.answered).length).toEqual(1);
   });
 
   it('says which runner broke off an answer that is too large to be held', async () => {
@@ -173,7 +173,7 @@
     await site.until(() => knowledge?.runners.get('plain-2') !== undefined);
     const answer = await callSite({ address, path: '/read/a' });
     expect(answer.isComplete).toEqual(false);
-    const failed = log.of(forwardingLogEvents.attemptFailed);
+    const failed = log.fieldsOf(forwardingLogEvents.attemptFailed);
     expect(failed).toEqual([
       expect.subset({ runner: 'plain-2', failure: 'broken', verdict: 'cut' }),
     ]);
