--- a/soak/soakBounds.ts
+++ b/soak/soakBounds.ts
@@ -14,10 +14,10 @@
 /** Time that a planned stop may take. */
 export const STOP_SECONDS = 5;
 
-/** From then on a stopping daemon refuses, and closes what is idle; see `plannedStop`. */
+/** From then on a stopping daemon refuses, and closes what is idle; see `runPlannedStop`. */
 export const CLOSING_SHARE = 0.35;
 
-/** From then on it cuts what is not complete; see `plannedStop`. */
+/** From then on it cuts what is not complete; see `runPlannedStop`. */
 export const CUTTING_SHARE = 0.93;
 
 /** Of each route of the stand-in's configuration, in ms. */
--- a/standIns/platform/PlatformAdministration.spec.ts
+++ b/standIns/platform/PlatformAdministration.spec.ts
@@ -19,7 +19,7 @@
 describe('the administration of the platform stand-in', () => {
   // Symptom of a failure here: a daemon dies when the platform goes down.
   // Sequence: the platform ends an idle connection; a call comes before the error of that connection.
-  // Cause: a session's error that nobody listens for any more, see GuardedSessionManager.
+  // Cause: a session's error that nobody listens for any more, see ErrorTolerantSessionManager.
   it('switches an outage on and off, plans faults, counts, and refuses what it does not know', async () => {
     const standIn = new PlatformStandIn();
     const administration = new PlatformAdministration({ standIn });
